--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -127,8 +127,16 @@
         name = f"s{draw.randrange(12)}"
         has = world.get(name)
         if has is None:
-            world[name] = {"id": name, "host_port": "127.0.0.1:9", "locality": "costa", "flavor": "box", "cell": 0,
-                           "size": 4, "phase": "SERVING", "up_since_ms": n + 1}
+            world[name] = {
+                "id": name,
+                "host_port": "127.0.0.1:9",
+                "locality": "costa",
+                "flavor": "box",
+                "cell": 0,
+                "size": 4,
+                "phase": "SERVING",
+                "up_since_ms": n + 1,
+            }
         elif has["phase"] == "SERVING":
             world[name] = has | {"phase": "DRAINING"}
         else:
@@ -138,10 +146,24 @@
     heard = [draw.randint(cut, len(history) - 1) for _ in range(3)]
     held: dict[str, adopt.Held] = {}
     for n, pos in enumerate(heard):
-        adopt.take(held, {"proxy": f"p{n}", "holds": {"pos": pos, "zone": "costa", "part": 0, "of": 1,
-                                                      "members": list(history[pos].values()), "tenants": []}})
-    records = {f"box.{n}": {"kind": "box", "name": n, "attrs": {}, "phase": "warm", "since": m["up_since_ms"]}
-               for n, m in history[cut].items()}
+        adopt.take(
+            held,
+            {
+                "proxy": f"p{n}",
+                "holds": {
+                    "pos": pos,
+                    "zone": "costa",
+                    "part": 0,
+                    "of": 1,
+                    "members": list(history[pos].values()),
+                    "tenants": [],
+                },
+            },
+        )
+    records = {
+        f"box.{n}": {"kind": "box", "name": n, "attrs": {}, "phase": "warm", "since": m["up_since_ms"]}
+        for n, m in history[cut].items()
+    }
     proposal, true, wrong = adopt.propose(held.values(), records, cut, max(heard)), history[max(heard)], 0
     for finding in proposal.findings:
         record, now = finding.record, true.get(finding.id.split(".", 1)[1])
@@ -195,8 +217,10 @@
         for box in swarm.boxes:
             box.workers, box.base, box.queue = WORKERS, BASE_S, 64
         (operators,) = free_ports(host, 1)
-        names = [swarm.configure(f"p{n}", management=f"{host}:{operators if n == PROXIES - 1 else 0}").name
-                 for n in range(PROXIES)]
+        names = [
+            swarm.configure(f"p{n}", management=f"{host}:{operators if n == PROXIES - 1 else 0}").name
+            for n in range(PROXIES)
+        ]
         await swarm.launch(names)
         crowd = Crowd(swarm, RATE, seed=seed)
         await crowd.run(3.0)
@@ -232,16 +256,26 @@
         warm = Counter(word for at, word, _, name in crowd.log if name not in killed and at >= listening)
         calm = most_in(dials, began, kill_at, CALM_S - 0.2)
         return {
-            "full": full, "listening": listening - kill_at, "cpu": cpu,
+            "full": full,
+            "listening": listening - kill_at,
+            "cpu": cpu,
             "dials": most_in(dials, kill_at, kill_at + AFTER_S, 1.0) / max(1.0, calm),
-            "journal": max((sum(at <= other < at + 0.1 for other in swarm.journal.dials)
-                            for at in swarm.journal.dials if at >= kill_at), default=0),
+            "journal": max(
+                (
+                    sum(at <= other < at + 0.1 for other in swarm.journal.dials)
+                    for at in swarm.journal.dials
+                    if at >= kill_at
+                ),
+                default=0,
+            ),
             "pushed": pushed(swarm.fleet.servers[cold], back_at, time.time()),
             "stale": sum(box.stale for box in swarm.boxes),
             "cordoned": sum(a.at > back_at and not a.fill for a in swarm.fleet.servers[out].arrivals),
             "first": (fresh["200"] / max(1, fresh.total())) / max(0.01, warm["200"] / max(1, warm.total())),
             "drained": sum(a.at > back_at + 0.5 and not a.fill for a in swarm.fleet.servers[drained].arrivals),
-            "twice": crowd.twice, "answers": dict(crowd.answers)}
+            "twice": crowd.twice,
+            "answers": dict(crowd.answers),
+        }
     finally:
         await swarm.close()
 
@@ -255,17 +289,29 @@
         dear = await cost(old, folder / "cost-then", "127.0.53.1", seed, "")
         cheap = await cost(ROOT, folder / "cost-now", "127.0.54.1", seed, RECOVERY)
         return {
-            "full_service_s": now["full"], "full_service_before_s": then["full"], "listening_s": now["listening"],
-            "listening_before_s": then["listening"], "start_cpu_over_before": now["cpu"] / then["cpu"],
-            "start_cpu_ms": now["cpu"] * 1e3, "dials_peak_over_calm": now["dials"],
-            "dials_peak_over_calm_before": then["dials"], "journal_dials_per_100ms": now["journal"],
-            "journal_dials_per_100ms_before": then["journal"], "first10_share_of_warm": now["first"],
-            "drained_sends": now["drained"], "double_answers": now["twice"], "pushed_over": now["pushed"],
-            "stale_answers": now["stale"], "stale_answers_before": then["stale"],
-            "cordons_forgotten": now["cordoned"], "cordons_forgotten_before": then["cordoned"],
-            "adopt_wrong": sum(adopted_wrong(seed * 1_000 + n) for n in range(LOSSES)), "losses": LOSSES,
+            "full_service_s": now["full"],
+            "full_service_before_s": then["full"],
+            "listening_s": now["listening"],
+            "listening_before_s": then["listening"],
+            "start_cpu_over_before": now["cpu"] / then["cpu"],
+            "start_cpu_ms": now["cpu"] * 1e3,
+            "dials_peak_over_calm": now["dials"],
+            "dials_peak_over_calm_before": then["dials"],
+            "journal_dials_per_100ms": now["journal"],
+            "journal_dials_per_100ms_before": then["journal"],
+            "first10_share_of_warm": now["first"],
+            "drained_sends": now["drained"],
+            "double_answers": now["twice"],
+            "pushed_over": now["pushed"],
+            "stale_answers": now["stale"],
+            "stale_answers_before": then["stale"],
+            "cordons_forgotten": now["cordoned"],
+            "cordons_forgotten_before": then["cordoned"],
+            "adopt_wrong": sum(adopted_wrong(seed * 1_000 + n) for n in range(LOSSES)),
+            "losses": LOSSES,
             "feed_back_s": await feed_back(folder / "feed", "127.0.55.1"),
-            "cpu_per_request_over_before": cheap / dear}
+            "cpu_per_request_over_before": cheap / dear,
+        }
 
 
 def main() -> None:
--- a/benchmarks/dns.py
+++ b/benchmarks/dns.py
@@ -66,8 +66,9 @@
 
 
 def query(name: str, kind: int = 1, id: int = 1, more: bytes = b"") -> bytes:
-    return struct.pack("!6H", id, 0x0100, 1, 0, 0, 1 if more else 0) + name_of(name) + struct.pack("!HH", kind, 1) \
-        + more
+    return (
+        struct.pack("!6H", id, 0x0100, 1, 0, 0, 1 if more else 0) + name_of(name) + struct.pack("!HH", kind, 1) + more
+    )
 
 
 def edns(option: bytes = b"") -> bytes:
@@ -127,23 +128,53 @@
     def __init__(self, folder: Path, operator: str, root: Path = ROOT, boxes: int = BOXES) -> None:
         self.folder, self.operator, self.root = folder, operator, root
         folder.mkdir(parents=True, exist_ok=True)
-        self.members = [{"id": f"s-{n:08x}", "host_port": f"127.0.8.{n}:9", "locality": "edge-1", "flavor": "standard",
-                         "phase": "SERVING", "size": 1, "up_since_ms": 0} for n in range(1, boxes + 1)]
+        self.members = [
+            {
+                "id": f"s-{n:08x}",
+                "host_port": f"127.0.8.{n}:9",
+                "locality": "edge-1",
+                "flavor": "standard",
+                "phase": "SERVING",
+                "size": 1,
+                "up_since_ms": 0,
+            }
+            for n in range(1, boxes + 1)
+        ]
         self.journal = Journal(self.members)
 
     async def __aenter__(self) -> Proxy:
         port = await self.journal.start()
-        settings = {"profiles": [{"name": "art-pages", "repeat": "read_like", "deadline": 3_000_000,
-                                  "objective": 300_000}], "zone": "edge-1", "zones": ["edge-1"],
-                    "machine-types": ["standard"], "obligations": {"drain-grace": 250_000}}
-        (self.folder / "config.json").write_bytes(orjson.dumps({
-            "name": "n0", "listen": "127.0.0.1:0", "seed": "1", "settings": settings, "journal": f"127.0.0.1:{port}",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}}))
+        settings = {
+            "profiles": [{"name": "art-pages", "repeat": "read_like", "deadline": 3_000_000, "objective": 300_000}],
+            "zone": "edge-1",
+            "zones": ["edge-1"],
+            "machine-types": ["standard"],
+            "obligations": {"drain-grace": 250_000},
+        }
+        (self.folder / "config.json").write_bytes(
+            orjson.dumps(
+                {
+                    "name": "n0",
+                    "listen": "127.0.0.1:0",
+                    "seed": "1",
+                    "settings": settings,
+                    "journal": f"127.0.0.1:{port}",
+                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+                }
+            )
+        )
         (self.folder / "operator.toml").write_text(self.operator)
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "threadhill", "serve", "--operator", str(self.folder / "operator.toml"),
-            cwd=self.root, stderr=asyncio.subprocess.PIPE,
-            env=os.environ | {"LB_CONFIG": str(self.folder / "config.json")})
+            sys.executable,
+            "-m",
+            "threadhill",
+            "serve",
+            "--operator",
+            str(self.folder / "operator.toml"),
+            cwd=self.root,
+            stderr=asyncio.subprocess.PIPE,
+            env=os.environ | {"LB_CONFIG": str(self.folder / "config.json")},
+        )
         while True:
             line = (await self.process.stderr.readline()).decode()
             if not line:
@@ -153,7 +184,8 @@
                 break
         self.reading = asyncio.ensure_future(self._drain_log())
         transport, self.udp = await asyncio.get_running_loop().create_datagram_endpoint(
-            Udp, remote_addr=("127.0.0.1", self.port))
+            Udp, remote_addr=("127.0.0.1", self.port)
+        )
         self.transport = transport
         self.ids = 0
         return self
@@ -249,10 +281,15 @@
     over = {way: round(qps[way] / qps["parent"], 3) if "parent" in qps else None for way in ("unsigned", "signed")}
     share = {way: round(named[way] / max(1, len(took[way])), 3) for way in ways}
     sorted_times = sorted(took["unsigned"])
-    return {"qps": round(qps["unsigned"]), "p99_ms": round(sorted_times[int(0.99 * len(sorted_times))] * 1e3, 2),
-            "qps_signed": round(qps["signed"]), "qps_over_parent": over["unsigned"],
-            "qps_signed_over_parent": over["signed"], "named_share": share["unsigned"],
-            "named_share_parent": share.get("parent")}
+    return {
+        "qps": round(qps["unsigned"]),
+        "p99_ms": round(sorted_times[int(0.99 * len(sorted_times))] * 1e3, 2),
+        "qps_signed": round(qps["signed"]),
+        "qps_over_parent": over["unsigned"],
+        "qps_signed_over_parent": over["signed"],
+        "named_share": share["unsigned"],
+        "named_share_parent": share.get("parent"),
+    }
 
 
 async def idle(folder: Path) -> dict[str, Any]:
@@ -329,7 +366,8 @@
         await rig.apply(rig.make(boxes) + more)
         await rig.live()
         transport, udp = await asyncio.get_running_loop().create_datagram_endpoint(
-            Udp, local_addr=(host, 0), remote_addr=(host, port))
+            Udp, local_addr=(host, 0), remote_addr=(host, port)
+        )
         people, load = Clients(rig), Load()
         loading = asyncio.ensure_future(load.run(rig.addresses, Mix(80, {"clip-parts": 0.5, "art-pages": 0.5}), 5))
         went = {"crowd": [], "single": []}
@@ -351,8 +389,10 @@
                         await people.go(where, CROWD if kind == "crowd" else 1, obj)
                 await asyncio.sleep(pause)
 
-        asking = [asyncio.ensure_future(resolver("crowd", 1, 0.5)),
-                  *(asyncio.ensure_future(resolver("single", 2 + n, 0.1)) for n in range(5))]
+        asking = [
+            asyncio.ensure_future(resolver("crowd", 1, 0.5)),
+            *(asyncio.ensure_future(resolver("single", 2 + n, 0.1)) for n in range(5)),
+        ]
         await asyncio.sleep(seconds)
         warm = len(went["crowd"])
         await rig.apply(rig.make(boxes | {"3": False}) + more)
@@ -362,14 +402,23 @@
         cold_port = rig.ports[3]
         worst = plan_apply.cold_worst(rig, cold_s)
         after = went["crowd"][warm:]
-        figures = {"cold_worst": round(worst, 3), "cold_crowds": after.count(cold_port), "crowds": len(went["crowd"]),
-                   "cold_singles": went["single"].count(cold_port)}
+        figures = {
+            "cold_worst": round(worst, 3),
+            "cold_crowds": after.count(cold_port),
+            "crowds": len(went["crowd"]),
+            "cold_singles": went["single"].count(cold_port),
+        }
         people.close()
         await asyncio.sleep(0.5)
         figures["resp_alone"] = await served(load, seconds)
-        flooders = [(await asyncio.get_running_loop().create_datagram_endpoint(
-            asyncio.DatagramProtocol, local_addr=(f"127.0.{n}.1", 0), remote_addr=(host, port)))[0]
-            for n in range(50, 54)]
+        flooders = [
+            (
+                await asyncio.get_running_loop().create_datagram_endpoint(
+                    asyncio.DatagramProtocol, local_addr=(f"127.0.{n}.1", 0), remote_addr=(host, port)
+                )
+            )[0]
+            for n in range(50, 54)
+        ]
 
         async def flood() -> None:
             while True:
@@ -427,8 +476,14 @@
         at = first.index(b"\x00\x0a\x00\x18") + 4
         proof = struct.pack("!HH", 10, 24) + first[at : at + 24]
         loop = asyncio.get_running_loop()
-        flooders = [(await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=(f"127.0.0.{n}", 0),
-                                                         remote_addr=("127.0.0.1", proxy.port)))[0] for n in (2, 3, 4)]
+        flooders = [
+            (
+                await loop.create_datagram_endpoint(
+                    asyncio.DatagramProtocol, local_addr=(f"127.0.0.{n}", 0), remote_addr=("127.0.0.1", proxy.port)
+                )
+            )[0]
+            for n in (2, 3, 4)
+        ]
         stop = time.monotonic() + seconds
 
         async def made_up() -> None:
--- a/benchmarks/owner.py
+++ b/benchmarks/owner.py
@@ -226,12 +226,21 @@
             lost += phase in order and state_of.get(name) != phase and state_of.get(name) not in order[phase]
             state_of[name] = phase
         late = [ms for ms in drains(trio, lines) if ms > DRAIN_MS]
-        return {**faults.counts, "two_owners": faults.two_owners, "late_effects": differ, "events_lost": lost,
-                "events_twice": twice,
-                "untrue": len(has ^ {f"b-{k}" for k in wanted}) if state["open"] is None else 99,
-                "applies": len(versions), "handover_p99_s": p99(faults.handovers), "handovers": len(faults.handovers),
-                "drain_late": len(late), "drain_worst_ms": max(late, default=0.0),
-                "serving_loss": 1 - load.answers["200"] / load.answers.total(), "wrong": load.wrong}
+        return {
+            **faults.counts,
+            "two_owners": faults.two_owners,
+            "late_effects": differ,
+            "events_lost": lost,
+            "events_twice": twice,
+            "untrue": len(has ^ {f"b-{k}" for k in wanted}) if state["open"] is None else 99,
+            "applies": len(versions),
+            "handover_p99_s": p99(faults.handovers),
+            "handovers": len(faults.handovers),
+            "drain_late": len(late),
+            "drain_worst_ms": max(late, default=0.0),
+            "serving_loss": 1 - load.answers["200"] / load.answers.total(),
+            "wrong": load.wrong,
+        }
 
 
 async def calm(rig: Rig, feed: str) -> tuple[float, float, float]:
@@ -272,10 +281,17 @@
             memory = max(trio.resources(name)[1] for name in NAMES)
         model = Explorer(most=20_000, seed=seed).run()
         blind = [guard for guard in GUARDS if not Explorer(guard, most=20_000, seed=seed).run().faults]
-        return {**found, "feed_p99_over_single": several[0] / single[0], "commit_p99_ms": several[1] * 1e3,
-                "commit_p99_single_ms": single[1] * 1e3, "apply_steps_over_single": several[2] / single[2],
-                "mb_member": memory, "cpu_idle": cpu, "states_checked": 0 if model.faults else model.states,
-                "guards_not_missed": len(blind)}
+        return {
+            **found,
+            "feed_p99_over_single": several[0] / single[0],
+            "commit_p99_ms": several[1] * 1e3,
+            "commit_p99_single_ms": single[1] * 1e3,
+            "apply_steps_over_single": several[2] / single[2],
+            "mb_member": memory,
+            "cpu_idle": cpu,
+            "states_checked": 0 if model.faults else model.states,
+            "guards_not_missed": len(blind),
+        }
 
 
 def main() -> None:
--- a/benchmarks/owner_model.py
+++ b/benchmarks/owner_model.py
@@ -3,7 +3,7 @@
 
 Three members, one register behind a log in one order (which is what the engine gives), and an owner that writes. Every
 state within the bounds is visited once; in each, no two members may think that they own, and no write may take effect
-in a term that is over. `without` takes one guard out; then the explorer has to find the fault. """
+in a term that is over. `without` takes one guard out; then the explorer has to find the fault."""
 
 from __future__ import annotations
 
@@ -17,8 +17,12 @@
 NAMES = ("a", "b", "c")
 RATES = (1.0, 1.02, 0.98)  # how fast each one's clock runs
 TIMING = Timing(lease=3.0, drift=0.05, margin=0.1, renew=0.3, turn=0.0)
-GUARDS = ("claims name what was seen", "others wait for the lease", "the lease counts from before it was sent",
-          "writes name their term")
+GUARDS = (
+    "claims name what was seen",
+    "others wait for the lease",
+    "the lease counts from before it was sent",
+    "writes name their term",
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +110,7 @@
             else:
                 yield self.with_(state, running=self.put(state.running, m, True))
         for n, sent in enumerate(state.sent):
-            rest = state.sent[:n] + state.sent[n + 1:]
+            rest = state.sent[:n] + state.sent[n + 1 :]
             yield self.agreed(self.with_(state, sent=rest), sent, found)
             if sent.kind == "renew":  # lost on its way: its sender hears nothing
                 one = self.tenure(state, sent.by)
@@ -121,8 +125,11 @@
                     one.granted(term)
                 else:
                     one.refused()
-                yield self.with_(state, answers=state.answers[:n] + state.answers[n + 1:],
-                                 members=self.put(state.members, m, self.packed(one)))
+                yield self.with_(
+                    state,
+                    answers=state.answers[:n] + state.answers[n + 1 :],
+                    members=self.put(state.members, m, self.packed(one)),
+                )
 
     def acts(self, state: State, m: int) -> Iterator[State]:
         """What a running member may do: hear what was agreed, send what its tenure wishes, or write."""
@@ -130,8 +137,9 @@
         if state.inbox[m]:
             told, *rest = state.inbox[m]
             one.agreed(self.register(told), now)
-            yield self.with_(state, inbox=self.put(state.inbox, m, tuple(rest)),
-                             members=self.put(state.members, m, self.packed(one)))
+            yield self.with_(
+                state, inbox=self.put(state.inbox, m, tuple(rest)), members=self.put(state.members, m, self.packed(one))
+            )
             return
         known = Register(one.seen[0], "", one.seen[1], members={name: {} for name in NAMES})
         wish = one.wish(known, now)
@@ -140,8 +148,11 @@
         if wish is not Wish.NOTHING and len(state.sent) < 2:
             term, beat = one.seen if wish is Wish.CLAIM else (one.term, 0)
             one.sent(now)
-            yield self.with_(state, sent=(*state.sent, Sent(wish.value, m, term, beat)),
-                             members=self.put(state.members, m, self.packed(one)))
+            yield self.with_(
+                state,
+                sent=(*state.sent, Sent(wish.value, m, term, beat)),
+                members=self.put(state.members, m, self.packed(one)),
+            )
         if one.holds(now) and len(state.sent) < 2 and not any(s.kind == "write" for s in state.sent):
             yield self.with_(state, sent=(*state.sent, Sent("write", m, one.term, 0)))
 
@@ -161,12 +172,13 @@
             verdict = register.renew(name, sent.term)
         told = (register.term, register.owner, register.beat)
         inbox = tuple(box + ((told,) if told != state.register else ()) for box in state.inbox)
-        return self.with_(state, register=told, inbox=inbox,
-                          answers=(*state.answers, (sent.by, verdict.ok, verdict.term)))
+        return self.with_(
+            state, register=told, inbox=inbox, answers=(*state.answers, (sent.by, verdict.ok, verdict.term))
+        )
 
     @staticmethod
     def put(values: tuple, at: int, value: object) -> tuple:
-        return values[:at] + (value,) + values[at + 1:]
+        return values[:at] + (value,) + values[at + 1 :]
 
     @staticmethod
     def with_(state: State, **more: object) -> State:
--- a/benchmarks/plan_apply.py
+++ b/benchmarks/plan_apply.py
@@ -79,14 +79,20 @@
         counts = Counter({s.name: sum(begun <= a.at < ended and not a.fill for a in s.arrivals) for s in boxes})
         whole = sum(counts.values())
         errors = {name: abs(planned[f"box.{name}"] - counts[name] / whole) for name in counts}
-        return {"forecast_error": round(100 * max(errors.values()), 2), "forecast_requests": whole,
-                "cold_worst": round(cold_worst(rig, cold), 3), "rounds": max(s["wave"] for s in plan["steps"]) + 1,
-                "served": round(load.answers["200"] / max(1, sum(load.answers.values())), 4), "wrong": load.wrong,
-                "state": done["state"]}
-
-
-def planned_shares(plan: dict[str, Any], node: str, sent: list[tuple[float, str]], begun: float,
-                   ended: float) -> dict[str, float]:
+        return {
+            "forecast_error": round(100 * max(errors.values()), 2),
+            "forecast_requests": whole,
+            "cold_worst": round(cold_worst(rig, cold), 3),
+            "rounds": max(s["wave"] for s in plan["steps"]) + 1,
+            "served": round(load.answers["200"] / max(1, sum(load.answers.values())), 4),
+            "wrong": load.wrong,
+            "state": done["state"],
+        }
+
+
+def planned_shares(
+    plan: dict[str, Any], node: str, sent: list[tuple[float, str]], begun: float, ended: float
+) -> dict[str, float]:
     """Each box's planned share of all requests: its classes' shares, each by its part of what was asked."""
     asked = Counter(cls for at, cls in sent if begun <= at < ended)
     shares: dict[str, float] = defaultdict(float)
@@ -155,8 +161,13 @@
         load.stopped = True
         await running
         late, worst, seen = drain_lateness(folder, rig, ended)
-        return {"drains": drained, "drain_late": late, "drain_worst_ms": round(worst * 1e3, 1), "drain_sends": seen,
-                "drain_served": round(load.answers["200"] / max(1, sum(load.answers.values())), 4)}
+        return {
+            "drains": drained,
+            "drain_late": late,
+            "drain_worst_ms": round(worst * 1e3, 1),
+            "drain_sends": seen,
+            "drain_served": round(load.answers["200"] / max(1, sum(load.answers.values())), 4),
+        }
 
 
 def drain_lateness(folder: Path, rig: Rig, ended: list[Server]) -> tuple[int, float, int]:
@@ -204,8 +215,9 @@
         turn = 0
         while killed < times:
             turn += 1
-            wanted = rig.make(names + [str(i) for i in range(3, 6) if turn % 2],
-                              tenants={f"t{i}": turn for i in range(4)})
+            wanted = rig.make(
+                names + [str(i) for i in range(3, 6) if turn % 2], tenants={f"t{i}": turn for i in range(4)}
+            )
             plan = await rig.plan(wanted)
             lease = await rig.begin(plan, "killed")
             first = max(watcher.events, default=0)
@@ -213,8 +225,13 @@
                 # The command is lost by leaving its lease; the control plane by SIGKILL, at a boundary or amid a call.
                 alone = client.Caller(rig.api, TOKEN)
                 at = chance.randrange(4)
-                calls = [asyncio.ensure_future(asyncio.to_thread(
-                    alone, "POST", f"/v1/applies/{lease['apply']}/advance", {"token": lease["token"]}))]
+                calls = [
+                    asyncio.ensure_future(
+                        asyncio.to_thread(
+                            alone, "POST", f"/v1/applies/{lease['apply']}/advance", {"token": lease["token"]}
+                        )
+                    )
+                ]
                 if at:
                     await asyncio.sleep(chance.random() * 0.006)
                 else:
@@ -237,8 +254,12 @@
             again = await rig.plan(wanted)
             untrue += bool(again["steps"]) + effects_twice(watcher, first, plan)
         watcher.task.cancel()
-        return {"kills": killed, "kills_untrue": untrue, "kill_events": len(watcher.events),
-                "events_twice": len(watcher.twice)}
+        return {
+            "kills": killed,
+            "kills_untrue": untrue,
+            "kill_events": len(watcher.events),
+            "events_twice": len(watcher.twice),
+        }
 
 
 async def told_untrue(rig: Rig, watcher: Watcher, plan: dict[str, Any], apply: int, first: int) -> int:
@@ -252,8 +273,11 @@
     if found["apply"] != apply:
         return 1
     by_id = {step["id"]: step for step in plan["steps"]}
-    return sum((told != "left") != (step_effect(by_id[id]) in published)
-               for id, told in found["steps"].items() if step_effect(by_id[id]) is not None)
+    return sum(
+        (told != "left") != (step_effect(by_id[id]) in published)
+        for id, told in found["steps"].items()
+        if step_effect(by_id[id]) is not None
+    )
 
 
 def effect_of(line: bytes) -> tuple[str, str] | None:
@@ -302,8 +326,11 @@
         for w in watchers:
             w.task.cancel()
         took.sort()
-        return {"feed_p99_ms": round(1e3 * took[int(0.99 * len(took))], 2), "feed_clients": clients,
-                "feed_missed": sum(pos not in w.events for w in watchers for pos in range(base + 1, base + events + 1))}
+        return {
+            "feed_p99_ms": round(1e3 * took[int(0.99 * len(took))], 2),
+            "feed_clients": clients,
+            "feed_missed": sum(pos not in w.events for w in watchers for pos in range(base + 1, base + events + 1)),
+        }
 
 
 async def restart(folder: Path, events: int) -> dict[str, Any]:
@@ -311,14 +338,27 @@
     store = Sqlite(folder)
     line = b'{"pos":%d,"tenants":{"set":[],"gone":["nobody-%d"]}}\n'
     for begin in range(1, events + 1, 5_000):
-        store.commit(Change(meta={"pos": begin + 4_999},
-                            events=[(p, line % (p, p)) for p in range(begin, begin + 5_000)]))
+        store.commit(
+            Change(meta={"pos": begin + 4_999}, events=[(p, line % (p, p)) for p in range(begin, begin + 5_000)])
+        )
     store.close()
     rig = Rig(folder, "127.0.25.1", proxies=1)
     began = time.monotonic()
     rig.control = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "threadhill", "control", "--data", str(folder), "--api", rig.api, "--feed", rig.feed,
-        "--token", TOKEN, stderr=asyncio.subprocess.DEVNULL)
+        sys.executable,
+        "-m",
+        "threadhill",
+        "control",
+        "--data",
+        str(folder),
+        "--api",
+        rig.api,
+        "--feed",
+        rig.feed,
+        "--token",
+        TOKEN,
+        stderr=asyncio.subprocess.DEVNULL,
+    )
     host, _, port = rig.feed.rpartition(":")
     while True:
         with suppress(OSError):
@@ -390,15 +430,27 @@
     document = saved.document(plan, wanted, 0, 0)
     file.with_suffix(".plan").write_bytes(orjson.dumps(document))
     took = time.monotonic() - began
-    print(orjson.dumps({"plan_s": round(took, 3), "plan_steps": len(plan.steps), "plan_blocked": len(plan.blocked),
-                        "plan_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1)}).decode())
+    print(
+        orjson.dumps(
+            {
+                "plan_s": round(took, 3),
+                "plan_steps": len(plan.steps),
+                "plan_blocked": len(plan.blocked),
+                "plan_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1),
+            }
+        ).decode()
+    )
 
 
 def plan_size(folder: Path, boxes: int, tenants: int) -> dict[str, Any]:
     file = folder / "large.hcl"
     file.write_text(PLAN % {"boxes": boxes, "nodes": max(1, boxes // 10), "tenants": tenants})
-    out = subprocess.run([sys.executable, "-m", "benchmarks.plan_apply", "--one-plan", str(file)], cwd=ROOT, check=True,
-                         capture_output=True)
+    out = subprocess.run(
+        [sys.executable, "-m", "benchmarks.plan_apply", "--one-plan", str(file)],
+        cwd=ROOT,
+        check=True,
+        capture_output=True,
+    )
     return {**orjson.loads(out.stdout), "plan_boxes": boxes, "plan_tenants": tenants}
 
 
@@ -423,14 +475,20 @@
     return found
 
 
-PARTS = {"growth": lambda folder, seed: growth(folder, seed, 320, 11, 2.5),
-         "drains": lambda folder, seed: drains(folder, seed, 100, 32),
-         "kills": lambda folder, seed: kills(folder, seed, 12)}
+PARTS = {
+    "growth": lambda folder, seed: growth(folder, seed, 320, 11, 2.5),
+    "drains": lambda folder, seed: drains(folder, seed, 100, 32),
+    "kills": lambda folder, seed: kills(folder, seed, 12),
+}
 
 
 def part(name: str, seed: int) -> dict[str, Any]:
-    out = subprocess.run([sys.executable, "-m", "benchmarks.plan_apply", "--part", name, "--seed", str(seed)], cwd=ROOT,
-                         check=True, capture_output=True)
+    out = subprocess.run(
+        [sys.executable, "-m", "benchmarks.plan_apply", "--part", name, "--seed", str(seed)],
+        cwd=ROOT,
+        check=True,
+        capture_output=True,
+    )
     return orjson.loads(out.stdout)
 
 
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -40,12 +40,22 @@
 
     sides = (("with overload control", "on", "#1b6e3c"), ("without", "off", "#a33"))
     plots = []
-    for title, key, top in (("Share of first tries served in time, by the second", "share", 1.0),
-                            ("Tries for each first try", "tries", 3.0)):
+    for title, key, top in (
+        ("Share of first tries served in time, by the second", "share", 1.0),
+        ("Tries for each first try", "tries", 3.0),
+    ):
         length = len(found["on"][key]) - 1
-        plots.append({"title": title, "top": top, "fault": (BEFORE_S / length * WIDTH, FAULT_S / length * WIDTH),
-                      "lines": [{"name": name, "colour": colour, "points": _points(found[side][key], top)}
-                                for name, side, colour in sides]})
+        plots.append(
+            {
+                "title": title,
+                "top": top,
+                "fault": (BEFORE_S / length * WIDTH, FAULT_S / length * WIDTH),
+                "lines": [
+                    {"name": name, "colour": colour, "points": _points(found[side][key], top)}
+                    for name, side, colour in sides
+                ],
+            }
+        )
     about = f"A box stops from second {BEFORE_S} to {BEFORE_S + FAULT_S}; three times as much is asked meanwhile."
     return _render("Retry storm: with overload control and without", about, figures, plots)
 
@@ -53,17 +63,29 @@
 def load_page(path: Path, figures: dict[str, Any], times: dict[str, dict[str, list[float]]], seconds: float) -> None:
     """Requests by the half second at each cache, a line each, one plot a version."""
     slots = int(2 * seconds)
-    lines = {side: [[sum(i <= 2 * t < i + 1 for t in at) for i in range(slots)] for at in by_server.values()]
-             for side, by_server in times.items()}
+    lines = {
+        side: [[sum(i <= 2 * t < i + 1 for t in at) for i in range(slots)] for at in by_server.values()]
+        for side, by_server in times.items()
+    }
     top = max(max(line) for side in lines.values() for line in side)
-    plots = [{"title": f"Requests in each half second, a line a cache: {side}", "top": top, "fault": None,
-              "lines": [{"name": "", "colour": "#1b6e3c" if side == "now" else "#a33", "points": _points(line, top)}
-                        for line in found]} for side, found in lines.items()]
+    plots = [
+        {
+            "title": f"Requests in each half second, a line a cache: {side}",
+            "top": top,
+            "fault": None,
+            "lines": [
+                {"name": "", "colour": "#1b6e3c" if side == "now" else "#a33", "points": _points(line, top)}
+                for line in found
+            ],
+        }
+        for side, found in lines.items()
+    ]
     about = "One object is 30% of all requests from the first second on."
     path.write_text(_render("Load by server", about, figures, plots))
 
 
 def _render(title: str, about: str, figures: dict[str, Any], plots: list[dict[str, Any]]) -> str:
     environment = Environment(autoescape=select_autoescape(default=True, default_for_string=True))
-    return environment.from_string(TEMPLATE).render(title=title, about=about, figures=figures, plots=plots, width=WIDTH,
-                                                    height=HEIGHT)
+    return environment.from_string(TEMPLATE).render(
+        title=title, about=about, figures=figures, plots=plots, width=WIDTH, height=HEIGHT
+    )
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -188,8 +188,9 @@
 class Rig:
     """One installation. `make` gives a configuration of it; `plan` and `apply` are the command line's own code."""
 
-    def __init__(self, data: Path, host: str, proxies: int = 2, boxes: int = 12, operator: str = "",
-                 **settings: float) -> None:
+    def __init__(
+        self, data: Path, host: str, proxies: int = 2, boxes: int = 12, operator: str = "", **settings: float
+    ) -> None:
         self.data, self.host = data, host
         ports = free_ports(host, boxes + proxies + 6)
         self.api, self.feed = f"{host}:{ports[0]}", f"{host}:{ports[1]}"
@@ -224,8 +225,15 @@
             self.control.send_signal(signal.SIGKILL)
         await self.control.wait()
 
-    def make(self, boxes: dict[str, bool] | list[str], parents: int = 2, proxies: int | None = None,
-             tenants: dict[str, float] | None = None, at: dict[str, int] | None = None, **more: object) -> str:
+    def make(
+        self,
+        boxes: dict[str, bool] | list[str],
+        parents: int = 2,
+        proxies: int | None = None,
+        tenants: dict[str, float] | None = None,
+        at: dict[str, int] | None = None,
+        **more: object,
+    ) -> str:
         """HCL of an installation with these boxes, cold or warm, by key (the box's name is `b-KEY`). `at` gives a
         box's place among the ports, else the number in its key."""
         if not isinstance(boxes, dict):
@@ -236,13 +244,20 @@
 
         place = {name: (at or {}).get(name, int("".join(c for c in name if c.isdigit()) or 0)) for name in boxes}
         return CONFIGURATION.format(
-            host=self.host, library=self.library, **{**self.settings, **more},
+            host=self.host,
+            library=self.library,
+            **{**self.settings, **more},
             parents=table((str(i), f'"{self.host}:{self.parents[i]}"') for i in range(parents)),
-            boxes=table((name, f'{{address = "{self.host}:{self.ports[place[name]]}", '
-                               f"warm = {str(warm).lower()}}}") for name, warm in boxes.items()),
-            proxies=table((str(i), f'"{self.host}:{port}"') for i, port in
-                          enumerate(self.listen[: len(self.listen) if proxies is None else proxies])),
-            tenants=table((tenants or {}).items()))
+            boxes=table(
+                (name, f'{{address = "{self.host}:{self.ports[place[name]]}", ' f"warm = {str(warm).lower()}}}")
+                for name, warm in boxes.items()
+            ),
+            proxies=table(
+                (str(i), f'"{self.host}:{port}"')
+                for i, port in enumerate(self.listen[: len(self.listen) if proxies is None else proxies])
+            ),
+            tenants=table((tenants or {}).items()),
+        )
 
     @staticmethod
     def read(text: str) -> dict[str, Resource]:
@@ -280,8 +295,11 @@
         end = time.monotonic() + PATIENCE
         while True:
             seen = await self.get("/v1/observed")
-            good = [p for p in seen["proxies"] if p["state"] == "live" and not p["behind"]
-                    and p["config"] == p["wanted_config"]]
+            good = [
+                p
+                for p in seen["proxies"]
+                if p["state"] == "live" and not p["behind"] and p["config"] == p["wanted_config"]
+            ]
             if len(good) >= wanted:
                 return
             if time.monotonic() > end:
@@ -295,6 +313,16 @@
     async def command(self, *words: str) -> asyncio.subprocess.Process:
         """The command line as a process of its own, against this control plane."""
         return await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "threadhill", *words, "--control", self.api, "--token", TOKEN,
-            cwd=Path(__file__).resolve().parent.parent, env=dict(os.environ), stdout=asyncio.subprocess.PIPE,
-            stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "threadhill",
+            *words,
+            "--control",
+            self.api,
+            "--token",
+            TOKEN,
+            cwd=Path(__file__).resolve().parent.parent,
+            env=dict(os.environ),
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+        )
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -130,8 +130,16 @@
 
 
 def member(number: int, port: int, flavor: str = "standard", locality: str = ZONE) -> dict[str, Any]:
-    return {"id": f"s-{number:08x}", "host_port": f"127.0.0.1:{port}", "locality": locality, "cell": number % 8,
-            "flavor": flavor, "phase": "SERVING", "size": 1, "up_since_ms": 0}
+    return {
+        "id": f"s-{number:08x}",
+        "host_port": f"127.0.0.1:{port}",
+        "locality": locality,
+        "cell": number % 8,
+        "flavor": flavor,
+        "phase": "SERVING",
+        "size": 1,
+        "up_since_ms": 0,
+    }
 
 
 def cpu_of(pid: int) -> float:
@@ -164,17 +172,29 @@
     servers = Servers()
     await servers.start()
     members = [member(n + 1, servers.ports[n % LISTENERS]) for n in range(count)]
-    members += [member(0xb1, servers.ports[0], "parent", "sierra"), member(0xc1, servers.ports[1], "origin", "sierra")]
+    members += [member(0xB1, servers.ports[0], "parent", "sierra"), member(0xC1, servers.ports[1], "origin", "sierra")]
     journal = Journal(members)
     port = await journal.start()
     settings = settings_for(1)
-    config = {"name": "n0", "listen": "127.0.0.1:0", "seed": f"{seed:x}", "settings": settings,
-              "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "journal": f"127.0.0.1:{port}",
-              "known": {"pos": 1, "entries": [journal.event()]}}
+    config = {
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "seed": f"{seed:x}",
+        "settings": settings,
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "journal": f"127.0.0.1:{port}",
+        "known": {"pos": 1, "entries": [journal.event()]},
+    }
     (folder / "config.json").write_text(json.dumps(config))
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "threadhill", "serve", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
-        env=os.environ | {"LB_CONFIG": str(folder / "config.json"), "TMPDIR": str(folder)})
+        sys.executable,
+        "-m",
+        "threadhill",
+        "serve",
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
+        env=os.environ | {"LB_CONFIG": str(folder / "config.json"), "TMPDIR": str(folder)},
+    )
     told = Measured(count)
     try:
         line = (await process.stderr.readline()).decode()
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -51,9 +51,13 @@
         logs = {path.stem: path.read_text(errors="replace") for path in Path(folder).glob("*.log")}
     breaches = judge(deployment, record)
     served = sum(any(answer.word == "200" for answer in one.answers) for one in record.requests.values())
-    return SeedResult(seed, len(record.requests), served,
-                      [{"rule": b.rule.value, "process": b.process, "why": b.why} for b in breaches],
-                      [report.timeline(record, breach, logs) for breach in breaches[:5]])
+    return SeedResult(
+        seed,
+        len(record.requests),
+        served,
+        [{"rule": b.rule.value, "process": b.process, "why": b.why} for b in breaches],
+        [report.timeline(record, breach, logs) for breach in breaches[:5]],
+    )
 
 
 def play_apart(seed: int, root: Path) -> SeedResult:
@@ -86,10 +90,14 @@
 def summary(results: list[SeedResult]) -> dict[str, object]:
     """The figures of a run."""
     rules = Counter(breach["rule"] for result in results for breach in result.breaches)
-    return {"seeds": len(results), "requests": sum(r.requests for r in results),
-            "served": sum(r.served for r in results),
-            "breaches": dict(rules), "seeds_with_breaches": [r.seed for r in results if r.breaches],
-            "not_judged": [r.seed for r in results if r.problem]}
+    return {
+        "seeds": len(results),
+        "requests": sum(r.requests for r in results),
+        "served": sum(r.served for r in results),
+        "breaches": dict(rules),
+        "seeds_with_breaches": [r.seed for r in results if r.breaches],
+        "not_judged": [r.seed for r in results if r.problem],
+    }
 
 
 def bounded(name: str, least: int, most: int) -> object:
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -69,8 +69,9 @@
 
 def arrivals(swarm: Swarm, since: float, until: float) -> dict[str, list[float]]:
     """When clients' requests came at each cache."""
-    return {box.name: [a.at - since for a in box.arrivals if since <= a.at < until and not a.fill]
-            for box in swarm.boxes}
+    return {
+        box.name: [a.at - since for a in box.arrivals if since <= a.at < until and not a.fill] for box in swarm.boxes
+    }
 
 
 def spread(times: dict[str, list[float]], seconds: float) -> dict[str, float]:
@@ -81,12 +82,17 @@
     for at in times.values():
         edges = [0.0, *sorted(at), seconds]
         idle += max(b - a for a, b in zip(edges, edges[1:], strict=False)) > 2
-    return {"busiest": max(counts.values()) / mean, "worst_second": max(by_second.values()), "idle": idle,
-            "mean": mean / seconds}
+    return {
+        "busiest": max(counts.values()) / mean,
+        "worst_second": max(by_second.values()),
+        "idle": idle,
+        "mean": mean / seconds,
+    }
 
 
-async def side(root: Path, folder: Path, host: str, crew: int, release: bool, seed: int, calm: float = CALM_S,
-               hints: bool = False) -> dict[str, Any]:
+async def side(
+    root: Path, folder: Path, host: str, crew: int, release: bool, seed: int, calm: float = CALM_S, hints: bool = False
+) -> dict[str, Any]:
     """One version with so many proxies."""
     folder.mkdir(parents=True)
     swarm = Swarm(folder, host, settings_for(crew), root, hints)
@@ -104,11 +110,15 @@
         since = time.time()
         crowd.seed += 1
         await crowd.run(calm)
-        told = {"start_s": start, "refused": 1 - crowd.answers["200"] / crowd.answers.total(),
-                "cpu": (sum(p.resources()[0] for p in swarm.proxies.values()) - cpu) / crowd.answers.total(),
-                "dials": (sum(b.taken for b in swarm.fleet.servers.values()) - dials) / crowd.answers.total(),
-                "memory_mb": max(p.resources()[1] for p in swarm.proxies.values()),
-                "wrong": crowd.wrong, "times": arrivals(swarm, since, since + calm)}
+        told = {
+            "start_s": start,
+            "refused": 1 - crowd.answers["200"] / crowd.answers.total(),
+            "cpu": (sum(p.resources()[0] for p in swarm.proxies.values()) - cpu) / crowd.answers.total(),
+            "dials": (sum(b.taken for b in swarm.fleet.servers.values()) - dials) / crowd.answers.total(),
+            "memory_mb": max(p.resources()[1] for p in swarm.proxies.values()),
+            "wrong": crowd.wrong,
+            "times": arrivals(swarm, since, since + calm),
+        }
         told |= spread(told["times"], calm)
         if release:
             crowd.hot, since = 0.3, time.time()
@@ -129,28 +139,39 @@
     with tempfile.TemporaryDirectory(prefix="threadhill-spread-") as temporary:
         folder = Path(temporary)
         old = unpack(before, folder / "before")
-        by_crew = {crew: await side(ROOT, folder / f"now-{n}", f"127.0.{40 + n}.1", crew, crew == PROXIES, seed, long)
-                   for n, (crew, long) in enumerate(((3, 3.0), (40, 3.0), (PROXIES, CALM_S)))}
+        by_crew = {
+            crew: await side(ROOT, folder / f"now-{n}", f"127.0.{40 + n}.1", crew, crew == PROXIES, seed, long)
+            for n, (crew, long) in enumerate(((3, 3.0), (40, 3.0), (PROXIES, CALM_S)))
+        }
         few = await side(old, folder / "few", "127.0.44.1", 3, False, seed, 3.0)
         then = await side(old, folder / "then", "127.0.45.1", PROXIES, True, seed, 4.0)
         hinted = await side(ROOT, folder / "hinted", "127.0.46.1", PROXIES, True, seed, 6.0, True)
         now = by_crew[PROXIES]
         usual = chance(RATE, math.ceil(CALM_S), seed)
         return {
-            "refused_calm": now["refused"], "refused_calm_before": then["refused"],
+            "refused_calm": now["refused"],
+            "refused_calm_before": then["refused"],
             "refused_by_crew": {str(crew): told["refused"] for crew, told in by_crew.items()},
-            "busiest_over_mean": now["busiest"], "busiest_over_mean_before": then["busiest"],
+            "busiest_over_mean": now["busiest"],
+            "busiest_over_mean_before": then["busiest"],
             "worst_second_over_chance": now["worst_second"] / usual,
             "worst_second_over_chance_before": then["worst_second"] / usual,
-            "idle_over_2s": now["idle"], "idle_over_2s_before": then["idle"],
-            "release_peak_over_mean": now["release"], "release_peak_over_mean_before": then["release"],
+            "idle_over_2s": now["idle"],
+            "idle_over_2s_before": then["idle"],
+            "release_peak_over_mean": now["release"],
+            "release_peak_over_mean_before": then["release"],
             "pushed_over": now["pushed_over"],
-            "dials_per_request": now["dials"], "dials_per_request_before": then["dials"],
+            "dials_per_request": now["dials"],
+            "dials_per_request_before": then["dials"],
             "cpu_per_request_over_before": by_crew[3]["cpu"] / few["cpu"],
-            "evenness_with_hints": hinted["busiest"], "release_with_hints": hinted["release"],
-            "hint_bytes_per_s": hinted["hint_bytes"], "refused_with_hints": hinted["refused"],
-            "start_s": now["start_s"], "start_s_before": then["start_s"],
-            "memory_mb": now["memory_mb"], "double_answers": now["twice"] + then["twice"],
+            "evenness_with_hints": hinted["busiest"],
+            "release_with_hints": hinted["release"],
+            "hint_bytes_per_s": hinted["hint_bytes"],
+            "refused_with_hints": hinted["refused"],
+            "start_s": now["start_s"],
+            "start_s_before": then["start_s"],
+            "memory_mb": now["memory_mb"],
+            "double_answers": now["twice"] + then["twice"],
             "_times": {"before": then["release_times"], "now": now["release_times"]},
         }
 
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -55,8 +55,9 @@
 def hcl(rig: Rig) -> str:
     """The installation; both sides may tell clients to stay away for two seconds."""
     text = rig.make({str(n): True for n in range(BOXES)})
-    return text.replace("client_kb_per_s = 4000", "client_kb_per_s = 4000\n  back_off_ms = 2000", 1) \
-        + "".join(f'tenant "{name}" {{\n  zones = ["{name}.example"]\n}}\n' for name in ("calm", "wild"))
+    return text.replace("client_kb_per_s = 4000", "client_kb_per_s = 4000\n  back_off_ms = 2000", 1) + "".join(
+        f'tenant "{name}" {{\n  zones = ["{name}.example"]\n}}\n' for name in ("calm", "wild")
+    )
 
 
 async def start(folder: Path, host: str, overload: bool) -> Rig:
@@ -86,8 +87,11 @@
         players.outcomes.clear()
         whole = BEFORE_S + FAULT_S + AFTER_S
         began = time.time()
-        playing = asyncio.gather(players.run(whole), *(people.listen(n, whole) for n in range(LISTENERS)),
-                                 faults.play(box, faults.Fault("stop", BEFORE_S, FAULT_S, COLD_S)))
+        playing = asyncio.gather(
+            players.run(whole),
+            *(people.listen(n, whole) for n in range(LISTENERS)),
+            faults.play(box, faults.Fault("stop", BEFORE_S, FAULT_S, COLD_S)),
+        )
         await asyncio.sleep(BEFORE_S)
         players.rate = TIMES * CALM * ROOM
         await asyncio.sleep(FAULT_S)
@@ -121,12 +125,20 @@
     returned = sum(players.told.values())
     two = (BOXES - 1) / BOXES * ROOM
     goodput = sum(good[first + 1 : back]) / (back - first - 1) / two
-    return {"recover_s": float(well[0] - back) if well else AFTER_S, "goodput": goodput, "gaps": gaps,
-            "newcomers": newcomers, "pushed": pushed(box), "returned": returned, "told": dict(players.told),
-            "comeback": 1 - players.told["200"] / returned if returned else 0.0,
-            "served": sum(good[first:]) / max(1, sum(offered[first:])), "usual": usual,
-            "share": [round(s, 3) for s in share],
-            "tries": [round(t / max(1, o), 2) for t, o in zip(tries, offered, strict=True)]}
+    return {
+        "recover_s": float(well[0] - back) if well else AFTER_S,
+        "goodput": goodput,
+        "gaps": gaps,
+        "newcomers": newcomers,
+        "pushed": pushed(box),
+        "returned": returned,
+        "told": dict(players.told),
+        "comeback": 1 - players.told["200"] / returned if returned else 0.0,
+        "served": sum(good[first:]) / max(1, sum(offered[first:])),
+        "usual": usual,
+        "share": [round(s, 3) for s in share],
+        "tries": [round(t / max(1, o), 2) for t, o in zip(tries, offered, strict=True)],
+    }
 
 
 def pushed(box: Any) -> float:
@@ -200,7 +212,8 @@
 
     async def run(name: str) -> dict[str, Any]:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, __file__, "--side", name, "--seed", str(seed), stdout=asyncio.subprocess.PIPE)
+            sys.executable, __file__, "--side", name, "--seed", str(seed), stdout=asyncio.subprocess.PIPE
+        )
         out, _ = await process.communicate()
         if process.returncode:
             raise RuntimeError(f"the side {name} ended with {process.returncode}")
@@ -208,20 +221,30 @@
 
     found = dict(zip(SIDES, await asyncio.gather(*(run(name) for name in SIDES)), strict=True))
     on, off = found["on"], found["off"]
-    loss, loss_before = (100 * max(0.0, one["alone"] - one["beside"])
-                         for one in (found["tenants"], found["tenants-off"]))
+    loss, loss_before = (
+        100 * max(0.0, one["alone"] - one["beside"]) for one in (found["tenants"], found["tenants-off"])
+    )
     ratio, ratio_before = (one["gaps"] / max(one["newcomers"], 1e-3) for one in (on, off))
     figures = {
-        "recover_s": on["recover_s"], "recover_s_before": off["recover_s"],
-        "goodput_storm": on["goodput"], "goodput_storm_before": off["goodput"],
-        "gap_ratio": ratio, "gap_ratio_before": ratio_before,
-        "gaps": on["gaps"], "gaps_before": off["gaps"],
-        "pushed_over": int(on["pushed"] > 1), "cold_worst": on["pushed"],
+        "recover_s": on["recover_s"],
+        "recover_s_before": off["recover_s"],
+        "goodput_storm": on["goodput"],
+        "goodput_storm_before": off["goodput"],
+        "gap_ratio": ratio,
+        "gap_ratio_before": ratio_before,
+        "gaps": on["gaps"],
+        "gaps_before": off["gaps"],
+        "pushed_over": int(on["pushed"] > 1),
+        "cold_worst": on["pushed"],
         "double_answers": on["double"] + off["double"],
-        "other_tenant_loss": loss, "other_tenant_loss_before": loss_before,
-        "comeback_error": on["comeback"], "comeback_error_before": off["comeback"],
+        "other_tenant_loss": loss,
+        "other_tenant_loss_before": loss_before,
+        "comeback_error": on["comeback"],
+        "comeback_error_before": off["comeback"],
         "cpu_per_request_over_before": found["cpu-on"]["us"] / found["cpu-off"]["us"],
-        "served": on["served"], "served_before": off["served"]}
+        "served": on["served"],
+        "served_before": off["served"],
+    }
     return {name: round(value, 3) for name, value in figures.items()}, found
 
 
--- a/benchmarks/storm_ways.py
+++ b/benchmarks/storm_ways.py
@@ -148,8 +148,14 @@
 
 
 def way_of(name: str, seed: int) -> Way:
-    made = {"none": Way, "retry budget": RetryBudget, "gradient": Gradient, "codel": CoDel,
-            "client throttle": lambda: ClientThrottle(seed), "served rate and ranks": ServedRate}
+    made = {
+        "none": Way,
+        "retry budget": RetryBudget,
+        "gradient": Gradient,
+        "codel": CoDel,
+        "client throttle": lambda: ClientThrottle(seed),
+        "served rate and ranks": ServedRate,
+    }
     return made[name]()
 
 
@@ -208,9 +214,13 @@
     share = [good / max(1, asked) for asked, good in by]
     back = int(BEFORE + FAULT)
     well = [s for s in range(back, len(share) - 1) if min(share[s : s + 2]) >= 0.9]
-    return {"way": name, "queue": depth, "recover_s": well[0] - back if well else None,
-            "goodput_fault": round(sum(good for _, good in by[int(BEFORE) : back]) / FAULT / (ROOM * 2 / 3), 3),
-            "served_after": round(sum(g for _, g in by[back:]) / sum(a for a, _ in by[back:]), 3)}
+    return {
+        "way": name,
+        "queue": depth,
+        "recover_s": well[0] - back if well else None,
+        "goodput_fault": round(sum(good for _, good in by[int(BEFORE) : back]) / FAULT / (ROOM * 2 / 3), 3),
+        "served_after": round(sum(g for _, g in by[back:]) / sum(a for a, _ in by[back:]), 3),
+    }
 
 
 if __name__ == "__main__":
--- a/benchmarks/trio.py
+++ b/benchmarks/trio.py
@@ -28,8 +28,16 @@
     """`links` has a relay for each pair of members ("ab") and before each feed ("feed-a"); who dials whom follows from
     the order of their addresses, so each member has a file of its own."""
 
-    def __init__(self, data: Path, net: int, proxies: int = 2, boxes: int = 8, operator: str = "",
-                 lease_ms: int = 1_500, **settings: float) -> None:
+    def __init__(
+        self,
+        data: Path,
+        net: int,
+        proxies: int = 2,
+        boxes: int = 8,
+        operator: str = "",
+        lease_ms: int = 1_500,
+        **settings: float,
+    ) -> None:
         super().__init__(data, f"127.0.{net}.1", proxies, boxes, operator, **settings)
         self.hosts = dict(zip(NAMES, (f"127.0.{net}.5", f"127.0.{net + 1}.1", f"127.0.{net + 2}.1"), strict=True))
         self.lease_ms = lease_ms
@@ -49,11 +57,13 @@
         self.data.mkdir(parents=True, exist_ok=True)
         for dialled, dialler in ("ab", "ac", "bc"):
             relay = self.links[dialled + dialler] = Relay(
-                lambda name=dialled: (self.hosts[name], self.ports_of[name][0]), self.hosts[dialled])
+                lambda name=dialled: (self.hosts[name], self.ports_of[name][0]), self.hosts[dialled]
+            )
             await relay.start()
         for name in NAMES:
             relay = self.links[f"feed-{name}"] = Relay(
-                lambda name=name: (self.hosts[name], self.ports_of[name][2]), self.hosts[name])
+                lambda name=name: (self.hosts[name], self.ports_of[name][2]), self.hosts[name]
+            )
             await relay.start()
         self.write_secret()
         await asyncio.gather(*(self.start_member(name) for name in NAMES))
@@ -69,8 +79,10 @@
         for other in names:
             link = self.links.get(other + name)
             agree = f"{link.address[0]}:{link.address[1]}" if link is not None else self.at(other, 0)
-            rows.append(f'[[members]]\nname = "{other}"\nagree = "{agree}"\napi = "{self.at(other, 1)}"\n'
-                        f'feed = "{self.at(other, 2)}"')
+            rows.append(
+                f'[[members]]\nname = "{other}"\nagree = "{agree}"\napi = "{self.at(other, 1)}"\n'
+                f'feed = "{self.at(other, 2)}"'
+            )
         path = self.data / f"members-{name}.toml"
         path.write_text("\n".join(rows) + "\n")
         return path
@@ -78,9 +90,21 @@
     async def start_member(self, name: str, names: tuple[str, ...] = NAMES) -> None:
         log = (self.data / f"{name}.log").open("ab")
         self.members[name] = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "threadhill", "control", "--data", str(self.data / name), "--member", name,
-            "--members", str(self.file_of(name, names)), "--json", env=environment(THREADHILL_TOKEN=TOKEN),
-            start_new_session=True, stderr=log)
+            sys.executable,
+            "-m",
+            "threadhill",
+            "control",
+            "--data",
+            str(self.data / name),
+            "--member",
+            name,
+            "--members",
+            str(self.file_of(name, names)),
+            "--json",
+            env=environment(THREADHILL_TOKEN=TOKEN),
+            start_new_session=True,
+            stderr=log,
+        )
         log.close()
 
     def signal(self, name: str, signum: int) -> None:
@@ -149,5 +173,6 @@
     def resources(self, name: str) -> tuple[float, float]:
         """Processor seconds, and megabytes held."""
         fields = Path(f"/proc/{self.members[name].pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK"), \
-            int(fields[21]) * os.sysconf("SC_PAGE_SIZE") / 1e6
+        return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK"), int(fields[21]) * os.sysconf(
+            "SC_PAGE_SIZE"
+        ) / 1e6
--- a/tests/conformance/table.py
+++ b/tests/conformance/table.py
@@ -59,9 +59,11 @@
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     authority.configure_trust(context)
     plain, secure = await world.listens("dns"), await world.listens("dns tls")
-    return {"udp": lambda raw, wanted: over_udp(plain, raw, wanted),
-            "tcp": lambda raw, wanted: over_tcp(plain, raw, wanted),
-            "tls": lambda raw, wanted: over_tcp(secure, raw, wanted, context)}
+    return {
+        "udp": lambda raw, wanted: over_udp(plain, raw, wanted),
+        "tcp": lambda raw, wanted: over_tcp(plain, raw, wanted),
+        "tls": lambda raw, wanted: over_tcp(secure, raw, wanted, context),
+    }
 
 
 def read_reply(raw: bytes) -> dns.message.Message:
--- a/tests/conformance/test_dns.py
+++ b/tests/conformance/test_dns.py
@@ -46,8 +46,11 @@
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
-@given(st.sampled_from(QUERIES), st.lists(st.tuples(st.integers(0, 300), st.integers(0, 255)), max_size=4),
-       st.binary(max_size=40))
+@given(
+    st.sampled_from(QUERIES),
+    st.lists(st.tuples(st.integers(0, 300), st.integers(0, 255)), max_size=4),
+    st.binary(max_size=40),
+)
 def test_no_bytes_are_more_than_an_error(raw: bytes, changes: list[tuple[int, int]], more: bytes) -> None:
     data = bytearray(raw + more)
     for at, value in changes:
@@ -57,8 +60,13 @@
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(st.lists(st.lists(st.sampled_from(["a", "b", "route", "example", "x" * 60]), min_size=1, max_size=4),
-                min_size=1, max_size=8))
+@given(
+    st.lists(
+        st.lists(st.sampled_from(["a", "b", "route", "example", "x" * 60]), min_size=1, max_size=4),
+        min_size=1,
+        max_size=8,
+    )
+)
 def test_compressed_names_come_back_whole(names: list[list[str]]) -> None:
     query = message.read_query(ask().to_wire())
     records = [Record(message.Type.NS, (tuple(name),), tuple(name)) for name in names]
@@ -75,7 +83,7 @@
     question = QUERIES[0][12:]
     many = bytes_of((1, 0, 0, 300), question + b"\0\xff\xf0\0\1\0\0\0\0\0\0" * 300)
     chain = b"\x01a\0" + b"".join((0xC000 | at).to_bytes(2, "big") for at in (12, *range(15, 8_000, 2)))
-    deep = bytes_of((1, 0, 0, 1), chain[: 4_000])
+    deep = bytes_of((1, 0, 0, 1), chain[:4_000])
     began = time.perf_counter()
     for _ in range(200):
         for data in (many, bytes_of((1, 0, 0, 0), b"\0" * 65_000), deep):
--- a/tests/faults/test_beyond.py
+++ b/tests/faults/test_beyond.py
@@ -79,8 +79,11 @@
         for box in w.boxes:
             box.behave = silent
         client = await w.client()
-        tags = [client.ask(cls, budget=deadline_ms, obj=f"{n:016x}", token=f"{n:08x}")
-                for n in range(10) for cls in ("art-pages", "license-buy")]
+        tags = [
+            client.ask(cls, budget=deadline_ms, obj=f"{n:016x}", token=f"{n:08x}")
+            for n in range(10)
+            for cls in ("art-pages", "license-buy")
+        ]
         await until(lambda: len(w.asked()) >= 10, "requests to be sent on")
         began = time.monotonic()
         w.process.send_signal(signal.SIGTERM)
--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -15,8 +15,18 @@
 from tests.world import OBJECT, SETTINGS, Box, Journal, until
 
 OWN_SHORTAGE = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
-ACCEPT_ERRORS = [*OWN_SHORTAGE, errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.ENETDOWN, errno.EHOSTUNREACH,
-                 errno.ENETUNREACH, errno.EOPNOTSUPP, errno.ETIMEDOUT, errno.EINTR]
+ACCEPT_ERRORS = [
+    *OWN_SHORTAGE,
+    errno.ECONNABORTED,
+    errno.EPROTO,
+    errno.EPERM,
+    errno.ENETDOWN,
+    errno.EHOSTUNREACH,
+    errno.ENETUNREACH,
+    errno.EOPNOTSUPP,
+    errno.ETIMEDOUT,
+    errno.EINTR,
+]
 PATIENT = {"limits": SETTINGS["limits"] | {"connect-timeout": 20_000_000}}
 
 
@@ -35,10 +45,10 @@
     play(tmp_path, scene)
 
 
-@pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ECONNABORTED, errno.EPROTO],
-                         ids=lambda error: errno.errorcode[error])
-def test_who_waits_in_the_queue_is_answered_though_accept_fails_as_the_door_shuts(
-        tmp_path: Path, error: int) -> None:
+@pytest.mark.parametrize(
+    "error", [errno.EMFILE, errno.ENFILE, errno.ECONNABORTED, errno.EPROTO], ids=lambda error: errno.errorcode[error]
+)
+def test_who_waits_in_the_queue_is_answered_though_accept_fails_as_the_door_shuts(tmp_path: Path, error: int) -> None:
     """The machine has accepted them: what they ask counts as taken. The calls fail until the door is being shut."""
 
     async def scene(w: FaultWorld) -> None:
@@ -56,8 +66,11 @@
 
 
 @pytest.mark.parametrize("call", ["socket", "connect"])
-@pytest.mark.parametrize("error", [*OWN_SHORTAGE, errno.EADDRNOTAVAIL, errno.EAGAIN],
-                         ids=names([*OWN_SHORTAGE, errno.EADDRNOTAVAIL, errno.EAGAIN]))
+@pytest.mark.parametrize(
+    "error",
+    [*OWN_SHORTAGE, errno.EADDRNOTAVAIL, errno.EAGAIN],
+    ids=names([*OWN_SHORTAGE, errno.EADDRNOTAVAIL, errno.EAGAIN]),
+)
 def test_a_shortage_of_this_machine_is_not_held_against_servers(tmp_path: Path, call: str, error: int) -> None:
     """While no connection can be made, requests are refused at once. Right after it all servers are used again."""
 
@@ -77,8 +90,9 @@
     play(tmp_path, scene, management=True)
 
 
-@pytest.mark.parametrize("error", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET],
-                         ids=lambda error: errno.errorcode[error])
+@pytest.mark.parametrize(
+    "error", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET], ids=lambda error: errno.errorcode[error]
+)
 def test_a_connection_to_a_server_that_breaks_costs_a_read_nothing(tmp_path: Path, error: int) -> None:
     async def scene(w: FaultWorld) -> None:
         def late(ask: dict[str, str]) -> None:
--- a/tests/faults/test_control_clock.py
+++ b/tests/faults/test_control_clock.py
@@ -20,7 +20,8 @@
 
 @pytest.mark.parametrize("step", [-HOUR_NS, HOUR_NS])
 def test_time_goes_on_after_a_restart_with_the_wall_clock_stepped(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: int) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: int
+) -> None:
     """Guards against a drain that counts as over, or a server as warm, because the clock was set ahead."""
     first = continued_clock(tmp_path, print, boot(tmp_path, "a"))
     real = time.time_ns
--- a/tests/faults/test_cordons.py
+++ b/tests/faults/test_cordons.py
@@ -13,8 +13,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
-def test_a_cordon_that_cannot_be_written_holds_and_is_written_once_the_disk_is_back(
-        tmp_path: Path, error: int) -> None:
+def test_a_cordon_that_cannot_be_written_holds_and_is_written_once_the_disk_is_back(tmp_path: Path, error: int) -> None:
     """Guards against a yes that a process which starts later knows nothing of."""
 
     async def scene(w: FaultWorld) -> None:
--- a/tests/faults/test_discovery.py
+++ b/tests/faults/test_discovery.py
@@ -16,7 +16,8 @@
 
 @pytest.mark.parametrize("stamp", [-1, 0, 2**63, 10**30, 1.5, "soon", None, True, 999])
 def test_a_purge_with_a_stamp_that_is_no_time_counts_from_now_and_nothing_else_is_lost(
-        tmp_path: Path, stamp: Any) -> None:
+    tmp_path: Path, stamp: Any
+) -> None:
     async def scene(w: FaultWorld) -> None:
         hold(w.boxes, unix_ms() - 400)
         w.journal.add({"expire": {"name": OBJECT, "stamp": stamp}})
--- a/tests/faults/test_purge_numbers.py
+++ b/tests/faults/test_purge_numbers.py
@@ -47,7 +47,8 @@
 @pytest.mark.parametrize("form", list(Heartbeat))
 @pytest.mark.parametrize("connection", ["after a silence", "after a restart"])
 def test_a_heartbeat_ahead_of_its_events_does_not_stand_for_them(
-        tmp_path: Path, connection: str, form: Heartbeat, missed: int) -> None:
+    tmp_path: Path, connection: str, form: Heartbeat, missed: int
+) -> None:
     async def scene(w: FaultWorld) -> None:
         hold(w.boxes, unix_ms() - 400)
         w.journal.heartbeat, w.journal.heartbeat_first = form, True
--- a/tests/faults/test_purged_copies.py
+++ b/tests/faults/test_purged_copies.py
@@ -53,10 +53,13 @@
 
 
 @pytest.mark.parametrize("restarted", [False, True])
-@pytest.mark.parametrize("first, second", [
-    ({"name": OBJECT}, {"name": OBJECT}), ({"set": GROUP}, {"set": GROUP}), ({"name": OBJECT}, {"set": GROUP})])
+@pytest.mark.parametrize(
+    "first, second",
+    [({"name": OBJECT}, {"name": OBJECT}), ({"set": GROUP}, {"set": GROUP}), ({"name": OBJECT}, {"set": GROUP})],
+)
 def test_a_second_purge_while_an_answer_is_out_does_not_hide_the_first(
-        tmp_path: Path, first: dict[str, object], second: dict[str, object], restarted: bool) -> None:
+    tmp_path: Path, first: dict[str, object], second: dict[str, object], restarted: bool
+) -> None:
     async def scene(w: FaultWorld) -> None:
         fill = FillUnderWay(w)
         born = unix_ms() - 400
@@ -172,4 +175,3 @@
     freshness.purge(OBJECT, PurgeRecord(now, now - SECOND, 50 * SECOND))
     assert freshness.is_purged(OBJECT, GROUP, now - SECOND // 2, 49 * SECOND, now)
     assert not freshness.is_purged(OBJECT, GROUP, now - 2 * SECOND, 49 * SECOND, now)
-
--- a/tests/faults/test_purges.py
+++ b/tests/faults/test_purges.py
@@ -33,8 +33,7 @@
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("moment", ["before the start", "between kill and restart", "while it runs"])
-def test_no_copy_older_than_a_purge_is_served_with_the_clock_stepped(
-        tmp_path: Path, moment: str, step: float) -> None:
+def test_no_copy_older_than_a_purge_is_served_with_the_clock_stepped(tmp_path: Path, moment: str, step: float) -> None:
     """Guards against a purge that is aged by a wall clock that is ahead: `oldest` would let copies from before it pass,
     or not be sent at all."""
 
--- a/tests/faults/test_stamps.py
+++ b/tests/faults/test_stamps.py
@@ -35,7 +35,8 @@
 @settings(max_examples=300, deadline=None)
 @given(st.lists(st.tuples(waits, delays, steps), min_size=1, max_size=12), waits)
 def test_no_age_is_above_the_true_one_however_the_wall_clock_is_stepped(
-        events: list[tuple[int, int, int]], later: int) -> None:
+    events: list[tuple[int, int, int]], later: int
+) -> None:
     clocks = Clocks()
     ages = clocks.ages()
     for wait, delay, off in events:
--- a/tests/script.py
+++ b/tests/script.py
@@ -69,8 +69,13 @@
 class Script:
     """One router under a clock that only the script moves."""
 
-    def __init__(self, settings: api.Settings = SETTINGS, entries: list[api.Entry] | None = None,
-                 seed: int = 7, now: int = 1000 * SECOND) -> None:
+    def __init__(
+        self,
+        settings: api.Settings = SETTINGS,
+        entries: list[api.Entry] | None = None,
+        seed: int = 7,
+        now: int = 1000 * SECOND,
+    ) -> None:
         self.now = now
         self.router = Router(settings, seed)
         self.started = self.router.start(now)
@@ -93,8 +98,9 @@
         event = api.Request(f"q{self.asked}", cls, name, left, **more)
         return [a for a in self.give(event) if not isinstance(a, api.SetTimer)]
 
-    def end(self, sent: api.Fetch, outcome: api.Outcome = api.Outcome.SERVED, attempt: int = 0,
-            **more: object) -> list[api.Action]:
+    def end(
+        self, sent: api.Fetch, outcome: api.Outcome = api.Outcome.SERVED, attempt: int = 0, **more: object
+    ) -> list[api.Action]:
         more.setdefault("closed", outcome is api.Outcome.SERVED)
         more.setdefault("took", 50 * MS)
         return self.give(api.AttemptEnded(sent.id, attempt, sent.server, outcome, **more))
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -39,8 +39,9 @@
 
 
 def command(*words: str) -> str:
-    return subprocess.run([sys.executable, "-m", "threadhill", *words], cwd=ROOT, capture_output=True, text=True,
-                          check=True).stdout.strip()
+    return subprocess.run(
+        [sys.executable, "-m", "threadhill", *words], cwd=ROOT, capture_output=True, text=True, check=True
+    ).stdout.strip()
 
 
 def test_keys_are_known_while_they_are_good_and_by_nothing_else() -> None:
@@ -114,8 +115,9 @@
 
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(st.integers(0, 5), st.sampled_from(["alter", "drop", "swap", "double", "put in"]), st.integers(0, 10**6))
-def test_every_change_of_the_log_shows(tmp_path_factory: pytest.TempPathFactory, place: int, how: str,
-                                       pick: int) -> None:
+def test_every_change_of_the_log_shows(
+    tmp_path_factory: pytest.TempPathFactory, place: int, how: str, pick: int
+) -> None:
     path = tmp_path_factory.mktemp("audit") / "log"
     lines = written(path, 7)
     if how == "alter":
@@ -157,8 +159,11 @@
         async def call(key: str, method: str, path: str, body: Any = None) -> int:
             raw = b"" if body is None else json.dumps(body).encode()
             come, go = await asyncio.open_connection("127.0.0.1", port)
-            go.write(f"{method} {path} HTTP/1.1\r\nAuthorization: Bearer {key}\r\nConnection: close\r\n"
-                     f"Content-Length: {len(raw)}\r\n\r\n".encode() + raw)
+            go.write(
+                f"{method} {path} HTTP/1.1\r\nAuthorization: Bearer {key}\r\nConnection: close\r\n"
+                f"Content-Length: {len(raw)}\r\n\r\n".encode()
+                + raw
+            )
             answer = await come.read()
             go.close()
             return int(answer.split(b" ", 2)[1])
@@ -185,7 +190,11 @@
         await until(lambda: audit.verify(tmp_path / "audit.log")[0] >= 7, "the audit log")
         done = [json.loads(json.loads(line)["body"]) for line in (tmp_path / "audit.log").read_text().splitlines()]
         assert [(d["did"], d["outcome"]) for d in done if d["who"] == f"key {tenant.split('_')[1]}"] == [
-            (f"PUT {acme}", 200), (f"PUT {acme}", 403), (f"PUT {beta}", 403), (f"DELETE {acme}", 403)]
+            (f"PUT {acme}", 200),
+            (f"PUT {acme}", 403),
+            (f"PUT {beta}", 403),
+            (f"DELETE {acme}", 403),
+        ]
         assert any(d["did"] == "authorize" and d["outcome"] == 401 for d in done)
         assert tenant not in (tmp_path / "audit.log").read_text() and tenant not in Path(file).read_text()
         assert "hold together" in await run(None, command, "audit", "verify", str(tmp_path / "audit.log"))
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -39,11 +39,18 @@
         writer.close()
         return answer
 
-    async def __call__(self, method: str, path: str, body: Any = None, token: str = TOKEN,
-                       **headers: str) -> tuple[int, Any]:
+    async def __call__(
+        self, method: str, path: str, body: Any = None, token: str = TOKEN, **headers: str
+    ) -> tuple[int, Any]:
         raw = b"" if body is None else body if isinstance(body, bytes) else json.dumps(body).encode()
-        lines = [f"{method} {path} HTTP/1.1", "Host: x", f"Content-Length: {len(raw)}", "Connection: close",
-                 f"Authorization: Bearer {token}", *(f"{k.replace('_', '-')}: {v}" for k, v in headers.items())]
+        lines = [
+            f"{method} {path} HTTP/1.1",
+            "Host: x",
+            f"Content-Length: {len(raw)}",
+            "Connection: close",
+            f"Authorization: Bearer {token}",
+            *(f"{k.replace('_', '-')}: {v}" for k, v in headers.items()),
+        ]
         head, _, answer = (await self.raw("\r\n".join(lines).encode() + b"\r\n\r\n" + raw)).partition(b"\r\n\r\n")
         assert b"application/json" in head
         return int(head.split()[1]), json.loads(answer)
@@ -51,8 +58,18 @@
     async def run(self, *words: str) -> tuple[int, str, str]:
         """The command line, against this API."""
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "threadhill", *words, "--admin", f"127.0.0.1:{self.port}", "--token", TOKEN,
-            cwd=ROOT, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "threadhill",
+            *words,
+            "--admin",
+            f"127.0.0.1:{self.port}",
+            "--token",
+            TOKEN,
+            cwd=ROOT,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+        )
         out, err = await process.communicate()
         return process.returncode, out.decode(), err.decode()
 
@@ -84,24 +101,48 @@
 
 def test_every_fault_is_told_as_json_and_nothing_is_changed(tmp_path: Path) -> None:
     async def scene(w: World, api: Admin) -> None:
-        bad = [{"name": "ok"}, {"name": "Bad!"}, {"name": "q", "quota": -1}, {"name": "z", "zones": ["a..b"]},
-               {"name": "box"}, {"name": "ok"}, 7, {"name": "k", "colour": 1}]
+        bad = [
+            {"name": "ok"},
+            {"name": "Bad!"},
+            {"name": "q", "quota": -1},
+            {"name": "z", "zones": ["a..b"]},
+            {"name": "box"},
+            {"name": "ok"},
+            7,
+            {"name": "k", "colour": 1},
+        ]
         status, answer = await api("POST", "/v1/apply", {"version": 1, "tenants": bad})
         assert (status, answer["error"]["code"]) == (422, "invalid")
         assert [fault["at"] for fault in answer["error"]["faults"]] == [
-            "tenants[1].name", "tenants[2].quota", "tenants[3].zones[0]", "tenants[4].name", "tenants[5].name",
-            "tenants[6]", "tenants[7].colour"]
-        for call, code in ((("GET", "/v2/state"), 404), (("GET", "/v1/nothing"), 404), (("POST", "/v1/state"), 405),
-                           (("POST", "/v1/apply", b"{"), 400), (("POST", "/v1/apply", []), 422),
-                           (("PUT", "/v1/tenants/a", {"name": "b"}), 422), (("DELETE", "/v1/tenants/a"), 404)):
+            "tenants[1].name",
+            "tenants[2].quota",
+            "tenants[3].zones[0]",
+            "tenants[4].name",
+            "tenants[5].name",
+            "tenants[6]",
+            "tenants[7].colour",
+        ]
+        for call, code in (
+            (("GET", "/v2/state"), 404),
+            (("GET", "/v1/nothing"), 404),
+            (("POST", "/v1/state"), 405),
+            (("POST", "/v1/apply", b"{"), 400),
+            (("POST", "/v1/apply", []), 422),
+            (("PUT", "/v1/tenants/a", {"name": "b"}), 422),
+            (("DELETE", "/v1/tenants/a"), 404),
+        ):
             assert (await api(*call))[0] == code, call
         for token in ("", "wrong", TOKEN + "x"):
             assert (await api("GET", "/v1/state", token=token))[0] == 401
         assert (await api("GET", "/v1/state"))[1] == {"version": 1, "tenants": [ACME]}
-        for raw, code in ((b"nonsense\r\n\r\n", b"400"), (b"GET / HTTP/3\r\n\r\n", b"505"), (b"x" * 9_000, b"431"),
-                          (b"PUT / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", b"413"),
-                          (b"PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", b"501"),
-                          (b"PUT / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", b"400")):
+        for raw, code in (
+            (b"nonsense\r\n\r\n", b"400"),
+            (b"GET / HTTP/3\r\n\r\n", b"505"),
+            (b"x" * 9_000, b"431"),
+            (b"PUT / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", b"413"),
+            (b"PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", b"501"),
+            (b"PUT / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", b"400"),
+        ):
             assert (await api.raw(raw)).split()[1] == code, raw
 
     play(tmp_path, scene)
@@ -110,8 +151,10 @@
 def test_a_plan_is_applied_once_and_only_to_the_state_it_was_made_for(tmp_path: Path) -> None:
     async def scene(w: World, api: Admin) -> None:
         file = tmp_path / "tenants.toml"
-        file.write_text('[[tenants]]\nname = "acme"\nzones = ["route.example"]\nquota = 9\n'
-                        '[[tenants]]\nname = "beta"\nzones = ["b.example"]\n')
+        file.write_text(
+            '[[tenants]]\nname = "acme"\nzones = ["route.example"]\nquota = 9\n'
+            '[[tenants]]\nname = "beta"\nzones = ["b.example"]\n'
+        )
         code, out, _ = await api.run("plan", str(file))
         assert code == 0 and "~ tenant acme\n    quota: 5.0 -> 9.0\n+ tenant beta" in out
         assert "1 to add, 0 to remove, 1 to change; state version 1" in out
@@ -121,7 +164,10 @@
         assert code == 2 and "conflict" in err
         code, out, _ = await api.run("apply", str(file), "--on", "2", "--json")
         assert code == 0 and [(s["step"], s["name"]) for s in json.loads(out)["steps"]] == [
-            ("change", "acme"), ("add", "beta"), ("remove", "other")]
+            ("change", "acme"),
+            ("add", "beta"),
+            ("remove", "other"),
+        ]
         for more in ((), ("--on", "2")):  # again, also with the version of an answer that was lost
             code, out, _ = await api.run("apply", str(file), *more)
             assert code == 0 and "0 to add, 0 to remove, 0 to change; state version 3" in out
@@ -179,9 +225,12 @@
 
 def test_a_bad_operators_file_ends_the_start_with_a_message(tmp_path: Path) -> None:
     async def scene() -> None:
-        for text, said in (('[dsn]\n', "dsn: no such key"), ('[admin]\nlisten = "10.0.0.1:1"\ntoken_env = "TOKEN"\n',
-                           "loopback"), ('[admin]\nlisten = "127.0.0.1:0"\ntoken_env = "NONE"\n', "token"),
-                           ('[[tenants]]\nname = "X"\n', "tenants[0].name")):
+        for text, said in (
+            ("[dsn]\n", "dsn: no such key"),
+            ('[admin]\nlisten = "10.0.0.1:1"\ntoken_env = "TOKEN"\n', "loopback"),
+            ('[admin]\nlisten = "127.0.0.1:0"\ntoken_env = "NONE"\n', "token"),
+            ('[[tenants]]\nname = "X"\n', "tenants[0].name"),
+        ):
             world = World(tmp_path, operator=text)
             starting = asyncio.ensure_future(world.__aenter__())
             await until(lambda world=world: getattr(world, "process", None), "the process")
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -679,8 +679,7 @@
     room that one parent of three locations has."""
     routers = 2 * locations
     zones = ("hub", "here", *(f"z{n}" for n in range(2, locations + 1)))
-    settings = replace(SETTINGS, tells=api.Tells.NONE, routers=routers, zones=zones,
-                       zone_routers=(0, *[2] * locations))
+    settings = replace(SETTINGS, tells=api.Tells.NONE, routers=routers, zones=zones, zone_routers=(0, *[2] * locations))
     entries = fleet(parents=range(101, 101 + parents))
     source = 101 if parents else ORIGIN
     fills = 0
@@ -758,6 +757,7 @@
 
 def test_what_all_see_at_once_brings_them_back_at_different_times() -> None:
     """Guards against a fleet that comes back in one instant; equal seeds and events still give equal decisions."""
+
     def times(seed: int) -> tuple[int, int]:
         script = Script(replace(SETTINGS, tells=api.Tells.NONE), seed=seed)
         server = script.router.fleet.servers[11]
@@ -943,7 +943,8 @@
                 script.serve(f"o{n}")
             script.wait(SECOND)
     assert [one.serve("film", "parts", part=n).server for n in range(12)] == [
-        two.serve("film", "parts", part=n).server for n in range(12)]
+        two.serve("film", "parts", part=n).server for n in range(12)
+    ]
 
 
 def test_no_copies_are_added_while_the_link_is_full() -> None:
@@ -1006,9 +1007,10 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None, database=None)
 @given(
-    st.lists(st.tuples(st.sampled_from(["ask", "end", "list", "wait", "purge"]), st.integers(0, 10_000)),
-             max_size=120),
-    st.booleans(), st.booleans(), st.sampled_from(list(api.Tells)),
+    st.lists(st.tuples(st.sampled_from(["ask", "end", "list", "wait", "purge"]), st.integers(0, 10_000)), max_size=120),
+    st.booleans(),
+    st.booleans(),
+    st.sampled_from(list(api.Tells)),
 )
 def test_any_order_of_events_keeps_answers_single_and_attempts_alone(
     steps: list[tuple[str, int]], direct: bool, joins: bool, tells: api.Tells
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -81,8 +81,16 @@
                 assert self.events.setdefault(pos, line) == line, f"event {pos} was told as two things"
                 self.applied[name] = pos
             config = record.attrs["config"] if record else "none"
-            self.ledger.members.report({"proxy": name, "applied": self.applied.get(name, 0), "config": config,
-                                        "up": [], "down": self.down.get(name, [])}, self.now)
+            self.ledger.members.report(
+                {
+                    "proxy": name,
+                    "applied": self.applied.get(name, 0),
+                    "config": config,
+                    "up": [],
+                    "down": self.down.get(name, []),
+                },
+                self.now,
+            )
 
     def plan(self, text: str = BASE, **given: object) -> dict:
         wanted = read(text, **given)
@@ -115,6 +123,7 @@
 
 # --- kills
 
+
 def test_killed_at_every_commit_the_next_plan_is_true_and_no_step_takes_effect_twice(tmp_path: Path) -> None:
     changed = BASE.replace('tenant "agencies"', 'tenant "brokers"').replace("size    = 8", "size    = 9")
     reference = Plane(tmp_path / "reference", store=Fragile)
@@ -189,6 +198,7 @@
 
 # --- leases, conflicts, saved plans
 
+
 def refused(code: str, call: Callable[..., object], *words: object) -> None:
     with pytest.raises(Refused) as caught:
         call(*words)
@@ -234,7 +244,9 @@
     plane.finish(plane.begin(plane.plan(boxes=5)))
     back = saved.resources_of(plane.store.version(2).wanted)
     assert {s.id for s in planner.plan(back, plane.ledger.fleet.records.values()).steps} == {
-        "drain box.costa-4", "remove box.costa-4"}
+        "drain box.costa-4",
+        "remove box.costa-4",
+    }
 
 
 def test_an_abandoned_apply_leaves_a_state_that_a_plan_tells_truly(tmp_path: Path) -> None:
@@ -251,6 +263,7 @@
 
 # --- proxies that are silent, restarted, cut off, ahead; servers that go by themselves
 
+
 def test_a_step_waits_for_each_live_proxy_and_says_whom_it_did_not_wait_for(tmp_path: Path) -> None:
     plane = Plane(tmp_path)
     plane.apply(boxes=4)
@@ -334,7 +347,9 @@
     plane = Plane(tmp_path)
     plane.apply(BASE.replace("fills_from = values(parent.upper)", 'fills_from = [parent.upper["a"]]'), boxes=1)
     start, end = BASE.index('parent "upper"'), BASE.index('proxy "p"')
-    after = BASE[:start] + """
+    after = (
+        BASE[:start]
+        + """
 parent "fresh" {
   hub     = hub.sierra
   address = "127.0.0.1:19001"
@@ -343,10 +358,14 @@
   node    = node.costa-1
   address = "127.0.0.1:19020"
 }
-""" + BASE[end:]
+"""
+        + BASE[end:]
+    )
     assert plane.apply(after)["state"] == "done"
     assert {r.id for r in plane.ledger.fleet.records.values() if r.kind in ("box", "parent")} == {
-        "box.nova", "parent.fresh"}
+        "box.nova",
+        "parent.fresh",
+    }
 
 
 def test_a_box_comes_at_the_address_of_one_just_removed(tmp_path: Path) -> None:
@@ -398,6 +417,7 @@
 
 # --- stores that are full, damaged or newer
 
+
 def test_a_full_disk_is_told_and_nothing_is_lost(tmp_path: Path) -> None:
     plane = Plane(tmp_path)
     plane.apply()
@@ -422,20 +442,29 @@
     plane = Plane(tmp_path)
     plane.apply()
     plane.store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-    good = ({r.id: r for r in plane.store.records()}, plane.store.events(0, 999), plane.store.meta(),
-            plane.store.version(1))
+    good = (
+        {r.id: r for r in plane.store.records()},
+        plane.store.events(0, 999),
+        plane.store.meta(),
+        plane.store.version(1),
+    )
     plane.store.close()
     path, whole = tmp_path / sqlite.NAME, (tmp_path / sqlite.NAME).read_bytes()
     sqlite.take_snapshot(tmp_path, tmp_path / "good")
-    for broken in (whole[: len(whole) // 2], whole[:100], b"", b"not a database" * 500,
-                   whole[:8_192] + os.urandom(8_192) + whole[16_384:]):
+    for broken in (
+        whole[: len(whole) // 2],
+        whole[:100],
+        b"",
+        b"not a database" * 500,
+        whole[:8_192] + os.urandom(8_192) + whole[16_384:],
+    ):
         path.write_bytes(broken)
         with pytest.raises(Damaged, match="state restore"):
             Sqlite(tmp_path)
         assert path.read_bytes() == broken  # nothing was written over it
     told = harmless = 0
     for at in range(70, len(whole), 239):  # one byte changed: it is told, or it held nothing
-        path.write_bytes(whole[:at] + bytes([whole[at] ^ 0x55]) + whole[at + 1:])
+        path.write_bytes(whole[:at] + bytes([whole[at] ^ 0x55]) + whole[at + 1 :])
         for extra in ("-wal", "-shm"):
             path.with_name(path.name + extra).unlink(missing_ok=True)
         try:
@@ -486,6 +515,7 @@
 
 # --- whole, on loopback
 
+
 def test_thirty_drains_under_load_reach_nobody_after_a_quarter_of_a_second(tmp_path: Path) -> None:
     found = asyncio.run(plan_apply.drains(tmp_path / "rig", 3, 60, 30))
     assert found["drains"] >= 30 and found["drain_late"] == 0 and found["drain_served"] > 0.9
@@ -592,6 +622,7 @@
 def test_the_command_line_tells_faults_and_codes(tmp_path: Path) -> None:
     async def scene() -> None:
         async with Rig(tmp_path, "127.0.35.1", proxies=0, silent_s=1) as rig:
+
             async def run(*words: str) -> tuple[int, str, str]:
                 process = await rig.command(*words)
                 out, err = await process.communicate()
@@ -600,8 +631,13 @@
 
             async def alone(*words: str) -> tuple[int, str]:
                 process = await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "threadhill", *words,
-                    stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT)
+                    sys.executable,
+                    "-m",
+                    "threadhill",
+                    *words,
+                    stdout=asyncio.subprocess.PIPE,
+                    stderr=asyncio.subprocess.STDOUT,
+                )
                 return (await process.wait()), (await process.stdout.read()).decode()
 
             file, out = tmp_path / "a.hcl", tmp_path / "saved.plan"
@@ -616,10 +652,10 @@
             code, told, _ = await run("plan", str(file), "--out", str(out), "--json", "--no-forecast")
             assert code == 2 and json.loads(told)["digest"] == json.loads(out.read_text())["digest"]
             mix = tmp_path / "mix"
-            mix.write_text('rate = 20\nclasses = { nobody = 1 }\n')
+            mix.write_text("rate = 20\nclasses = { nobody = 1 }\n")
             code, _, err = await run("plan", str(file), "--mix", str(mix))
             assert code == 1 and "classes: must be a map of some of clip-parts, art-pages" in err
-            mix.write_text('rate = 20\nclasses = { clip-parts = 1 }\n')
+            mix.write_text("rate = 20\nclasses = { clip-parts = 1 }\n")
             code, told, _ = await run("plan", str(file), "--mix", str(mix))
             assert code == 2 and "clip-parts" in told and "art-pages" not in told and "0.0 -> 100.0" in told
             assert (await run("apply", str(out), "--why", "first"))[0] == 0
@@ -635,9 +671,11 @@
             assert (await run("plan", "--to", "1"))[0] == 0 and (await run("show", "9"))[0] == 1
             code, told = await alone("plan", str(file), "--control", rig.api, "--token", "wrong" * 8)
             assert code == 1 and "unauthorized" in told
-            for words in (("control", "--data", str(tmp_path), "--token", "t" * 20),
-                          ("control", "--data", str(tmp_path / "new"), "--token", "short"),
-                          ("control", "--data", str(tmp_path / "new"), "--token", "t" * 20, "--api", "10.0.0.1:1")):
+            for words in (
+                ("control", "--data", str(tmp_path), "--token", "t" * 20),
+                ("control", "--data", str(tmp_path / "new"), "--token", "short"),
+                ("control", "--data", str(tmp_path / "new"), "--token", "t" * 20, "--api", "10.0.0.1:1"),
+            ):
                 code, told = await alone(*words)
                 assert code == 1 and "Traceback" not in told and told.startswith("threadhill: ")
 
@@ -689,9 +727,11 @@
 
 # --- a control plane that lost its state
 
+
 @pytest.mark.parametrize("loss", ["older", "empty", "damaged"])
-def test_a_control_plane_that_lost_its_state_tells_no_older_world_and_adopts_what_proxies_hold(tmp_path: Path,
-                                                                                              loss: str) -> None:
+def test_a_control_plane_that_lost_its_state_tells_no_older_world_and_adopts_what_proxies_hold(
+    tmp_path: Path, loss: str
+) -> None:
     """A box drained and one came since the snapshot. The store is replaced by that, is empty, or damaged; the proxies
     go on with what they know until an operator takes the proposal, and then numbers go on behind theirs."""
 
@@ -736,7 +776,10 @@
             assert {p.name: p.read_bytes() for p in (data / "proxies").iterdir()} == files
             findings = {f["id"]: f for f in status["proposal"]["findings"]}
             assert {n for n, f in findings.items() if f["state"] == "certain" and n.startswith("box.")} == {
-                "box.b-0", "box.b-1", "box.b-3"}
+                "box.b-0",
+                "box.b-1",
+                "box.b-3",
+            }
             assert findings.get("box.b-2", {}).get("state") == (None if loss == "empty" else "missing")
             assert status["proposal"]["pos"] == seen + 1
             shown = await rig.command("recovery", "adopt")
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -35,8 +35,13 @@
         w.process.kill()  # the world's own process gives way to the deploy file's
         await w.process.wait()
         w.process = await asyncio.create_subprocess_exec(
-            "/bin/sh", "-c", DEPLOY["run"], cwd=ROOT, stderr=asyncio.subprocess.PIPE,
-            env=os.environ | {"LB_CONFIG": str(w.folder / "config.json"), "TMPDIR": str(w.folder)})
+            "/bin/sh",
+            "-c",
+            DEPLOY["run"],
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            env=os.environ | {"LB_CONFIG": str(w.folder / "config.json"), "TMPDIR": str(w.folder)},
+        )
         w.log = ""
         w.reading = asyncio.ensure_future(w._read_log())
         w.port = await w.listens("n0")
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -20,18 +20,40 @@
 # Three hubs and a branch; the class that runs at the origin first, with no key; notes told, sizes not.
 CLASSES = [
     {"deadline": 3_000_000, "name": "record-request", "objective": 800_000, "repeat": "non_idempotent", "value": 3.0},
-    {"aim-stretch": 2.0, "deadline": 3_000_000, "name": "small-record", "objective": 300_000, "repeat": "read_like",
-     "value": 1.0},
-    {"aim-stretch": 2.0, "deadline": 6_000_000, "name": "big-record", "objective": 500_000, "repeat": "read_like",
-     "value": 2.0}]
+    {
+        "aim-stretch": 2.0,
+        "deadline": 3_000_000,
+        "name": "small-record",
+        "objective": 300_000,
+        "repeat": "read_like",
+        "value": 1.0,
+    },
+    {
+        "aim-stretch": 2.0,
+        "deadline": 6_000_000,
+        "name": "big-record",
+        "objective": 500_000,
+        "repeat": "read_like",
+        "value": 2.0,
+    },
+]
 OTHER: dict[str, Any] = SETTINGS | {
-    "extra": SETTINGS["extra"] | {
-        "class-write": [True, False, False], "crew-by-zone": [0, 0, 0, 1], "fresh-for": [0, 12_000_000, 0],
-        "hub-of": [0, 1, 2, 0], "in-parts": [False, False, False], "notes-given": "all", "purge-slack": 300_000,
-        "upper-cold-from": 0.069},
+    "extra": SETTINGS["extra"]
+    | {
+        "class-write": [True, False, False],
+        "crew-by-zone": [0, 0, 0, 1],
+        "fresh-for": [0, 12_000_000, 0],
+        "hub-of": [0, 1, 2, 0],
+        "in-parts": [False, False, False],
+        "notes-given": "all",
+        "purge-slack": 300_000,
+        "upper-cold-from": 0.069,
+    },
     "obligations": SETTINGS["obligations"] | {"drain-grace": 500_000, "fall": 1_000_000, "fall-multiple": 2.0},
-    "profiles": CLASSES, "report": {"columns": ["rif", "busy", "x1"], "via": "answers"},
-    "zone": "edge-1", "zones": ["north", "sierra", "south", "edge-1"],
+    "profiles": CLASSES,
+    "report": {"columns": ["rif", "busy", "x1"], "via": "answers"},
+    "zone": "edge-1",
+    "zones": ["north", "sierra", "south", "edge-1"],
 }
 REPORT = "report=inflight:1;util:0.2;x1:0.1"
 
@@ -41,8 +63,7 @@
 
 
 @pytest.mark.parametrize(("remark", "behind"), [("cut_off", True), ("turned_away", True), ("no_such_word", False)])
-def test_a_failure_that_is_the_sources_is_not_put_down_to_the_cache(tmp_path: Path, remark: str,
-                                                                     behind: bool) -> None:
+def test_a_failure_that_is_the_sources_is_not_put_down_to_the_cache(tmp_path: Path, remark: str, behind: bool) -> None:
     """Guards against notes that get lost between the line and the module: where answers tell all, one without a note
     says that the cache itself failed, so the ill source was asked again by way of every other cache."""
 
@@ -62,8 +83,9 @@
     island(tmp_path, scene)
 
 
-@pytest.mark.parametrize(("text", "microseconds"), [("40", 40_000), ("0.5", 500), ("", 0), ("-3", 0), ("nan", 0),
-                                                    ("1e9", 0), ("9" * 40, 0)])
+@pytest.mark.parametrize(
+    ("text", "microseconds"), [("40", 40_000), ("0.5", 500), ("", 0), ("-3", 0), ("nan", 0), ("1e9", 0), ("9" * 40, 0)]
+)
 def test_an_odd_wait_is_none(text: str, microseconds: int) -> None:
     """Guards against a figure that upsets the averages it goes into."""
     assert read_waited(text) == microseconds
@@ -107,31 +129,38 @@
     assert (read.drain_grace, read.fall_window, read.fall_multiple) == (500_000, 1_000_000, 2.0)
 
 
-@pytest.mark.parametrize(("change", "said"), [
-    ({"extra__notes_given": "some"}, "notes-given is unknown"), ({"extra__notes_given": ""}, "notes-given is unknown"),
-    ({"extra__hub_of": [0, 1, 2]}, "hub-of has 3 values, zones 4"), ({"extra__hub_of": [0, 1, 2, 4]}, "has place 4"),
-    ({"extra__hub_of": [0, 1, 2, "west"]}, "hub-of must be a whole number"),
-    ({"extra__hub_of": [0, 1, 2, None]}, "hub-of is missing"),
-    ({"extra__fresh_for": [0, 12_000_000]}, "fresh-for has 2 values, profiles 3"),
-    ({"extra__fresh_for": [0, -1, 0]}, "fresh-for of class small-record is -1"),
-    ({"extra__class_write": [1, 0, 0]}, "class-write must be true or false"),
-    ({"extra__in_parts": ["no", "no", "no"]}, "in-parts must be true or false"),
-    ({"extra__upper_cold_from": 6.9}, "upper-cold-from is 6.9; as a share it is 1 at most"),
-    ({"extra__upper_kind": 3}, "upper-kind is 3; machine-types has 3 names"),
-    ({"extra__shares_fills": "yes"}, "shares-fills must be true or false"),
-    ({"obligations__drain_grace": "500ms"}, "drain-grace must be a whole number"),
-    ({"obligations__drain_grace": -1}, "drain-grace is -1"),
-    ({"obligations__start_capacity": float("nan")}, "start-capacity must be a number"),
-    ({"report__columns": ["util", "util"]}, 'report.columns has "util" twice'),
-    ({"report__columns": "util"}, "report.columns must be an array"),
-    ({"zone": "edge-9"}, 'zone is "edge-9", which zones does not name'), ({"zone": 4}, "zone must be text"),
-    ({"zones": ["north", "", "south", "edge-1"]}, r"zones\[1\] is empty"),
-    ({"zones": ["north", "north", "south", "edge-1"]}, 'zones has "north" twice'),
-    ({"membership_mode": "push"}, "membership-mode is unknown"),
-    ({"profiles": [*CLASSES[:2], CLASSES[1]]}, 'profiles has "small-record" twice'),
-    ({"profiles": [CLASSES[0] | {"name": ""}, *CLASSES[1:]]}, r"profiles\[0\].name\[0\] is empty"),
-    ({"profiles": [CLASSES[0] | {"repeat": "never"}, *CLASSES[1:]]}, r"profiles\[0\].repeat is unknown"),
-    ({"profiles": [CLASSES[0] | {"late-worth": 20}, *CLASSES[1:]]}, "late-worth of class record-request is 20")])
+@pytest.mark.parametrize(
+    ("change", "said"),
+    [
+        ({"extra__notes_given": "some"}, "notes-given is unknown"),
+        ({"extra__notes_given": ""}, "notes-given is unknown"),
+        ({"extra__hub_of": [0, 1, 2]}, "hub-of has 3 values, zones 4"),
+        ({"extra__hub_of": [0, 1, 2, 4]}, "has place 4"),
+        ({"extra__hub_of": [0, 1, 2, "west"]}, "hub-of must be a whole number"),
+        ({"extra__hub_of": [0, 1, 2, None]}, "hub-of is missing"),
+        ({"extra__fresh_for": [0, 12_000_000]}, "fresh-for has 2 values, profiles 3"),
+        ({"extra__fresh_for": [0, -1, 0]}, "fresh-for of class small-record is -1"),
+        ({"extra__class_write": [1, 0, 0]}, "class-write must be true or false"),
+        ({"extra__in_parts": ["no", "no", "no"]}, "in-parts must be true or false"),
+        ({"extra__upper_cold_from": 6.9}, "upper-cold-from is 6.9; as a share it is 1 at most"),
+        ({"extra__upper_kind": 3}, "upper-kind is 3; machine-types has 3 names"),
+        ({"extra__shares_fills": "yes"}, "shares-fills must be true or false"),
+        ({"obligations__drain_grace": "500ms"}, "drain-grace must be a whole number"),
+        ({"obligations__drain_grace": -1}, "drain-grace is -1"),
+        ({"obligations__start_capacity": float("nan")}, "start-capacity must be a number"),
+        ({"report__columns": ["util", "util"]}, 'report.columns has "util" twice'),
+        ({"report__columns": "util"}, "report.columns must be an array"),
+        ({"zone": "edge-9"}, 'zone is "edge-9", which zones does not name'),
+        ({"zone": 4}, "zone must be text"),
+        ({"zones": ["north", "", "south", "edge-1"]}, r"zones\[1\] is empty"),
+        ({"zones": ["north", "north", "south", "edge-1"]}, 'zones has "north" twice'),
+        ({"membership_mode": "push"}, "membership-mode is unknown"),
+        ({"profiles": [*CLASSES[:2], CLASSES[1]]}, 'profiles has "small-record" twice'),
+        ({"profiles": [CLASSES[0] | {"name": ""}, *CLASSES[1:]]}, r"profiles\[0\].name\[0\] is empty"),
+        ({"profiles": [CLASSES[0] | {"repeat": "never"}, *CLASSES[1:]]}, r"profiles\[0\].repeat is unknown"),
+        ({"profiles": [CLASSES[0] | {"late-worth": 20}, *CLASSES[1:]]}, "late-worth of class record-request is 20"),
+    ],
+)
 def test_settings_with_an_odd_value_are_refused_with_their_key(change: dict[str, Any], said: str) -> None:
     """Guards against a start on nonsense: "false" counted as true, a short list left classes without their figures."""
     with pytest.raises(Malformed, match=said):
@@ -151,8 +180,11 @@
 
     async def scene(w: World) -> None:
         for box in w.caches:
-            box.behave = lambda ask: ("ok", "ver=v1,born=1764576000000,remark=local,report=inflight:1;util:0.3;x1:90",
-                                      whole(ask))
+            box.behave = lambda ask: (
+                "ok",
+                "ver=v1,born=1764576000000,remark=local,report=inflight:1;util:0.3;x1:90",
+                whole(ask),
+            )
         client = await w.client()
         await client.get("big-record")
         await client.get("big-record", obj="00000000000000aa")
@@ -192,7 +224,8 @@
 
 @pytest.mark.parametrize(("limits", "backoff"), [({"retry-after": False}, None), ({"max-retry-after": 120_000}, "120")])
 def test_the_front_tells_no_more_than_the_site_lets_it_when_it_refuses_by_itself(
-        tmp_path: Path, limits: dict[str, Any], backoff: str | None) -> None:
+    tmp_path: Path, limits: dict[str, Any], backoff: str | None
+) -> None:
     """Guards against half a second told where the first site's most happened to be that."""
 
     async def scene(w: World) -> None:
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -39,8 +39,9 @@
     return b"".join(bytes([len(label)]) + label.encode() for label in text.split(".") if label) + b"\0"
 
 
-def query(name: str, kind: int = A, id: int = 77, flags: int = 0x0100, cls: int = 1, more: bytes = b"",
-          extra: int = 0) -> bytes:
+def query(
+    name: str, kind: int = A, id: int = 77, flags: int = 0x0100, cls: int = 1, more: bytes = b"", extra: int = 0
+) -> bytes:
     return struct.pack("!6H", id, flags, 1, 0, 0, extra) + name_of(name) + struct.pack("!HH", kind, cls) + more
 
 
@@ -118,8 +119,9 @@
         return replies
 
 
-def play(folder: Path, scene: Callable[[World, Resolver], Awaitable[None]], operator: str = OPERATOR,
-         **more: object) -> None:
+def play(
+    folder: Path, scene: Callable[[World, Resolver], Awaitable[None]], operator: str = OPERATOR, **more: object
+) -> None:
     async def run() -> None:
         async with World(folder, operator=operator, **more) as world:
             await scene(world, await Resolver(await world.listens("dns")).start())
@@ -174,8 +176,7 @@
             assert drained.host not in reply.addresses and socket.inet_aton(drained.host) not in reply.raw
             assert drained.name.encode() not in reply.raw
         assert (await r.ask(f"{drained.name}.box.route.example")).code == NXDOMAIN
-        w.journal.hosts(w.caches[1].member("DELETED"), w.parent.member("DELETED"),
-                        w.origin.member("DELETED"))
+        w.journal.hosts(w.caches[1].member("DELETED"), w.parent.member("DELETED"), w.origin.member("DELETED"))
         await w.told()
         began = time.monotonic()
         assert (await r.ask()).code == SERVFAIL
@@ -222,6 +223,7 @@
         assert (await r.ask()).code == SERVFAIL
 
     from tests.world import SETTINGS
+
     play(tmp_path, scene, settings={"extra": SETTINGS["extra"] | {"bypass-allowed": False}})
 
 
@@ -343,8 +345,10 @@
             await client.get("art-pages", obj=f"{i:016x}")
             await asyncio.sleep(0.04)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(f"GET /v1/dns/resolvers HTTP/1.1\r\nAuthorization: Bearer {'t' * 20}\r\n"
-                         "Connection: close\r\n\r\n".encode())
+            writer.write(
+                f"GET /v1/dns/resolvers HTTP/1.1\r\nAuthorization: Bearer {'t' * 20}\r\n"
+                "Connection: close\r\n\r\n".encode()
+            )
             raw = await reader.read()
             writer.close()
             assert b" 200 " in raw.split(b"\r\n")[0], raw[:300]
@@ -361,7 +365,7 @@
 def test_a_resolver_that_keeps_answers_is_sent_to_the_fallback_name(tmp_path: Path) -> None:
     """Load stays at the servers when no answer has named them for over five seconds: the resolver that was answered
     last keeps answers of TTL 0, and is sent to the operator's name that does not drain."""
-    operator = OPERATOR.replace('deadline_ms = 400', 'deadline_ms = 400\nfallback = "steady.example.net"')
+    operator = OPERATOR.replace("deadline_ms = 400", 'deadline_ms = 400\nfallback = "steady.example.net"')
 
     async def scene(w: World, resolver: Resolver) -> None:
         first = await resolver.ask()
--- a/tests/test_dns_limits.py
+++ b/tests/test_dns_limits.py
@@ -65,8 +65,12 @@
 
 def cookie(data: bytes) -> bytes:
     """An OPT with a cookie option."""
-    return b"\0" + struct.pack("!HHBBHH", 41, 1_232, 0, 0, 0x8000, 4 + len(data)) + struct.pack("!HH", 10, len(data)) \
+    return (
+        b"\0"
+        + struct.pack("!HHBBHH", 41, 1_232, 0, 0, 0x8000, 4 + len(data))
+        + struct.pack("!HH", 10, len(data))
         + data
+    )
 
 
 def server_cookie(reply: Reply) -> bytes:
@@ -102,8 +106,12 @@
         handshake = await good.send(query(NAME, more=cookie(b"\x07" * 8), extra=1))
         proof = server_cookie(handshake)
         loop = asyncio.get_running_loop()
-        flooders = [await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=(f"127.0.0.{n}", 0),
-                                                        remote_addr=("127.0.0.1", port)) for n in (2, 3, 4)]
+        flooders = [
+            await loop.create_datagram_endpoint(
+                asyncio.DatagramProtocol, local_addr=(f"127.0.0.{n}", 0), remote_addr=("127.0.0.1", port)
+            )
+            for n in (2, 3, 4)
+        ]
         stop = time.monotonic() + 3
         answered = asked = 0
 
@@ -118,8 +126,7 @@
         while time.monotonic() < stop:
             asked += 1
             began = time.monotonic()
-            reply = await good.send(query(f"0.{asked:016x}.art-pages.acme.route.example", more=cookie(proof),
-                                          extra=1))
+            reply = await good.send(query(f"0.{asked:016x}.art-pages.acme.route.example", more=cookie(proof), extra=1))
             answered += reply.code == NOERROR and bool(reply.addresses) and time.monotonic() - began < 0.4
             await asyncio.sleep(0.05)
         await flooding
@@ -139,9 +146,14 @@
     async def scene(w: World, good: Resolver) -> None:
         proof = server_cookie(await good.send(query(NAME, more=cookie(b"\x07" * 8), extra=1)))
         loop = asyncio.get_running_loop()
-        flooders = [(await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=(f"127.0.{n}.1", 0),
-                                                         remote_addr=("127.0.0.1", good.port)))[0]
-                    for n in range(50, 90)]
+        flooders = [
+            (
+                await loop.create_datagram_endpoint(
+                    asyncio.DatagramProtocol, local_addr=(f"127.0.{n}.1", 0), remote_addr=("127.0.0.1", good.port)
+                )
+            )[0]
+            for n in range(50, 90)
+        ]
         began, sent = time.monotonic(), 0
         for _ in range(25):
             for transport in flooders:
--- a/tests/test_dns_signing.py
+++ b/tests/test_dns_signing.py
@@ -28,14 +28,20 @@
 from threadhill.settings import Malformed
 
 ZONE = dns.name.from_text("route.example.")
-SIGNED = OPERATOR.replace("deadline_ms = 400", 'deadline_ms = 400\nresolver_qps = 0') \
-    + '\n[dns.signing]\nkeys = "keys"\n'
+SIGNED = (
+    OPERATOR.replace("deadline_ms = 400", "deadline_ms = 400\nresolver_qps = 0") + '\n[dns.signing]\nkeys = "keys"\n'
+)
 Message = dns.message.Message
 
 
 def key_command(folder: Path, *words: str) -> str:
-    return subprocess.run([sys.executable, "-m", "threadhill", "dns", "key", *words, "--keys", str(folder / "keys")],
-                          cwd=ROOT, capture_output=True, text=True, check=True).stdout
+    return subprocess.run(
+        [sys.executable, "-m", "threadhill", "dns", "key", *words, "--keys", str(folder / "keys")],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=True,
+    ).stdout
 
 
 def made(name: str, kind: int = types.A, dnssec: bool = True, flags: int = 0) -> Message:
@@ -83,8 +89,13 @@
 def nsec(reply: Message) -> tuple[str, set[int]]:
     """The next name and the types of the denial."""
     (rrset,) = [rrset for rrset in reply.authority if rrset.rdtype == types.NSEC]
-    found = {window << 8 | i * 8 + bit for window, bits in rrset[0].windows for i, byte in enumerate(bits)
-             for bit in range(8) if byte & 0x80 >> bit}
+    found = {
+        window << 8 | i * 8 + bit
+        for window, bits in rrset[0].windows
+        for i, byte in enumerate(bits)
+        for bit in range(8)
+        if byte & 0x80 >> bit
+    }
     return rrset[0].next.to_text(), found
 
 
@@ -94,10 +105,18 @@
     async def scene(w: World, r: Resolver) -> None:
         known = await key_set(r.port)
         assert dns.dnssec.make_ds(ZONE, known[0], "SHA256").to_text().upper() == ds.split(" DS ")[1].strip().upper()
-        for name, kind, sets in ((NAME, types.A, 1), ("_http._tcp." + NAME, types.SRV, 2), (NAME, types.HTTPS, 2),
-                                 ("route.example.", types.SOA, 1), ("route.example.", types.NS, 1),
-                                 ("route.example.", types.CDS, 1), (NAME, types.MX, 2), ("nobody.route.example.", 1, 2),
-                                 ("acme.route.example.", types.A, 2), (NAME, types.ANY, 1)):
+        for name, kind, sets in (
+            (NAME, types.A, 1),
+            ("_http._tcp." + NAME, types.SRV, 2),
+            (NAME, types.HTTPS, 2),
+            ("route.example.", types.SOA, 1),
+            ("route.example.", types.NS, 1),
+            ("route.example.", types.CDS, 1),
+            (NAME, types.MX, 2),
+            ("nobody.route.example.", 1, 2),
+            ("acme.route.example.", types.A, 2),
+            (NAME, types.ANY, 1),
+        ):
             assert check(await ask(r, name, kind), known) == sets, (name, kind)
         nodata, none = await ask(r, NAME, types.MX), await ask(r, "nobody.route.example.")
         assert nsec(nodata) == ("\\000." + NAME + ".", {types.A, types.SVCB, types.HTTPS, types.RRSIG, types.NSEC})
@@ -106,8 +125,11 @@
         assert asked.rcode() == NXDOMAIN and check(asked, known) == 2
         assert nsec(await ask(r, "acme.route.example."))[1] == {types.RRSIG, types.NSEC}  # only names below it
         assert (await ask(r, NAME, 128)).rcode() == dns.rcode.FORMERR
-        for reply in (await ask(r, dnssec=False), await ask(r, "nobody.route.example.", dnssec=False),
-                      await ask(r, f"0.{OBJECT}.art-pages.small.small.example.")):  # not asked for; a zone without key
+        for reply in (
+            await ask(r, dnssec=False),
+            await ask(r, "nobody.route.example.", dnssec=False),
+            await ask(r, f"0.{OBJECT}.art-pages.small.small.example."),
+        ):  # not asked for; a zone without key
             assert not [s for section in reply.sections[1:] for s in section if s.rdtype in (types.RRSIG, types.NSEC)]
         assert (await ask(r, "nobody.route.example.", dnssec=False)).rcode() == NXDOMAIN
 
@@ -199,14 +221,20 @@
     one, two = (keys.generate("route.example", State.ACTIVE, at) for at in (5, 6))
     paths = [keys.write(tmp_path, key) for key in (one, two)]
     assert [(k.tag, k.state) for k in keys.read_folder(tmp_path)["route.example"]] == [
-        (two.tag, State.ACTIVE), (one.tag, State.RETIRED)]
+        (two.tag, State.ACTIVE),
+        (one.tag, State.RETIRED),
+    ]
     os.chmod(paths[0], 0o640)
     with pytest.raises(Malformed, match="chmod 600"):
         keys.read_folder(tmp_path)
     os.chmod(paths[0], 0o600)
     raw = json.loads(paths[0].read_text())
-    for spoilt, told in (({**raw, "tag": 1}, "do not fit"), ({**raw, "private": "x"}, "not a key file"),
-                         ({**raw, "state": "gone"}, "not a key file"), ([], "not a key file")):
+    for spoilt, told in (
+        ({**raw, "tag": 1}, "do not fit"),
+        ({**raw, "private": "x"}, "not a key file"),
+        ({**raw, "state": "gone"}, "not a key file"),
+        ([], "not a key file"),
+    ):
         paths[0].write_text(json.dumps(spoilt))
         with pytest.raises(Malformed, match=told):
             keys.read_folder(tmp_path)
--- a/tests/test_dns_static.py
+++ b/tests/test_dns_static.py
@@ -27,11 +27,17 @@
 from threadhill import zonefile
 from threadhill.documents import Invalid, read_tenant, write_tenant
 
-RECORDS = ['www.route.example. 60 A 192.0.2.1', 'www.route.example. 60 A 192.0.2.2',
-           'alias.route.example. CNAME www.route.example.', f"steered.route.example. CNAME {NAME}.",
-           'route.example. TXT "v=spf1 -all" "quote \\" and \\200"', 'route.example. CAA 0 issue "ca.example"',
-           'route.example. MX 10 mail.elsewhere.example.', "a.deep.route.example. AAAA 2001:db8::1",
-           "_sip._tcp.route.example. SRV 1 2 5060 www.route.example."]
+RECORDS = [
+    "www.route.example. 60 A 192.0.2.1",
+    "www.route.example. 60 A 192.0.2.2",
+    "alias.route.example. CNAME www.route.example.",
+    f"steered.route.example. CNAME {NAME}.",
+    'route.example. TXT "v=spf1 -all" "quote \\" and \\200"',
+    'route.example. CAA 0 issue "ca.example"',
+    "route.example. MX 10 mail.elsewhere.example.",
+    "a.deep.route.example. AAAA 2001:db8::1",
+    "_sip._tcp.route.example. SRV 1 2 5060 www.route.example.",
+]
 LISTED = ", ".join("'" + record + "'" for record in RECORDS)
 WITH = f'zones = ["route.example"]\nrecords = [{LISTED}]'
 
@@ -59,12 +65,17 @@
         assert len(rows(await ask(r, "alias.route.example."))) == 3  # the alias and what it leads to
         assert rows(await ask(r, "steered.route.example.")) == [f"steered.route.example. 300 CNAME {NAME}."]
         assert rows(await ask(r, "route.example.", types.TXT)) == [
-            'route.example. 300 TXT "v=spf1 -all" "quote \\" and \\200"']
+            'route.example. 300 TXT "v=spf1 -all" "quote \\" and \\200"'
+        ]
         assert rows(await ask(r, "route.example.", types.CAA)) == ['route.example. 300 CAA 0 issue "ca.example"']
         assert rows(await ask(r, "route.example.", types.MX)) == ["route.example. 300 MX 10 mail.elsewhere.example."]
         assert rows(await ask(r, "_sip._tcp.route.example.", types.SRV))[0].endswith("1 2 5060 www.route.example.")
-        for name, kind, code in (("www.route.example.", types.MX, 0), ("deep.route.example.", types.A, 0),
-                                 ("x.www.route.example.", types.A, 3), ("route.example.", types.A, 0)):
+        for name, kind, code in (
+            ("www.route.example.", types.MX, 0),
+            ("deep.route.example.", types.A, 0),
+            ("x.www.route.example.", types.A, 3),
+            ("route.example.", types.A, 0),
+        ):
             reply = await ask(r, name, kind)
             assert reply.rcode() == code and not reply.answer, name
         assert len((await ask(r, NAME)).answer) == 1 and len((await ask(r, "route.example.", types.NS)).answer) == 1
@@ -77,8 +88,12 @@
 
     async def scene(w: World, r: Resolver) -> None:
         known = await key_set(r.port)
-        for name, kind, sets in (("www.route.example.", types.A, 1), ("alias.route.example.", types.A, 2),
-                                 ("route.example.", types.TXT, 1), ("www.route.example.", types.MX, 2)):
+        for name, kind, sets in (
+            ("www.route.example.", types.A, 1),
+            ("alias.route.example.", types.A, 2),
+            ("route.example.", types.TXT, 1),
+            ("www.route.example.", types.MX, 2),
+        ):
             assert check(await ask_signed(r, name, kind), known) == sets
         assert nsec(await ask_signed(r, "www.route.example.", types.MX))[1] == {types.A, types.RRSIG, types.NSEC}
         assert {types.SOA, types.TXT, types.CAA, types.DNSKEY} <= nsec(await ask_signed(r, "route.example."))[1]
@@ -98,29 +113,41 @@
 
 
 FAULTS = [
-    ("www.route.example.", "NAME [TTL] TYPE DATA"), ("www.route.example. A 1.2.3", "no IPv4 address"),
-    ("www.route.example. NS ns.example.", "operator's file"), ("www.route.example. SPF x", "the types are"),
-    ("www.other.example. A 192.0.2.1", "none of the tenant's zones"), ("x.acme.route.example. A 192.0.2.1", "steered"),
-    ("s-1.box.route.example. A 192.0.2.1", "steered"), ("route.example. CNAME x.example.", "can't be an alias"),
-    ("www.route.example. 99999999 A 192.0.2.1", "the TTL"), ("www.route.example. MX x y.example.", "preference"),
-    ("www.route.example. CAA 0 !! x", "no tag"), ("www.route.example. A 1.2.3.4 5", "1 words, not 2"),
-    ('www.route.example. TXT "\\999"', "no byte"), ("a..b A 192.0.2.1", "no domain name"), (7, "a record is a text"),
+    ("www.route.example.", "NAME [TTL] TYPE DATA"),
+    ("www.route.example. A 1.2.3", "no IPv4 address"),
+    ("www.route.example. NS ns.example.", "operator's file"),
+    ("www.route.example. SPF x", "the types are"),
+    ("www.other.example. A 192.0.2.1", "none of the tenant's zones"),
+    ("x.acme.route.example. A 192.0.2.1", "steered"),
+    ("s-1.box.route.example. A 192.0.2.1", "steered"),
+    ("route.example. CNAME x.example.", "can't be an alias"),
+    ("www.route.example. 99999999 A 192.0.2.1", "the TTL"),
+    ("www.route.example. MX x y.example.", "preference"),
+    ("www.route.example. CAA 0 !! x", "no tag"),
+    ("www.route.example. A 1.2.3.4 5", "1 words, not 2"),
+    ('www.route.example. TXT "\\999"', "no byte"),
+    ("a..b A 192.0.2.1", "no domain name"),
+    (7, "a record is a text"),
 ]
 
 
 @pytest.mark.parametrize(("record", "told"), FAULTS)
 def test_records_that_cannot_be_used_are_told_with_their_place(record: object, told: str) -> None:
     with pytest.raises(Invalid) as caught:
-        read_tenant({"name": "acme", "zones": ["route.example"], "records": ["ok.route.example. A 192.0.2.9", record]},
-                    "tenants[3]")
+        read_tenant(
+            {"name": "acme", "zones": ["route.example"], "records": ["ok.route.example. A 192.0.2.9", record]},
+            "tenants[3]",
+        )
     (fault,) = caught.value.faults
     assert fault["at"] == "tenants[3].records[1]" and told in fault["fault"]
 
 
 def test_records_that_do_not_go_together_are_told() -> None:
-    for pair, told in ((("a.z.example. CNAME b.z.example.", "a.z.example. A 192.0.2.1"), "nothing else"),
-                       (("a.z.example. 5 A 192.0.2.1", "a.z.example. 6 A 192.0.2.2"), "one TTL"),
-                       (("a.z.example. A 192.0.2.1", "A.z.example A 192.0.2.1"), "twice")):
+    for pair, told in (
+        (("a.z.example. CNAME b.z.example.", "a.z.example. A 192.0.2.1"), "nothing else"),
+        (("a.z.example. 5 A 192.0.2.1", "a.z.example. 6 A 192.0.2.2"), "one TTL"),
+        (("a.z.example. A 192.0.2.1", "A.z.example A 192.0.2.1"), "twice"),
+    ):
         with pytest.raises(Invalid, match=told):
             read_tenant({"name": "acme", "zones": ["z.example"], "records": list(pair)}, "tenant")
 
@@ -162,8 +189,9 @@
         def copy(kind: int = types.AXFR, **more: object) -> list:
             query = dns.message.make_query("route.example.", kind)
             if "serial" in more:
-                query.authority = [dns.rrset.from_text("route.example.", 0, "IN", "SOA",
-                                                       f"a. b. {more.pop('serial')} 1 1 1 1")]
+                query.authority = [
+                    dns.rrset.from_text("route.example.", 0, "IN", "SOA", f"a. b. {more.pop('serial')} 1 1 1 1")
+                ]
             query.use_tsig(more.pop("ring", ring), "audit.key", algorithm=dns.tsig.HMAC_SHA256)
             rrsets = []
             with socket.create_connection(("127.0.0.1", r.port), timeout=60) as sock:  # each message is checked
@@ -172,9 +200,15 @@
                 context = None
                 while sum(s.rdtype == types.SOA for s in rrsets) < (2 if more.get("whole", True) else 1):
                     size = int.from_bytes(_exactly(sock, 2), "big")
-                    message = dns.message.from_wire(_exactly(sock, size), keyring=query.keyring, xfr=True,
-                                                    request_mac=query.mac, tsig_ctx=context, multi=True,
-                                                    one_rr_per_rrset=True)
+                    message = dns.message.from_wire(
+                        _exactly(sock, size),
+                        keyring=query.keyring,
+                        xfr=True,
+                        request_mac=query.mac,
+                        tsig_ctx=context,
+                        multi=True,
+                        one_rr_per_rrset=True,
+                    )
                     if message.rcode():
                         return [message]
                     assert message.had_tsig
--- a/tests/test_dns_tls.py
+++ b/tests/test_dns_tls.py
@@ -90,11 +90,14 @@
     play(tmp_path, scene, operator)
 
 
-@pytest.mark.parametrize(("spoil", "told"), [
-    (lambda folder: os.chmod(folder / "key.pem", 0o640), "chmod 600"),
-    (lambda folder: (folder / "chain.pem").write_text("nothing"), "not a certificate chain and its key"),
-    (lambda folder: (folder / "key.pem").unlink(), "No such file"),
-])
+@pytest.mark.parametrize(
+    ("spoil", "told"),
+    [
+        (lambda folder: os.chmod(folder / "key.pem", 0o640), "chmod 600"),
+        (lambda folder: (folder / "chain.pem").write_text("nothing"), "not a certificate chain and its key"),
+        (lambda folder: (folder / "key.pem").unlink(), "No such file"),
+    ],
+)
 def test_a_pair_that_cannot_be_used_stops_the_start_with_a_reason(tmp_path: Path, spoil, told: str) -> None:
     certify(tmp_path, trustme.CA())
     spoil(tmp_path)
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -28,19 +28,26 @@
         assert scenario.faults and scenario.last_fault < scenario.fleet.seconds
 
 
-@pytest.mark.parametrize(("text", "line", "said"), [
-    ('name = "x"\nspeed = 3\n', 2, "speed"),
-    ('name = ""\n', 1, "name"),
-    (HEAD + '[[faults]]\nat = 1.0\ndo = "melt"\nto = ["p0"]\n', 9, "faults.0.do"),
-    (HEAD + '[[faults]]\nat = 1.0\ndo = "kill"\nto = ["p0"]\n[[faults]]\nat = 2.0\ndo = "slow"\nto = 0.5\n', 11,
-     "takes an amount"),
-    (HEAD + '[[faults]]\nat = 1.0\ndo = "kill"\nto = ["p7"]\n', 7, "names 'p7'"),
-    (HEAD + '[[faults]]\nat = 12.0\ndo = "kill"\nto = ["p0"]\n', 7, "ends after 10"),
-    (HEAD + '[[faults]]\nat = 1.0\ndo = "reset"\nto = 0.5\nevery = 0.5\n', 7, "go together"),
-    (HEAD + '[[faults]]\nat = 1.0\ndo = "kill"\nto = 1.5\n', 10, "less than or equal to 1"),
-    (HEAD + '[expect]\nback_s = "soon"\n', 8, "back_s"),
-    ('name = "x"\n[fleet]\nproxies = 0\n', 3, "fleet.proxies"),
-    ('name = "x\n', 1, "line 1")])
+@pytest.mark.parametrize(
+    ("text", "line", "said"),
+    [
+        ('name = "x"\nspeed = 3\n', 2, "speed"),
+        ('name = ""\n', 1, "name"),
+        (HEAD + '[[faults]]\nat = 1.0\ndo = "melt"\nto = ["p0"]\n', 9, "faults.0.do"),
+        (
+            HEAD + '[[faults]]\nat = 1.0\ndo = "kill"\nto = ["p0"]\n[[faults]]\nat = 2.0\ndo = "slow"\nto = 0.5\n',
+            11,
+            "takes an amount",
+        ),
+        (HEAD + '[[faults]]\nat = 1.0\ndo = "kill"\nto = ["p7"]\n', 7, "names 'p7'"),
+        (HEAD + '[[faults]]\nat = 12.0\ndo = "kill"\nto = ["p0"]\n', 7, "ends after 10"),
+        (HEAD + '[[faults]]\nat = 1.0\ndo = "reset"\nto = 0.5\nevery = 0.5\n', 7, "go together"),
+        (HEAD + '[[faults]]\nat = 1.0\ndo = "kill"\nto = 1.5\n', 10, "less than or equal to 1"),
+        (HEAD + '[expect]\nback_s = "soon"\n', 8, "back_s"),
+        ('name = "x"\n[fleet]\nproxies = 0\n', 3, "fleet.proxies"),
+        ('name = "x\n', 1, "line 1"),
+    ],
+)
 def test_a_fault_in_a_scenario_is_told_with_its_line(text: str, line: int, said: str) -> None:
     with pytest.raises(Faulty) as told:
         read(text, "drill.toml")
@@ -49,23 +56,37 @@
 
 
 def scenario(**more: object) -> Scenario:
-    raw = {"name": "x", "fleet": {"seconds": 8.0, "proxies": 4},
-           "faults": [{"at": 2.0, "do": "kill", "to": ["p0"]}], **more}
+    raw = {
+        "name": "x",
+        "fleet": {"seconds": 8.0, "proxies": 4},
+        "faults": [{"at": 2.0, "do": "kill", "to": ["p0"]}],
+        **more,
+    }
     return Scenario.model_validate(raw)
 
 
 def test_a_part_chooses_the_first_of_their_kind_and_repeats_have_their_times() -> None:
-    one = scenario(faults=[{"at": 1.0, "do": "reset", "to": 0.25, "every": 0.5, "until": 2.0},
-                           {"at": 1.0, "do": "stop", "to": 0.5}])
+    one = scenario(
+        faults=[
+            {"at": 1.0, "do": "reset", "to": 0.25, "every": 0.5, "until": 2.0},
+            {"at": 1.0, "do": "stop", "to": 0.5},
+        ]
+    )
     assert one.chosen(one.faults[0]) == ["s-00000001", "s-00000002"] and one.chosen(one.faults[1]) == ["p0", "p1"]
     assert one.faults[0].times == [1.0, 1.5, 2.0] and one.last_fault == 2.0
 
 
-@pytest.mark.parametrize(("by_second", "last", "expected"), [
-    ([1.0, 1.0, 0.2, 0.5, 0.96, 1.0], 2.0, 2.0), ([1.0, 1.0, 1.0, 1.0], 2.0, 0.0),
-    ([1.0, 1.0, 0.2, 1.0, 0.5, 1.0, 1.0], 2.5, 2.5),  # back is for good
-    ([1.0, 1.0, 0.2, 0.2], 2.0, None), ([1.0, 1.0, 0.2, 1.0], 2.0, None),  # one second is not steady
-    ([0.5, 0.5, 0.1, 0.48, 0.5], 2.0, 1.0)])  # by what was served before
+@pytest.mark.parametrize(
+    ("by_second", "last", "expected"),
+    [
+        ([1.0, 1.0, 0.2, 0.5, 0.96, 1.0], 2.0, 2.0),
+        ([1.0, 1.0, 1.0, 1.0], 2.0, 0.0),
+        ([1.0, 1.0, 0.2, 1.0, 0.5, 1.0, 1.0], 2.5, 2.5),  # back is for good
+        ([1.0, 1.0, 0.2, 0.2], 2.0, None),
+        ([1.0, 1.0, 0.2, 1.0], 2.0, None),  # one second is not steady
+        ([0.5, 0.5, 0.1, 0.48, 0.5], 2.0, 1.0),
+    ],
+)  # by what was served before
 def test_full_service_is_back_when_it_stays(by_second: list[float], last: float, expected: float | None) -> None:
     assert back(by_second, 2.0, last) == expected
 
@@ -76,24 +97,41 @@
     one = scenario(expect={"served": 0.9, "worst_second": 0.5, "back_s": 1.0, "lost": 5})
     shown = show(answers, one, double=1, drained_sends=2)
     assert shown.back_s == 2.0 and shown.lost == 20
-    assert [line.split()[0] for line in failures(shown, one)] == ["served", "worst_second", "lost", "double",
-                                                                  "drained_sends", "full"]
+    assert [line.split()[0] for line in failures(shown, one)] == [
+        "served",
+        "worst_second",
+        "lost",
+        "double",
+        "drained_sends",
+        "full",
+    ]
     assert not failures(show([(n / 10, "200") for n in range(80)], one, 0, 0), one)
     assert "failed" in page(shown, one) and "served is 0.750" in page(shown, one)
 
 
 async def command(*words: str) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "threadhill", "drill", *words, cwd=ROOT, start_new_session=True,
-        stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE, env=dict(os.environ))
+        sys.executable,
+        "-m",
+        "threadhill",
+        "drill",
+        *words,
+        cwd=ROOT,
+        start_new_session=True,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+        env=dict(os.environ),
+    )
 
 
 def test_a_drill_plays_on_real_processes_and_tells_one_line_and_a_page(tmp_path: Path) -> None:
     file = tmp_path / "short.toml"
-    file.write_text('name = "short"\n[fleet]\nproxies = 6\ncaches = 4\nrate = 60.0\nseconds = 7.0\n'
-                    '[[faults]]\nat = 2.0\ndo = "stall"\nto = ["s-00000001"]\n'
-                    '[[faults]]\nat = 2.5\ndo = "drain"\nto = ["s-00000002"]\n'
-                    '[[faults]]\nat = 3.0\ndo = "pass"\nto = ["s-00000001"]\n[expect]\nserved = 0.8\nback_s = 4.0\n')
+    file.write_text(
+        'name = "short"\n[fleet]\nproxies = 6\ncaches = 4\nrate = 60.0\nseconds = 7.0\n'
+        '[[faults]]\nat = 2.0\ndo = "stall"\nto = ["s-00000001"]\n'
+        '[[faults]]\nat = 2.5\ndo = "drain"\nto = ["s-00000002"]\n'
+        '[[faults]]\nat = 3.0\ndo = "pass"\nto = ["s-00000001"]\n[expect]\nserved = 0.8\nback_s = 4.0\n'
+    )
 
     async def scene() -> None:
         process = await command(str(file), "--html", str(tmp_path / "page.html"), "--quiet")
@@ -139,8 +177,11 @@
         process.send_signal(signal.SIGINT)
         await asyncio.wait_for(process.communicate(), 60)
         assert process.returncode == 130
-        left = [pid for pid in started if Path(f"/proc/{pid}/cmdline").exists()
-                and b"threadhill" in Path(f"/proc/{pid}/cmdline").read_bytes()]
+        left = [
+            pid
+            for pid in started
+            if Path(f"/proc/{pid}/cmdline").exists() and b"threadhill" in Path(f"/proc/{pid}/cmdline").read_bytes()
+        ]
         assert not left
 
     asyncio.run(scene())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -73,7 +73,8 @@
 
 @pytest.mark.parametrize("half", ["unread", "read"])
 def test_a_request_that_is_half_there_when_the_program_ends_is_answered_when_it_is_whole(
-        tmp_path: Path, half: str) -> None:
+    tmp_path: Path, half: str
+) -> None:
     async def scene(w: World) -> None:
         slow = await Hand.connect(w)
         raw = ask(1)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -26,13 +26,18 @@
     waited: int
 
 
-purges = st.lists(st.builds(Told, st.sampled_from(KEYS), st.integers(1, 3 * SECOND), st.integers(0, 2 * SECOND),
-                            st.integers(0, SECOND)), max_size=12)
+purges = st.lists(
+    st.builds(
+        Told, st.sampled_from(KEYS), st.integers(1, 3 * SECOND), st.integers(0, 2 * SECOND), st.integers(0, SECOND)
+    ),
+    max_size=12,
+)
 
 
 @given(purges, st.integers(0, 20 * SECOND), st.integers(-20 * SECOND, 20 * SECOND))
 def test_a_copy_is_turned_down_by_the_purges_that_were_known_when_it_was_asked_for(
-        told: list[Told], sent_after: int, born_after: int) -> None:
+    told: list[Told], sent_after: int, born_after: int
+) -> None:
     now, known = START, []
     fresh = Freshness(DROP_TIME)
     for one in told:
@@ -41,8 +46,10 @@
         fresh.purge(one.key, record)
         known.append((one.key, record))
     sent_at, born = START + sent_after, START + born_after
-    expected = any(key in ("a", 3, EVERYTHING) and record.heard_at <= sent_at and born <= record.stamp + STAMP_ERROR
-                   for key, record in known)
+    expected = any(
+        key in ("a", 3, EVERYTHING) and record.heard_at <= sent_at and born <= record.stamp + STAMP_ERROR
+        for key, record in known
+    )
     assert fresh.is_purged("a", 3, sent_at, born, max(now, sent_at)) == expected
 
 
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -58,10 +58,22 @@
     assert not merged.by_name
 
 
-@pytest.mark.parametrize("raw", [None, [], {"n": "1"}, said(1, zone=3), said(1, objects=[["a"]]),
-                                 said(1, objects=[["a", float("nan")]]), said(1, objects=[["", 1.0]]),
-                                 said(1, objects=[["a", -1.0]]), said(1, caches=[["11", 1.0, 0]]),
-                                 said(1, objects=[["a", 1.0]] * 1_000), said(1, caches=[[11, 1e9, 0]])])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        None,
+        [],
+        {"n": "1"},
+        said(1, zone=3),
+        said(1, objects=[["a"]]),
+        said(1, objects=[["a", float("nan")]]),
+        said(1, objects=[["", 1.0]]),
+        said(1, objects=[["a", -1.0]]),
+        said(1, caches=[["11", 1.0, 0]]),
+        said(1, objects=[["a", 1.0]] * 1_000),
+        said(1, caches=[[11, 1e9, 0]]),
+    ],
+)
 def test_a_report_that_cannot_be_used_is_left_whole(raw: Any) -> None:
     merged = Merged()
     assert not merged.report("a", raw, 0) and merged.refused == 1 and not merged.by_name
@@ -70,16 +82,34 @@
 def test_a_hint_is_bounded_whatever_the_proxies_say() -> None:
     merged = Merged()
     for n in range(50):
-        merged.report(f"p{n}", said(1, objects=[[f"{n:08x}{i:08x}", 1e5] for i in range(OBJECTS)],
-                                    caches=[[4_000_000_000 + n * 50 + i, 9e4, 1] for i in range(CACHES)]), 0)
+        merged.report(
+            f"p{n}",
+            said(
+                1,
+                objects=[[f"{n:08x}{i:08x}", 1e5] for i in range(OBJECTS)],
+                caches=[[4_000_000_000 + n * 50 + i, 9e4, 1] for i in range(CACHES)],
+            ),
+            0,
+        )
     told = merged.hint("p0", 100)
     assert len(told["objects"]) == OBJECTS and len(told["caches"]) == CACHES
 
 
-@pytest.mark.parametrize("raw", [{}, hint(objects=[["hot"]]), hint(objects=[["hot", "50"]]),
-                                 hint(objects=[["hot", 1e9]]), hint(objects=[["hot", float("inf")]]),
-                                 hint(caches=[[11, 3.0, 2.0]]), hint(age=-5), hint(n=None),
-                                 hint(caches=[[True, 3.0, 1.0]]), hint(objects=[["hot", 1.0]] * 100)])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        {},
+        hint(objects=[["hot"]]),
+        hint(objects=[["hot", "50"]]),
+        hint(objects=[["hot", 1e9]]),
+        hint(objects=[["hot", float("inf")]]),
+        hint(caches=[[11, 3.0, 2.0]]),
+        hint(age=-5),
+        hint(n=None),
+        hint(caches=[[True, 3.0, 1.0]]),
+        hint(objects=[["hot", 1.0]] * 100),
+    ],
+)
 def test_a_hint_that_cannot_be_read_is_refused_whole(raw: dict[str, Any]) -> None:
     hints = Hints()
     with pytest.raises(Malformed):
@@ -134,8 +164,10 @@
     assert script.serve("a").age > 0
     cold, credit = Script(), []
     for told in (False, True):
-        cold = Script(entries=[api.Entry(n, zone="here", kind="box", cell=1, since=1_000 * SECOND) for n in (11, 12)]
-                      + [api.Entry(ORIGIN, zone="hub", kind="origin", cell=8)])
+        cold = Script(
+            entries=[api.Entry(n, zone="here", kind="box", cell=1, since=1_000 * SECOND) for n in (11, 12)]
+            + [api.Entry(ORIGIN, zone="hub", kind="origin", cell=8)]
+        )
         sent = 0
         for n in range(200):
             if told:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -10,9 +10,36 @@
 from tests.world import ROOT
 
 # From the decision module up to the command line; a part imports only those before it (and itself).
-ORDER = ("decision", "hostnames", "zonefile", "cli_codes", "settings", "files", "stats", "log", "core", "documents",
-         "tenancy", "overload", "knowledge", "ownership", "recovery", "net", "dns", "admin", "config", "simhost",
-         "operators", "serve", "plans", "control", "standin", "drills", "cli", "__main__")
+ORDER = (
+    "decision",
+    "hostnames",
+    "zonefile",
+    "cli_codes",
+    "settings",
+    "files",
+    "stats",
+    "log",
+    "core",
+    "documents",
+    "tenancy",
+    "overload",
+    "knowledge",
+    "ownership",
+    "recovery",
+    "net",
+    "dns",
+    "admin",
+    "config",
+    "simhost",
+    "operators",
+    "serve",
+    "plans",
+    "control",
+    "standin",
+    "drills",
+    "cli",
+    "__main__",
+)
 
 
 def imports(path: Path) -> set[str]:
@@ -38,11 +65,13 @@
 
 
 def test_the_platforms_start_loads_nothing_that_is_off() -> None:
-    code = ("import sys, threadhill.cli, threadhill.serve\n"
-            "print(*sorted({m for m in sys.modules if m.split('.')[0] in "
-            "('pydantic', 'hcl2', 'structlog', 'cryptography', 'prometheus_client', 'jinja2', 'sqlite3') or "
-            "m.split('.')[:2] in (['threadhill', p] for p in "
-            "('admin', 'dns', 'operators', 'overload', 'knowledge', 'recovery', 'ownership', 'tenancy', 'plans', "
-            "'control'))}))")
+    code = (
+        "import sys, threadhill.cli, threadhill.serve\n"
+        "print(*sorted({m for m in sys.modules if m.split('.')[0] in "
+        "('pydantic', 'hcl2', 'structlog', 'cryptography', 'prometheus_client', 'jinja2', 'sqlite3') or "
+        "m.split('.')[:2] in (['threadhill', p] for p in "
+        "('admin', 'dns', 'operators', 'overload', 'knowledge', 'recovery', 'ownership', 'tenancy', 'plans', "
+        "'control'))}))"
+    )
     out = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True).stdout
     assert not out.split()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -123,8 +123,10 @@
     since = time.time()
     going = asyncio.ensure_future(crowd.run(30))
     try:
-        await until(lambda: all(any(a.at > since for a in one.fleet.servers[name].arrivals) for name in names),
-                    f"work at {names}")
+        await until(
+            lambda: all(any(a.at > since for a in one.fleet.servers[name].arrivals) for name in names),
+            f"work at {names}",
+        )
     finally:
         crowd.stopped = True
         await going
@@ -177,8 +179,9 @@
             await bad.start()
             await other.start("127.0.0.1")
             member = one.member(ill.name) | {"host_port": f"127.0.0.1:{bad.address[1]}"}
-            await other.hosts(*(m for name, m in one.journal.members.items() if name != ill.name), member,
-                              complete=True)
+            await other.hosts(
+                *(m for name, m in one.journal.members.items() if name != ill.name), member, complete=True
+            )
             where = f"127.0.0.1:{other.address[1]}"
             for n in range(PROXIES):
                 more = {"journal": where, "known": {"pos": 0, "entries": []}} if n % 3 == 0 else {}
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -30,6 +30,7 @@
 
 # --- what is seen
 
+
 def test_an_ask_that_comes_again_is_known_and_others_are_hardly_ever_taken_for_it() -> None:
     seen, now = Unserved(b"secret"), 10 * SECOND
     for n in range(sketch.FILL):  # as full as it may be
@@ -85,6 +86,7 @@
 
 # --- who is let in
 
+
 @given(st.dictionaries(st.text(max_size=3), st.floats(0, 100), max_size=8), st.floats(0, 200))
 def test_shares_are_max_min(wants: dict[str, float], room: float) -> None:
     shares = max_min(wants, room)
@@ -112,8 +114,11 @@
 def test_listeners_and_promised_ones_go_before_newcomers_and_purchases_always() -> None:
     gate = Gate()
     gate.room = 6.0  # of 20 that are asked for
-    asks = [("t", rank, f"c{rank}-{n}") for rank in (Rank.KEYED, Rank.PROMISED, Rank.LISTENER, Rank.FIRST, Rank.AGAIN)
-            for n in range(8)]
+    asks = [
+        ("t", rank, f"c{rank}-{n}")
+        for rank in (Rank.KEYED, Rank.PROMISED, Rank.LISTENER, Rank.FIRST, Rank.AGAIN)
+        for n in range(8)
+    ]
     part = through(gate, asks, 6)
     assert part["t", Rank.KEYED] == 1 and part["t", Rank.PROMISED] >= 0.4
     assert part["t", Rank.PROMISED] >= part["t", Rank.LISTENER] >= part["t", Rank.FIRST] >= part["t", Rank.AGAIN]
@@ -181,9 +186,14 @@
 
 # --- what is paid for
 
+
 @settings(max_examples=150, derandomize=True, deadline=None)
-@given(st.lists(st.tuples(st.booleans(), st.sampled_from("abc"), st.sampled_from("xy"), st.integers(0, 2 * SECOND)),
-                max_size=120))
+@given(
+    st.lists(
+        st.tuples(st.booleans(), st.sampled_from("abc"), st.sampled_from("xy"), st.integers(0, 2 * SECOND)),
+        max_size=120,
+    )
+)
 def test_purses_are_never_negative_and_nothing_leaks(steps: list[tuple[bool, str, str, int]]) -> None:
     book, now, paid, spent = Budgets(), 0, 0.0, 0
     for first, client, tenant, gone in steps:
@@ -196,8 +206,11 @@
             empty = book.retry(client, tenant, now)
             spent += empty is None
             if empty is not None:  # none of the three was charged
-                assert all(p.tokens >= before[level].get(k, 0) - 1e-9
-                           for level, purses in book.purses.items() for k, p in purses.items())
+                assert all(
+                    p.tokens >= before[level].get(k, 0) - 1e-9
+                    for level, purses in book.purses.items()
+                    for k, p in purses.items()
+                )
         for level, purses in book.purses.items():
             assert all(-1e-9 <= purse.tokens <= TERMS[level].most + 1e-9 for purse in purses.values())
     fleet = TERMS[Level.FLEET]
@@ -220,9 +233,12 @@
 
 # --- when they come back
 
+
 @settings(max_examples=100, derandomize=True, deadline=None)
-@given(st.lists(st.tuples(st.integers(0, 60 * MS), st.integers(0, 3_000 * MS), st.booleans()), max_size=200),
-       st.floats(0, 400))
+@given(
+    st.lists(st.tuples(st.integers(0, 60 * MS), st.integers(0, 3_000 * MS), st.booleans()), max_size=200),
+    st.floats(0, 400),
+)
 def test_promised_room_is_never_over_booked(steps: list[tuple[int, int, bool]], room: float) -> None:
     planner, now = Planner(2 * SECOND, 7), SECOND
     planner.room = room
@@ -266,6 +282,7 @@
 
 # --- all together, in the core
 
+
 class Quiet:
     """Servers that never answer; the engine's port."""
 
@@ -297,19 +314,35 @@
         return self.at
 
 
-CLASSES = {"clip": api.RequestClass("clip", aim=600 * MS, deadline=5 * SECOND, worth=2.0, parts=True),
-           "buy": api.RequestClass("buy", effect=api.Effect.KEYED, window=2 * SECOND, aim=700 * MS,
-                                   deadline=3 * SECOND, worth=3.0, write=True)}
+CLASSES = {
+    "clip": api.RequestClass("clip", aim=600 * MS, deadline=5 * SECOND, worth=2.0, parts=True),
+    "buy": api.RequestClass(
+        "buy", effect=api.Effect.KEYED, window=2 * SECOND, aim=700 * MS, deadline=3 * SECOND, worth=3.0, write=True
+    ),
+}
 
 
 def core(config: OverloadConfig | None = None) -> tuple[Engine, Control, Gathers, Time]:
     clock, stats = Time(), Stats()
-    known = api.Settings(CLASSES, zone="z", flow=4_000.0, advice=True, max_advice=500 * MS, cancel=True, max_attempts=3,
-                         origin_kind="origin", direct=True)
+    known = api.Settings(
+        CLASSES,
+        zone="z",
+        flow=4_000.0,
+        advice=True,
+        max_advice=500 * MS,
+        cancel=True,
+        max_attempts=3,
+        origin_kind="origin",
+        direct=True,
+    )
     engine = Engine(known, 1, clock, Deadlines(lambda when: None, lambda error: None), stats, lambda text: None)
     engine.start(Quiet())
-    engine.listed(api.ListNews(api.ListKind.FULL, tuple(
-        api.Entry(n, api.State.READY, "z", kind) for n, kind in ((1, "std"), (2, "std"), (3, "origin")))))
+    engine.listed(
+        api.ListNews(
+            api.ListKind.FULL,
+            tuple(api.Entry(n, api.State.READY, "z", kind) for n, kind in ((1, "std"), (2, "std"), (3, "origin"))),
+        )
+    )
     control = Control(CLASSES, 4_000.0, 500 * MS, config or OverloadConfig(), 5, lambda text: None)
     engine.guard = control
     return engine, control, Gathers(), clock
@@ -321,10 +354,15 @@
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
-@given(st.lists(st.sampled_from(["ask", "again", "buy", "serve", "miss", "leave", "turn", "storm", "calm", "late"]),
-                max_size=80), st.randoms(use_true_random=False))
-def test_whatever_happens_each_request_gets_one_answer_and_nothing_is_kept_of_it(steps: list[str],
-                                                                                 draw: random.Random) -> None:
+@given(
+    st.lists(
+        st.sampled_from(["ask", "again", "buy", "serve", "miss", "leave", "turn", "storm", "calm", "late"]), max_size=80
+    ),
+    st.randoms(use_true_random=False),
+)
+def test_whatever_happens_each_request_gets_one_answer_and_nothing_is_kept_of_it(
+    steps: list[str], draw: random.Random
+) -> None:
     engine, control, front, clock = core()
     open_handles: dict[int, int] = {}
     left: set[int] = set()
@@ -333,9 +371,16 @@
         clock.at += draw.randrange(40 * MS)
         if step in ("ask", "again", "buy"):
             ref += 1
-            ask = Ask(f"{ref:016x}", "buy" if step == "buy" else "clip", f"o{draw.randrange(4)}", 2 * SECOND,
-                      part=draw.randrange(3), repeat=step == "again", client=f"c{draw.randrange(3)}",
-                      token=f"k{draw.randrange(3)}" if step == "buy" else None)
+            ask = Ask(
+                f"{ref:016x}",
+                "buy" if step == "buy" else "clip",
+                f"o{draw.randrange(4)}",
+                2 * SECOND,
+                part=draw.randrange(3),
+                repeat=step == "again",
+                client=f"c{draw.randrange(3)}",
+                token=f"k{draw.randrange(3)}" if step == "buy" else None,
+            )
             handle = engine.ask(front, ref, ask)
             if ref not in front.answers:
                 open_handles[ref] = handle
@@ -368,8 +413,18 @@
     engine, control, front, clock = core()
 
     def ask(n: int, cls: str = "clip", **more: object) -> Answer | None:
-        engine.ask(front, n, Ask(f"{n:016x}", cls, more.pop("object", f"o{n}"), 3 * SECOND,
-                                 client=more.pop("client", f"c{n % 10}"), **more))
+        engine.ask(
+            front,
+            n,
+            Ask(
+                f"{n:016x}",
+                cls,
+                more.pop("object", f"o{n}"),
+                3 * SECOND,
+                client=more.pop("client", f"c{n % 10}"),
+                **more,
+            ),
+        )
         return front.answers.get(n, [None])[0]
 
     assert ask(1, object="song", part=4, client="listener") is None
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -83,10 +83,18 @@
 
 def test_works_say_by_whom_they_are_done_and_when_they_are_late() -> None:
     assert snapshots_by("a", ["a", "c", "b"]) == "b" and snapshots_by("a", ["a"]) == "a"
-    found = [work.document(100_000) for work in works(
-        "a", ["a", "b"], {"number": 3, "done": 1, "steps": 4, "moved": 10_000}, 2, 10, 5, 90_000, 7)]
-    assert found[0] | {"due": 0} == {"name": "apply 3", "owner": "a", "effect": "once", "progress": "1 of 4 steps",
-                                     "due": 0, "late": True}
+    found = [
+        work.document(100_000)
+        for work in works("a", ["a", "b"], {"number": 3, "done": 1, "steps": 4, "moved": 10_000}, 2, 10, 5, 90_000, 7)
+    ]
+    assert found[0] | {"due": 0} == {
+        "name": "apply 3",
+        "owner": "a",
+        "effect": "once",
+        "progress": "1 of 4 steps",
+        "due": 0,
+        "late": True,
+    }
     assert [work["owner"] for work in found[1:]] == ["a", "a", "b", "a"] and not any(w["late"] for w in found[1:])
 
 
@@ -107,10 +115,15 @@
 
 def test_a_change_is_the_same_behind_the_agreement() -> None:
     change = Change(
-        meta={"pos": 7}, records=[Record("box", "b", {"size": 4}, Phase.COLD, 1, 2, 3)], dropped=["box.c"],
-        events=[(7, b'{"pos":7}\n')], version=Version(1, 2, "w", "y", 0, {"x": {}}, "d"),
-        apply=Apply(1, 1, {"p": 1}, "open", "h", 3, 4, 5), steps=[StepState(1, "s", "done", 7, 8, "n")],
-        forget_events=2)
+        meta={"pos": 7},
+        records=[Record("box", "b", {"size": 4}, Phase.COLD, 1, 2, 3)],
+        dropped=["box.c"],
+        events=[(7, b'{"pos":7}\n')],
+        version=Version(1, 2, "w", "y", 0, {"x": {}}, "d"),
+        apply=Apply(1, 1, {"p": 1}, "open", "h", 3, 4, 5),
+        steps=[StepState(1, "s", "done", 7, 8, "n")],
+        forget_events=2,
+    )
     assert decode(json.loads(json.dumps(encode(change)))) == change
 
 
@@ -158,9 +171,17 @@
     assert [pos for pos, _ in machine.sqlite.events(0, 9)] == [1]
 
 
-@pytest.mark.parametrize(("change", "said"), [
-    ('name = "b"', "name"), ('agree = "127.0.0.1:1"', "stands twice"), ('agree = "10.0.0.1:9"', "loopback"),
-    ('api = "nowhere"', "api"), ("lease_ms = 5", "lease_ms"), ("more = 1", "more")])
+@pytest.mark.parametrize(
+    ("change", "said"),
+    [
+        ('name = "b"', "name"),
+        ('agree = "127.0.0.1:1"', "stands twice"),
+        ('agree = "10.0.0.1:9"', "loopback"),
+        ('api = "nowhere"', "api"),
+        ("lease_ms = 5", "lease_ms"),
+        ("more = 1", "more"),
+    ],
+)
 def test_a_members_file_with_a_fault_is_told_with_its_place(tmp_path: Path, change: str, said: str) -> None:
     (tmp_path / "secret").write_text("s" * 40)
     (tmp_path / "secret").chmod(0o600)
@@ -221,6 +242,7 @@
 
 async def same_everywhere(one: Trio) -> list[dict]:
     """All members come to the same records and numbers; their states."""
+
     async def states() -> list[dict]:
         return [await asyncio.to_thread(client.Caller(one.at(n, 1), TOKEN), "GET", "/v1/state") for n in NAMES]
 
@@ -248,8 +270,9 @@
 
 
 @pytest.mark.parametrize("place", [0.0, 0.25, 0.7])
-def test_an_owner_that_is_stopped_during_an_apply_does_nothing_after_and_another_ends_it(tmp_path: Path,
-                                                                                         place: float) -> None:
+def test_an_owner_that_is_stopped_during_an_apply_does_nothing_after_and_another_ends_it(
+    tmp_path: Path, place: float
+) -> None:
     """Stopped for over three leases, then continued: with what it had in hand it writes nothing."""
 
     async def scene(one: Trio) -> None:
@@ -444,8 +467,17 @@
             assert (await alone.get("/v1/state"))["records"] == before["records"]
             for name in ("b", "c"):
                 names = (*names, name)
-                added = await alone.command("member", "add", name, "--agree", alone.at(name, 0), "--api",
-                                            alone.at(name, 1), "--feed", alone.at(name, 2))
+                added = await alone.command(
+                    "member",
+                    "add",
+                    name,
+                    "--agree",
+                    alone.at(name, 0),
+                    "--api",
+                    alone.at(name, 1),
+                    "--feed",
+                    alone.at(name, 2),
+                )
                 out = await added.communicate()
                 assert added.returncode == 0, out
                 await alone.start_member(name, names)
@@ -501,8 +533,13 @@
                     got = peer.recv(65_536)
                     assert TOKEN.encode() not in got and one.secret.encode() not in got and len(got) < 500
 
-        messages = (len(raw).to_bytes(4, "little") + raw, len(raw).to_bytes(4, "big") + raw, raw,
-                    b"\x04\x00\x00\x00\x80\x04N.", b"x" * 5_000)
+        messages = (
+            len(raw).to_bytes(4, "little") + raw,
+            len(raw).to_bytes(4, "big") + raw,
+            raw,
+            b"\x04\x00\x00\x00\x80\x04N.",
+            b"x" * 5_000,
+        )
         await asyncio.gather(*(asyncio.to_thread(attack, name, message) for name in NAMES for message in messages))
         assert not mark.exists()
         assert all([(await one.seen(name))["fresh"] for name in NAMES])
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -110,15 +110,32 @@
 def test_a_long_first_list_gives_the_same_rooms_as_one_that_is_told_at_once() -> None:
     """Guards against a first list that is taken in slices: how many fills a source has room for follows from how many
     sources there are, and the first slice knows of none."""
-    members = [{"id": f"s-{n:08x}", "host_port": "127.0.0.1:1", "locality": "here", "flavor": "box", "cell": 1,
-                "phase": "SERVING", "size": 1, "up_since_ms": 0} for n in range(1_000, 1_300)]
-    members += [member | {"id": f"s-{n:08x}", "locality": "hub", "flavor": "parent"}
-                for n, member in enumerate(members[:20], 2_000)]
+    members = [
+        {
+            "id": f"s-{n:08x}",
+            "host_port": "127.0.0.1:1",
+            "locality": "here",
+            "flavor": "box",
+            "cell": 1,
+            "phase": "SERVING",
+            "size": 1,
+            "up_since_ms": 0,
+        }
+        for n in range(1_000, 1_300)
+    ]
+    members += [
+        member | {"id": f"s-{n:08x}", "locality": "hub", "flavor": "parent"}
+        for n, member in enumerate(members[:20], 2_000)
+    ]
     many = replace(SETTINGS, zones=("hub", *map(str, range(60))), zone_routers=(0, *[1] * 60), routers=60)
     made, at_once = (Engine(many, 1, Clock(), Deadlines(lambda when: None, print), Stats(), print) for _ in range(2))
     journal = Journal(made, Pools(), print)
     journal.catch_up(1, [read_event({"pos": 1, "hosts": {"complete": True, "members": members}})])
-    at_once.listed(api.ListNews(api.ListKind.FULL, tuple(
-        read_event({"pos": 1, "hosts": {"members": [member]}}).members[0].entry for member in members)))
+    at_once.listed(
+        api.ListNews(
+            api.ListKind.FULL,
+            tuple(read_event({"pos": 1, "hosts": {"members": [member]}}).members[0].entry for member in members),
+        )
+    )
     rooms = {number: server.fill_room for number, server in at_once.router.fleet.servers.items()}
     assert {n: server.fill_room for n, server in made.router.fleet.servers.items()} == rooms
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -43,33 +43,61 @@
     return attributes["a"].value(configuration.Scope(configuration.nothing, names))
 
 
-@pytest.mark.parametrize(("expression", "value"), [
-    ("1 + 2 * 3 - 4 / 2", 5), ("(1 + 2) * 3", 9), ("-7 % 3", -1), ("!true || 1 < 2 && 2 <= 2", True),
-    ('"a${1 + 1}b${true}$${c}"', "a2btrue${c}"), (r'"q\"\n\u00e9"', 'q"\né'),
-    ("[for i in range(3) : i * i]", [0, 1, 4]),
-    ('{for k, v in {a = 1, b = 2} : "x-${k}" => v if v > 1}', {"x-b": 2}), ("x > 2 ? [1] : [2]", [1]),
-    ('format("%03d-%s%%", 7, "z")', "007-z%"), ('merge({a = 1}, {a = 2, "b c" = 3})', {"a": 2, "b c": 3}),
-    ('{a = [10, 20]}.a[1]', 20), ('join("-", toset(["b", "a", "b"]))', "a-b"),
-    ("<<-T\n  one\n   two\n  T\n", "one\n two\n"),
-    ('lookup({a = 1}, "b", 9)', 9), ("flatten([[1, [2]], 3])", [1, 2, 3]),
-    ('tonumber("12") + ceil(1.2)', 14), ("null", None)])
+@pytest.mark.parametrize(
+    ("expression", "value"),
+    [
+        ("1 + 2 * 3 - 4 / 2", 5),
+        ("(1 + 2) * 3", 9),
+        ("-7 % 3", -1),
+        ("!true || 1 < 2 && 2 <= 2", True),
+        ('"a${1 + 1}b${true}$${c}"', "a2btrue${c}"),
+        (r'"q\"\n\u00e9"', 'q"\né'),
+        ("[for i in range(3) : i * i]", [0, 1, 4]),
+        ('{for k, v in {a = 1, b = 2} : "x-${k}" => v if v > 1}', {"x-b": 2}),
+        ("x > 2 ? [1] : [2]", [1]),
+        ('format("%03d-%s%%", 7, "z")', "007-z%"),
+        ('merge({a = 1}, {a = 2, "b c" = 3})', {"a": 2, "b c": 3}),
+        ("{a = [10, 20]}.a[1]", 20),
+        ('join("-", toset(["b", "a", "b"]))', "a-b"),
+        ("<<-T\n  one\n   two\n  T\n", "one\n two\n"),
+        ('lookup({a = 1}, "b", 9)', 9),
+        ("flatten([[1, [2]], 3])", [1, 2, 3]),
+        ('tonumber("12") + ceil(1.2)', 14),
+        ("null", None),
+    ],
+)
 def test_expressions(expression: str, value: object) -> None:
     assert value_of(expression, x=3) == value
 
 
-@pytest.mark.parametrize(("expression", "said"), [
-    ("nobody", "there is no `nobody`"), ("x[*].y", "not supported"), ('"%{if true}a%{endif}"', "not supported"),
-    ("f(1)", "there is no function `f`"), ("max([1]...)", "not supported"), ("1 / 0", "division"),
-    ('1 + "a"', "a number"),
-    ("[1][5]", "no item 5"), ("{a = 1}.b", "no 'b'"), ("range(99999999)", "over"), ('{a = 1, "a" = 2}', "twice"),
-    ('format("%d", "x")', "takes a number"), ("true ? 1", "HCL"), ("<<T\n${x}\nT\n", "plain text")])
+@pytest.mark.parametrize(
+    ("expression", "said"),
+    [
+        ("nobody", "there is no `nobody`"),
+        ("x[*].y", "not supported"),
+        ('"%{if true}a%{endif}"', "not supported"),
+        ("f(1)", "there is no function `f`"),
+        ("max([1]...)", "not supported"),
+        ("1 / 0", "division"),
+        ('1 + "a"', "a number"),
+        ("[1][5]", "no item 5"),
+        ("{a = 1}.b", "no 'b'"),
+        ("range(99999999)", "over"),
+        ('{a = 1, "a" = 2}', "twice"),
+        ('format("%d", "x")', "takes a number"),
+        ("true ? 1", "HCL"),
+        ("<<T\n${x}\nT\n", "plain text"),
+    ],
+)
 def test_what_is_not_supported_is_a_fault(expression: str, said: str) -> None:
     with pytest.raises((Invalid, configuration.EvalError), match="(?s).*" + said.replace("(", r"\(")):
         value_of(expression, x=[1])
 
 
 def test_all_faults_are_told_at_once_with_file_line_and_name() -> None:
-    text = BASE + '''
+    text = (
+        BASE
+        + """
 box "costa-0" {
   node    = node.nowhere
   address = "127.0.0.1:19010"
@@ -94,7 +122,8 @@
   zones = ["route.example", "a..b"]
 }
 thing "y" {}
-'''
+"""
+    )
     line = BASE.count("\n")
     with pytest.raises(Invalid) as caught:
         read(text, boxes=3, colour="red")
@@ -112,8 +141,15 @@
     with pytest.raises(Invalid) as caught:
         read('node "n" {\n  hub = hub.none\n  lod = 1\n}\nvariable "v" {}\nlocals {\n  a = local.b\n  b = local.a\n}')
     text = str(caught.value)
-    assert all(part in text for part in ("x.hcl:2: node.n: hub: there is no 'none'", "x.hcl:3: node.n: lod: no such",
-                                         "x.hcl:5: variable.v", "local.a needs itself: a -> b -> a"))
+    assert all(
+        part in text
+        for part in (
+            "x.hcl:2: node.n: hub: there is no 'none'",
+            "x.hcl:3: node.n: lod: no such",
+            "x.hcl:5: variable.v",
+            "local.a needs itself: a -> b -> a",
+        )
+    )
 
 
 def test_a_syntax_error_in_one_file_hides_none_in_another(tmp_path: Path) -> None:
@@ -127,20 +163,28 @@
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
-@given(st.text(max_size=200) | st.lists(st.sampled_from(
-    ['box "a" {', "}", "\n", "a = ", "[", "]", "1", '"${', "x.y", "<<E\n", "E\n", "for", " : ", "{", "?", "%{"]),
-    max_size=25).map("".join))
+@given(
+    st.text(max_size=200)
+    | st.lists(
+        st.sampled_from(
+            ['box "a" {', "}", "\n", "a = ", "[", "]", "1", '"${', "x.y", "<<E\n", "E\n", "for", " : ", "{", "?", "%{"]
+        ),
+        max_size=25,
+    ).map("".join)
+)
 def test_no_text_is_more_than_a_fault(text: str) -> None:
     with contextlib.suppress(Invalid):
         configuration.evaluate(syntax.parse(text, "x", []))
 
 
 def test_canonical_form_changes_white_space_only_and_once() -> None:
-    messy = ('locals {\n\n\n  a=1 # one\n long_name   =   "x = y"\n  m = {\n a = 1\n  bb = [1,\n2]\n}\n'
-             ' t = <<E\n  kept  \nE\n'
-             '/* a\n   b */\n}\n\n\nhub   "h" {}\n\n')
+    messy = (
+        'locals {\n\n\n  a=1 # one\n long_name   =   "x = y"\n  m = {\n a = 1\n  bb = [1,\n2]\n}\n'
+        " t = <<E\n  kept  \nE\n"
+        '/* a\n   b */\n}\n\n\nhub   "h" {}\n\n'
+    )
     once = fmt.canonical(messy)
-    assert fmt.canonical(once) == once and "  a         = 1 # one\n  long_name = \"x = y\"\n" in once
+    assert fmt.canonical(once) == once and '  a         = 1 # one\n  long_name = "x = y"\n' in once
     assert "  kept  \nE\n" in once and "    bb = [1,\n      2]\n" in once
     blocks = [syntax.parse(text, "x", []) for text in (messy, once)]
     assert len({str([(b.kind, b.labels, sorted(b.attributes)) for b in side]) for side in blocks}) == 1
@@ -149,6 +193,7 @@
 
 # --- the planner
 
+
 def settled(resources: dict[str, Resource]) -> Fleet:
     """The state in which these are all made and confirmed."""
     wanted = planner.with_configurations(resources)
@@ -160,16 +205,22 @@
 def test_four_boxes_come_in_as_many_rounds_as_the_node_can_warm() -> None:
     plan = planner.plan(read(BASE, boxes=7), settled(read(BASE)).records.values())
     assert [(s.id, s.wave) for s in plan.steps] == [
-        ("add box.costa-3", 0), ("add box.costa-4", 1), ("add box.costa-5", 1), ("add box.costa-6", 2)]
+        ("add box.costa-3", 0),
+        ("add box.costa-4", 1),
+        ("add box.costa-5", 1),
+        ("add box.costa-6", 2),
+    ]
 
 
 def test_upper_caches_come_before_the_boxes_that_fill_from_them_and_go_after() -> None:
     more = BASE.replace('toset(["a", "b"])', 'toset(["a", "b", "c"])').replace(
-        '"a" ? 1 : 2', '"a" ? 1 : each.key == "b" ? 2 : 3')
+        '"a" ? 1 : 2', '"a" ? 1 : each.key == "b" ? 2 : 3'
+    )
     plan = planner.plan(read(more, boxes=4), settled(read(BASE)).records.values())
     at = {s.id: s.wave for s in plan.steps}
     assert at["add parent.upper-c"] < at["add box.costa-3"] and "add parent.upper-c" in {
-        n for s in plan.steps if s.id == "add box.costa-3" for n in s.needs}
+        n for s in plan.steps if s.id == "add box.costa-3" for n in s.needs
+    }
     back = planner.plan(read(BASE), settled(read(more, boxes=4)).records.values())
     at = {s.id: s.wave for s in back.steps}
     assert at["update box.costa-0"] <= at["drain parent.upper-c"] < at["remove parent.upper-c"]
@@ -231,7 +282,10 @@
         return [(s.id, s.wave) for s in plan.steps]
 
     assert steps("client_kb_per_s = 4000", "client_kb_per_s = 5000") == [
-        ("set settings.settings", 0), ("set proxy.p-1", 1), ("set proxy.p-2", 2)]
+        ("set settings.settings", 0),
+        ("set proxy.p-1", 1),
+        ("set proxy.p-2", 2),
+    ]
     assert steps("settle_s        = 1.0", "settle_s        = 2.0") == [("set settings.settings", 0)]
 
 
@@ -239,7 +293,9 @@
     observed = Observed(frozenset({"box.costa-1"}), {"proxy.p-2": "silent for 9.0 s"})
     plan = planner.plan(read(BASE), settled(read(BASE)).records.values(), observed)
     assert not plan.steps and [(d.id, d.observed) for d in plan.drift] == [
-        ("box.costa-1", "no live proxy reaches it"), ("proxy.p-2", "silent for 9.0 s")]
+        ("box.costa-1", "no live proxy reaches it"),
+        ("proxy.p-2", "silent for 9.0 s"),
+    ]
     assert "Nothing to do" in saved.told(saved.document(plan, {}, 1, 1))
 
 
@@ -252,8 +308,7 @@
 def installations(draw: st.DrawFn) -> dict[str, Resource]:
     """Some installation of two nodes, up to three upper caches and up to five boxes a node, at few addresses."""
     attrs = {"classes": A_CLASS, "v": draw(st.integers(0, 1)), **TIMES}
-    made = {"settings.settings": Resource("settings", "settings", attrs),
-            "hub.h": Resource("hub", "h", {})}
+    made = {"settings.settings": Resource("settings", "settings", attrs), "hub.h": Resource("hub", "h", {})}
     free = draw(st.permutations([f"127.0.0.1:{i}" for i in range(1, 24)]))
     server = {"size": 4.0, "cell": 0, "warm": False}
 
@@ -265,12 +320,27 @@
     for name in parents:
         put("parent", name, hub="hub.h", address=free.pop(), fills_from=["library.l"], **server)
     for node in NODES:
-        put("node", node, hub="hub.h", load=draw(st.sampled_from([0.2, 0.5, 0.8])), hits=0.65, link_room=1.3,
-            cold_at_once=None, allow_empty=False, link_kb_per_s=0.0)
+        put(
+            "node",
+            node,
+            hub="hub.h",
+            load=draw(st.sampled_from([0.2, 0.5, 0.8])),
+            hits=0.65,
+            link_room=1.3,
+            cold_at_once=None,
+            allow_empty=False,
+            link_kb_per_s=0.0,
+        )
         for name in draw(st.lists(st.sampled_from("abcde"), min_size=1, unique=True)):
             sources = sorted(draw(st.sets(st.sampled_from(parents))))
-            put("box", f"{node}-{name}", node=f"node.{node}", address=free.pop(),
-                fills_from=[f"parent.{s}" for s in sources], **server)
+            put(
+                "box",
+                f"{node}-{name}",
+                node=f"node.{node}",
+                address=free.pop(),
+                fills_from=[f"parent.{s}" for s in sources],
+                **server,
+            )
         for i in range(draw(st.integers(0, 2))):
             put("proxy", f"p-{node}-{i}", node=f"node.{node}", listen=f"127.0.1.{NODES.index(node)}:{i + 1}")
     return made
@@ -279,7 +349,8 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(installations(), installations(), st.randoms(use_true_random=False))
 def test_every_prefix_of_a_plan_keeps_the_rules_and_leaves_just_the_rest(
-        before: dict[str, Resource], after: dict[str, Resource], chance: random.Random) -> None:
+    before: dict[str, Resource], after: dict[str, Resource], chance: random.Random
+) -> None:
     fleet = settled(before)
     plan = planner.plan(after, fleet.records.values())
     fleet.places = rules.places(planner.with_configurations(after).values())
@@ -288,8 +359,11 @@
     left, done = list(plan.steps), set()
     while left:
         first = {s.place: s for s in reversed(left)}  # no step of a place overtakes another
-        ready = [s for s in left if not set(s.needs) - done and planner.guard(fleet, s) is None
-                 and (s.place is None or first[s.place] is s)]
+        ready = [
+            s
+            for s in left
+            if not set(s.needs) - done and planner.guard(fleet, s) is None and (s.place is None or first[s.place] is s)
+        ]
         if not ready:  # confirmation is all that is missing
             moved, known = planner.settle(fleet), len(done)
             done = {s.id for s in plan.steps if s not in left}
@@ -317,7 +391,8 @@
 @settings(max_examples=120, deadline=None, derandomize=True)
 @given(installations(), installations(), st.randoms(use_true_random=False))
 def test_an_apply_ends_in_whatever_order_its_steps_are_confirmed(
-        before: dict[str, Resource], after: dict[str, Resource], chance: random.Random) -> None:
+    before: dict[str, Resource], after: dict[str, Resource], chance: random.Random
+) -> None:
     fleet = settled(before)
     plan = planner.plan(after, fleet.records.values())
     fleet.places = rules.places(planner.with_configurations(after).values())
@@ -348,7 +423,7 @@
     assert saved.check(json.loads(json.dumps(document))) == document
     raw = json.dumps(document)
     for at in range(0, len(raw), 97):
-        altered = raw[:at] + chr(ord(raw[at]) ^ 1) + raw[at + 1:]
+        altered = raw[:at] + chr(ord(raw[at]) ^ 1) + raw[at + 1 :]
         try:
             again = json.loads(altered)
         except ValueError:
@@ -369,8 +444,10 @@
 
 def test_a_server_that_drains_returns_and_one_that_was_drained_begins_anew() -> None:
     wanted = read(BASE)
-    for phase, ids in ((Phase.DRAINING, ["return box.costa-2"]),
-                       (Phase.DRAINED, ["remove box.costa-2", "add box.costa-2"])):
+    for phase, ids in (
+        (Phase.DRAINING, ["return box.costa-2"]),
+        (Phase.DRAINED, ["remove box.costa-2", "add box.costa-2"]),
+    ):
         fleet = settled(wanted)
         old = fleet.records["box.costa-2"]
         fleet.put(Record("box", old.name, old.attrs, phase, since=5))
@@ -390,9 +467,18 @@
     told = read_settings(options.options(made, made["proxy.west-2"]))
     assert (told.tells, told.zone, told.crew, told.routers) == (api.Tells.ALL, "west-1", 2, 4)
     assert dict(zip(told.zones, told.zone_hub, strict=True)) == {
-        "central": 0, "east": 1, "west": 2, "central-1": 0, "east-1": 1, "west-1": 2}
+        "central": 0,
+        "east": 1,
+        "west": 2,
+        "central-1": 0,
+        "east-1": 1,
+        "west-1": 2,
+    }
     assert [(c.effect, c.write, c.fresh) for c in told.classes.values()] == [
-        (api.Effect.UNSAFE, True, 0), (api.Effect.SAFE, False, 12_000_000), (api.Effect.SAFE, False, 0)]
+        (api.Effect.UNSAFE, True, 0),
+        (api.Effect.SAFE, False, 12_000_000),
+        (api.Effect.SAFE, False, 0),
+    ]
     assert (told.drain_grace, told.parent_cold_from, told.fall_window) == (500_000, 0.069, 1_000_000)
 
 
@@ -412,6 +498,7 @@
     """Guards against a store that an earlier version wrote, whose settings know neither notes nor reports."""
     made = read(BASE)
     old = made["settings.settings"]
-    made["settings.settings"] = Resource("settings", "settings",
-                                         {k: v for k, v in old.attrs.items() if k not in ("notes", "reports")})
+    made["settings.settings"] = Resource(
+        "settings", "settings", {k: v for k, v in old.attrs.items() if k not in ("notes", "reports")}
+    )
     assert options.options(made, made["proxy.p-1"])["extra"]["notes-given"] == "none"
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -30,8 +30,15 @@
         assert (word, fields, body) == ("200", {}, f"{OBJECT}/3".encode())
         (ask,) = w.asked()
         assert {k: ask[k] for k in ("id", "profile", "thing", "nth", "rank", "from", "mode", "seen")} == {
-            "id": "9b1f03aa5c7e2d41", "profile": "clip-parts", "thing": OBJECT, "nth": "3", "rank": "1",
-            "from": w.parent.name, "mode": "collapse", "seen": "4be0"}
+            "id": "9b1f03aa5c7e2d41",
+            "profile": "clip-parts",
+            "thing": OBJECT,
+            "nth": "3",
+            "rank": "1",
+            "from": w.parent.name,
+            "mode": "collapse",
+            "seen": "4be0",
+        }
         assert 0 < int(ask["max"]) <= 3000 and "oldest" not in ask and "replay" not in ask
 
     play(tmp_path, scene)
@@ -352,15 +359,40 @@
     play(tmp_path, scene)
 
 
-BAD = [b"GET / HTTP/1.1\r\n\r\n",
-       b"*9\r\n", b"*2\r\n$99999\r\n", b"*1\r\n$3\r\nASKxx", b"*2\r\n$3\r\nASK\r\n$1\r\n0\r\n",
-       b"*2\r\n$4\r\nEVAL\r\n$1\r\n1\r\n", b"*-1\r\n", b"$5\r\nhello\r\n", b"\x00" * 100]
-
-
-UNUSABLE = [{"rid": "x"}, {"obj": "zz"}, {"budget": "soon"}, {"budget": "\u0662"}, {"budget": "1_0"}, {"n": -1},
-            {"n": "\u00b2"}, {"mem": "nan"}, {"mem": "inf"}, {"mem": -1}, {"mem": "1e400"}, {"shard": 256},
-            {"shard": "9" * 30}, {"again": "yes"}, {"token": "a b"}, {"token": "a=b"}, {"mine": "a\r\ndo"},
-            {"mine": "a,rid=9b1f03aa5c7e2d41"}, {"acct": "a b"}]
+BAD = [
+    b"GET / HTTP/1.1\r\n\r\n",
+    b"*9\r\n",
+    b"*2\r\n$99999\r\n",
+    b"*1\r\n$3\r\nASKxx",
+    b"*2\r\n$3\r\nASK\r\n$1\r\n0\r\n",
+    b"*2\r\n$4\r\nEVAL\r\n$1\r\n1\r\n",
+    b"*-1\r\n",
+    b"$5\r\nhello\r\n",
+    b"\x00" * 100,
+]
+
+
+UNUSABLE = [
+    {"rid": "x"},
+    {"obj": "zz"},
+    {"budget": "soon"},
+    {"budget": "\u0662"},
+    {"budget": "1_0"},
+    {"n": -1},
+    {"n": "\u00b2"},
+    {"mem": "nan"},
+    {"mem": "inf"},
+    {"mem": -1},
+    {"mem": "1e400"},
+    {"shard": 256},
+    {"shard": "9" * 30},
+    {"again": "yes"},
+    {"token": "a b"},
+    {"token": "a=b"},
+    {"mine": "a\r\ndo"},
+    {"mine": "a,rid=9b1f03aa5c7e2d41"},
+    {"acct": "a b"},
+]
 
 
 def test_bad_bytes_get_an_error_and_a_closed_connection(tmp_path: Path) -> None:
@@ -505,9 +537,17 @@
     play(tmp_path, scene)
 
 
-SPOILT = [b"\x80\xff\x00noise\r\n", b"%s ok ver=a,born=1 3000000000\r\n" + b"x" * 5_000, b"%s ok - \xc2\xb2\r\n",
-          b"%s ok ver=a,born=1 3\r\nlonger\r\n", b"%s ok ver=a,born=1 -5\r\n", b"x" * 9_000, b"%s ok\r\n",
-          b"%s ok ver 3\r\nabc\r\n", b"%s fine ver=a 3\r\nabc\r\n"]
+SPOILT = [
+    b"\x80\xff\x00noise\r\n",
+    b"%s ok ver=a,born=1 3000000000\r\n" + b"x" * 5_000,
+    b"%s ok - \xc2\xb2\r\n",
+    b"%s ok ver=a,born=1 3\r\nlonger\r\n",
+    b"%s ok ver=a,born=1 -5\r\n",
+    b"x" * 9_000,
+    b"%s ok\r\n",
+    b"%s ok ver 3\r\nabc\r\n",
+    b"%s fine ver=a 3\r\nabc\r\n",
+]
 
 
 @pytest.mark.parametrize("raw", SPOILT)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -191,10 +191,19 @@
     assert learned.merge([])[0]["servers"] == []
 
 
-@pytest.mark.parametrize("wrong", [
-    {"servers": [[1, 0, 1, 1, 1, 1, 1]]}, {"servers": [[1, 0, 1, 1, -1, 1, 1, 1]]}, {"objects": [["", 1, 1]]},
-    {"classes": {"a": [float("nan"), 1]}}, {"work": True}, {"took": None}, {"servers": "x"},
-    {"objects": [["a", 1, 1]] * 900}])
+@pytest.mark.parametrize(
+    "wrong",
+    [
+        {"servers": [[1, 0, 1, 1, 1, 1, 1]]},
+        {"servers": [[1, 0, 1, 1, -1, 1, 1, 1]]},
+        {"objects": [["", 1, 1]]},
+        {"classes": {"a": [float("nan"), 1]}},
+        {"work": True},
+        {"took": None},
+        {"servers": "x"},
+        {"objects": [["a", 1, 1]] * 900},
+    ],
+)
 def test_a_document_that_cannot_be_used_is_refused_whole(wrong: dict[str, Any]) -> None:
     good = learned.gather(warmed().router, 2_000 * SECOND)
     with pytest.raises(Malformed):
@@ -286,15 +295,36 @@
 
 
 def member(name: str, phase: str = "SERVING", **more: Any) -> dict[str, Any]:
-    return {"id": name, "host_port": "127.0.0.1:9", "locality": "costa", "flavor": "box", "cell": 0, "size": 4,
-            "phase": phase, "up_since_ms": 0, **more}
+    return {
+        "id": name,
+        "host_port": "127.0.0.1:9",
+        "locality": "costa",
+        "flavor": "box",
+        "cell": 0,
+        "size": 4,
+        "phase": phase,
+        "up_since_ms": 0,
+        **more,
+    }
 
 
 def held(*worlds: tuple[str, int, list[dict[str, Any]]], zone: str = "costa") -> dict[str, adopt.Held]:
     known: dict[str, adopt.Held] = {}
     for proxy, pos, members in worlds:
-        adopt.take(known, {"proxy": proxy, "holds": {"pos": pos, "zone": zone, "part": 0, "of": 1, "members": members,
-                                                     "tenants": [{"name": "t", "zones": ["t.example"], "quota": 5}]}})
+        adopt.take(
+            known,
+            {
+                "proxy": proxy,
+                "holds": {
+                    "pos": pos,
+                    "zone": zone,
+                    "part": 0,
+                    "of": 1,
+                    "members": members,
+                    "tenants": [{"name": "t", "zones": ["t.example"], "quota": 5}],
+                },
+            },
+        )
     return known
 
 
@@ -304,19 +334,35 @@
 
 def test_a_proposal_tells_what_is_certain_in_doubt_and_missing() -> None:
     attrs = {"node": "node.costa", "address": "127.0.0.1:9", "cell": 0, "size": 4, "warm": False, "fills_from": []}
-    records = {f"box.{n}": {"kind": "box", "name": n, "attrs": attrs, "phase": "warm", "since": 0}
-               for n in ("same", "drained", "old")}
+    records = {
+        f"box.{n}": {"kind": "box", "name": n, "attrs": attrs, "phase": "warm", "since": 0}
+        for n in ("same", "drained", "old")
+    }
     records["node.costa"] = {"kind": "node", "name": "costa", "attrs": {"hub": "hub.x"}, "phase": "set", "since": 0}
-    here = held(("p-1", 90, [member("same"), member("drained", "DRAINING"), member("new", up_since_ms=7),
-                             member("split")]),
-                ("p-2", 90, [member("same"), member("drained", "DRAINING"), member("new", up_since_ms=7),
-                             member("split", host_port="127.0.0.1:8")]),
-                ("p-3", 80, [member("same"), member("drained"), member("undrained", "DRAINING")]))
+    here = held(
+        ("p-1", 90, [member("same"), member("drained", "DRAINING"), member("new", up_since_ms=7), member("split")]),
+        (
+            "p-2",
+            90,
+            [
+                member("same"),
+                member("drained", "DRAINING"),
+                member("new", up_since_ms=7),
+                member("split", host_port="127.0.0.1:8"),
+            ],
+        ),
+        ("p-3", 80, [member("same"), member("drained"), member("undrained", "DRAINING")]),
+    )
     proposal = adopt.propose(here.values(), records, 60, 95)
     assert found(proposal) == {
-        "box.same": ("certain", "warm"), "box.drained": ("certain", "draining"), "box.new": ("certain", "cold"),
-        "box.split": ("in doubt", "draining"), "box.old": ("missing", None), "node.costa": ("certain", "set"),
-        "tenant.t": ("certain", "set")}
+        "box.same": ("certain", "warm"),
+        "box.drained": ("certain", "draining"),
+        "box.new": ("certain", "cold"),
+        "box.split": ("in doubt", "draining"),
+        "box.old": ("missing", None),
+        "node.costa": ("certain", "set"),
+        "tenant.t": ("certain", "set"),
+    }
     assert proposal.pos == 96  # behind every number that any proxy named
     told = {f.id: f for f in proposal.findings}
     assert told["box.same"].record["attrs"]["warm"] is False  # as in the snapshot
@@ -373,11 +419,12 @@
 # --- processes of the program
 
 CALM = 12  # proxies, where not all 24 of the fleet's tests are needed
-RECOVERY = "[recovery]\ntrust_ms = 1500\nstate_folder = \"state\"\nevery_ms = 300\n"
+RECOVERY = '[recovery]\ntrust_ms = 1500\nstate_folder = "state"\nevery_ms = 300\n'
 
 
-def fleet(folder: Path, scene: Callable[[Swarm, Crowd], Awaitable[None]], proxies: int = CALM,
-          operator: str = RECOVERY) -> None:
+def fleet(
+    folder: Path, scene: Callable[[Swarm, Crowd], Awaitable[None]], proxies: int = CALM, operator: str = RECOVERY
+) -> None:
     """So many proxies with recovery on, eight caches and the journal behind links, clients at all of them."""
 
     async def run() -> None:
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -19,8 +19,15 @@
 
 
 def run(lines: list[str]) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "threadhill.simhost"], input="\n".join(lines) + "\n",
-                          capture_output=True, text=True, cwd=ROOT, timeout=60, check=False)
+    return subprocess.run(
+        [sys.executable, "-m", "threadhill.simhost"],
+        input="\n".join(lines) + "\n",
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+        timeout=60,
+        check=False,
+    )
 
 
 def play(lines: list[str]) -> list[list[Any]]:
@@ -141,15 +148,18 @@
     assert 250_000 <= refused[3] <= 500_000
 
 
-@pytest.mark.parametrize(("change", "said"), [
-    ({"n-instances": -3}, "n-instances is -3"),
-    ({"n-instances": 2, "zones": ["a", "b"], "extra": {"crew-by-zone": [1, 3]}}, "3 instances in b, more than"),
-    ({"zones": ["a"], "extra": {"crew-by-zone": [1, 2]}}, "names 2 zones"),
-    ({"zones": ["a"], "extra": {"crew-by-zone": ["x"]}}, "crew-by-zone of a must be a number"),
-    ({"obligations": {"ramp-time": -1}}, "ramp-time is -1"),
-    ({"limits": {"max-attempts": "3"}}, "max-attempts must be a whole number"),
-    ({"profiles": [{"name": "x", "repeat": "read_like", "deadline": -5}]}, "deadline of class x is -5"),
-])
+@pytest.mark.parametrize(
+    ("change", "said"),
+    [
+        ({"n-instances": -3}, "n-instances is -3"),
+        ({"n-instances": 2, "zones": ["a", "b"], "extra": {"crew-by-zone": [1, 3]}}, "3 instances in b, more than"),
+        ({"zones": ["a"], "extra": {"crew-by-zone": [1, 2]}}, "names 2 zones"),
+        ({"zones": ["a"], "extra": {"crew-by-zone": ["x"]}}, "crew-by-zone of a must be a number"),
+        ({"obligations": {"ramp-time": -1}}, "ramp-time is -1"),
+        ({"limits": {"max-attempts": "3"}}, "max-attempts must be a whole number"),
+        ({"profiles": [{"name": "x", "repeat": "read_like", "deadline": -5}]}, "deadline of class x is -5"),
+    ],
+)
 def test_settings_that_do_not_hold_together_are_refused_by_name(change: dict[str, object], said: str) -> None:
     with pytest.raises(simhost.Malformed, match=said):
         simhost.read_settings({"profiles": [{"name": "x", "repeat": "read_like"}]} | change)
@@ -157,7 +167,12 @@
 
 def test_one_instance_and_forty_divide_nothing_by_zero() -> None:
     for routers in (0, 1, 40):
-        options = {"profiles": [{"name": "x", "repeat": "read_like"}], "n-instances": routers, "zones": ["a"],
-                   "zone": "a", "extra": {"crew-by-zone": [routers]}}
+        options = {
+            "profiles": [{"name": "x", "repeat": "read_like"}],
+            "n-instances": routers,
+            "zones": ["a"],
+            "zone": "a",
+            "extra": {"crew-by-zone": [routers]},
+        }
         router = simhost.Router(simhost.read_settings(options), 1)
         assert router.crew == max(1, routers) and 0 < router.room_first < float("inf")
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -79,8 +79,7 @@
 
     def tell(self, n: int, since: int) -> None:
         self.told[n] = True
-        self.act(n, self.routers[n].handle(self.now, api.ListNews(
-            api.ListKind.CHANGES, (cache(COLD, since=since),))))
+        self.act(n, self.routers[n].handle(self.now, api.ListNews(api.ListKind.CHANGES, (cache(COLD, since=since),))))
 
 
 def play(crew: int, uneven: bool, seed: int) -> tuple[float, int]:
@@ -114,7 +113,9 @@
     fullest = [part for part, _ in played]
     near = sum(part > 0.8 for part in fullest) / SEEDS
     mean = sum(sent for _, sent in played) / SEEDS
-    print(f"crew {crew}, {'a third at one' if uneven else 'even'}: fullest window {max(fullest):.2f} of what is "
-          f"allowed, over 0.8 in {near:.1%} of {SEEDS} seeds, {mean:.1f} requests in {COLD_S:g} s")
+    print(
+        f"crew {crew}, {'a third at one' if uneven else 'even'}: fullest window {max(fullest):.2f} of what is "
+        f"allowed, over 0.8 in {near:.1%} of {SEEDS} seeds, {mean:.1f} requests in {COLD_S:g} s"
+    )
     assert max(fullest) <= 1.0
     assert mean > 3
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -30,10 +30,22 @@
 
 
 def deployment() -> Deployment:
-    classes = (RequestClass("pages", Effect.SAFE, 3.0, 2.0, False, 0.9),
-               RequestClass("orders", Effect.ONCE, 3.0, 2.0, True, 0.1))
-    return dataclasses.replace(draw(1), classes=classes, purge_slack=0.5, purge_takes=6.0, drain_grace=0.25,
-                               start_share=0.2, ramp=10.0, fall_multiple=2.0, fall_window=3.0, descriptors=256)
+    classes = (
+        RequestClass("pages", Effect.SAFE, 3.0, 2.0, False, 0.9),
+        RequestClass("orders", Effect.ONCE, 3.0, 2.0, True, 0.1),
+    )
+    return dataclasses.replace(
+        draw(1),
+        classes=classes,
+        purge_slack=0.5,
+        purge_takes=6.0,
+        drain_grace=0.25,
+        start_share=0.2,
+        ramp=10.0,
+        fall_multiple=2.0,
+        fall_window=3.0,
+        descriptors=256,
+    )
 
 
 class Run:
@@ -45,8 +57,9 @@
         self.record.processes[PROCESS] = self.life
         self.request = ClientRequest("9b1f03aa5c7e2d41", PROCESS, "pages", THING, 0, 17, 3.0, 10.0)
         self.record.requests[self.request.rid] = self.request
-        self.attempt = ServerAttempt(self.request.rid, SERVER, 1, "pages", 10.0, THING, 0, PARENT, 2.9, 0, "", True,
-                                     "ok", BORN)
+        self.attempt = ServerAttempt(
+            self.request.rid, SERVER, 1, "pages", 10.0, THING, 0, PARENT, 2.9, 0, "", True, "ok", BORN
+        )
         self.record.attempts.append(self.attempt)
         self.request.answers.append(ClientAnswer(10.1, "200", False, body_of(THING, 0, BORN)))
 
@@ -126,8 +139,9 @@
 
 def cold(run: Run) -> None:
     run.record.attempts += [dataclasses.replace(run.attempt, rid="", server=PARENT, at=i / 50) for i in range(500)]
-    run.record.attempts += [dataclasses.replace(run.attempt, rid="", server="s-000000aa", at=20 + i / 100)
-                            for i in range(500)]
+    run.record.attempts += [
+        dataclasses.replace(run.attempt, rid="", server="s-000000aa", at=20 + i / 100) for i in range(500)
+    ]
     run.record.cold_starts.append(ColdStart("s-000000aa", 19.0, {PROCESS: 19.2}))
 
 
@@ -147,12 +161,27 @@
     run.life.most_descriptors = 257
 
 
-CASES = [(lost, Rule.LOST), (late, Rule.LOST), (closed, Rule.LOST), (twice, Rule.SECOND_ANSWER), (spoilt, Rule.SPOILT),
-         (unsafe, Rule.TWICE), (refused, Rule.FALSE_REFUSAL), (purged, Rule.PURGED), (admits, Rule.ADMITS_PURGED),
-         (drained, Rule.DRAINED),
-         (source_drained, Rule.DRAINED), (left, Rule.LEFT), (too_long, Rule.MAX), (false_current, Rule.FALSE_CURRENT),
-         (cold, Rule.COLD), (never_ready, Rule.NOT_READY), (died, Rule.DIED), (not_ended, Rule.NOT_ENDED),
-         (over_limit, Rule.LIMIT)]
+CASES = [
+    (lost, Rule.LOST),
+    (late, Rule.LOST),
+    (closed, Rule.LOST),
+    (twice, Rule.SECOND_ANSWER),
+    (spoilt, Rule.SPOILT),
+    (unsafe, Rule.TWICE),
+    (refused, Rule.FALSE_REFUSAL),
+    (purged, Rule.PURGED),
+    (admits, Rule.ADMITS_PURGED),
+    (drained, Rule.DRAINED),
+    (source_drained, Rule.DRAINED),
+    (left, Rule.LEFT),
+    (too_long, Rule.MAX),
+    (false_current, Rule.FALSE_CURRENT),
+    (cold, Rule.COLD),
+    (never_ready, Rule.NOT_READY),
+    (died, Rule.DIED),
+    (not_ended, Rule.NOT_ENDED),
+    (over_limit, Rule.LIMIT),
+]
 
 
 @pytest.mark.parametrize("spoil, rule", CASES, ids=lambda case: getattr(case, "__name__", ""))
@@ -192,12 +221,24 @@
 
 @pytest.mark.parametrize("words", [["--seeds", "0"], ["--seeds", "many"], ["--first", "-1"], ["--jobs", "99"]])
 def test_a_number_that_cannot_be_played_is_refused_in_a_line(words: list[str]) -> None:
-    done = subprocess.run([sys.executable, "-m", "benchmarks.soak", *words], cwd=ROOT, capture_output=True, text=True,
-                          timeout=60, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "benchmarks.soak", *words],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     assert done.returncode == 2 and "takes a whole number from" in done.stderr and not done.stdout
 
 
 def test_a_program_that_does_not_start_is_not_judged_and_not_held(tmp_path: Path) -> None:
-    done = subprocess.run([sys.executable, "-m", "benchmarks.soak", "--seeds", "1", "--root", str(tmp_path)], cwd=ROOT,
-                          capture_output=True, text=True, timeout=120, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "benchmarks.soak", "--seeds", "1", "--root", str(tmp_path)],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=120,
+        check=False,
+    )
     assert done.returncode == 1 and '"held' not in done.stdout
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -20,8 +20,9 @@
 class Many:
     """Routers of one location, caches that take a time for each answer, and reports that come late."""
 
-    def __init__(self, routers: int, caches: int = 8, crew: int | None = None, parents: tuple[int, ...] = (21, 22),
-                 seed: int = 1) -> None:
+    def __init__(
+        self, routers: int, caches: int = 8, crew: int | None = None, parents: tuple[int, ...] = (21, 22), seed: int = 1
+    ) -> None:
         crew = crew or routers
         settings = replace(SETTINGS, tells=api.Tells.NONE, routers=crew, zone_routers=(0, crew, 0))
         self.random = random.Random(seed)
@@ -94,8 +95,9 @@
         served = outcome is Outcome.SERVED
         self.final["served"] += served
         slow = 5 if sent.server == self.slow and number % 3 == 0 else 1
-        ended = api.AttemptEnded(sent.id, attempt, sent.server, outcome, slow * self.took, served,
-                                 load=self.told(sent.server))
+        ended = api.AttemptEnded(
+            sent.id, attempt, sent.server, outcome, slow * self.took, served, load=self.told(sent.server)
+        )
         self.act(number, self.routers[number].handle(self.now, ended), attempt + 1)
 
     @property
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -38,8 +38,13 @@
 
 
 def command(port: int, *words: str) -> str:
-    return subprocess.run([sys.executable, "-m", "threadhill", "overload", *words, "--admin", f"127.0.0.1:{port}",
-                           "--token", "t" * 20], cwd=ROOT, capture_output=True, text=True, check=True).stdout
+    return subprocess.run(
+        [sys.executable, "-m", "threadhill", "overload", *words, "--admin", f"127.0.0.1:{port}", "--token", "t" * 20],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=True,
+    ).stdout
 
 
 def test_a_storm_is_seen_told_and_explained_and_each_request_has_one_answer(tmp_path: Path) -> None:
@@ -98,8 +103,12 @@
 """
 
     async def run() -> None:
-        w = World(tmp_path, caches=3, operator=OPERATOR + view,
-                  settings={"extra": SETTINGS["extra"] | {"bypass-allowed": False}})
+        w = World(
+            tmp_path,
+            caches=3,
+            operator=OPERATOR + view,
+            settings={"extra": SETTINGS["extra"] | {"bypass-allowed": False}},
+        )
         w.caches[2].locality = "sierra"
         w.caches[2].up_since = int(time.time() * 1_000) - 1  # cold: it takes next to nothing
         async with w:
@@ -219,8 +228,11 @@
             begun = time.time()
             for server in servers.values():
                 server.copies = Copies()
-            await asyncio.gather(players.run(9), faults.play(library, faults.Fault("slow", 0, 3, 5.0)),
-                                 faults.play(parents[0], faults.Fault("stop", 0, 3, 2.0)))
+            await asyncio.gather(
+                players.run(9),
+                faults.play(library, faults.Fault("slow", 0, 3, 5.0)),
+                faults.play(parents[0], faults.Fault("stop", 0, 3, 2.0)),
+            )
             return players, list(library.arrivals), begun
         finally:
             players.close()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -126,11 +126,20 @@
     async def scene() -> None:
         config = tmp_path / "config.json"
         config.write_text('{"name":"n0","listen":"127.0.0.1:0","settings":{}}')
-        for value, said in (("seven", b"LB_LISTEN_FD is not a descriptor number"), ("2", b"of 3 or more"),
-                            ("7", b"descriptor 7 is not a socket")):
+        for value, said in (
+            ("seven", b"LB_LISTEN_FD is not a descriptor number"),
+            ("2", b"of 3 or more"),
+            ("7", b"descriptor 7 is not a socket"),
+        ):
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "threadhill", "serve", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
-                env=os.environ | {"LB_CONFIG": str(config), "LB_LISTEN_FD": value})
+                sys.executable,
+                "-m",
+                "threadhill",
+                "serve",
+                cwd=ROOT,
+                stderr=asyncio.subprocess.PIPE,
+                env=os.environ | {"LB_CONFIG": str(config), "LB_LISTEN_FD": value},
+            )
             _, error = await process.communicate()
             assert process.returncode == 2 and said in error, error
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -88,9 +88,13 @@
     """Guards against an attempt that was decided on before the purge and is written long after it: it names no age."""
     ends: list[tuple[int, Ended]] = []
     clock = Clock()
-    engine = SimpleNamespace(gate=None, clock=clock, stats=Stats(),
-                             deadlines=Deadlines(lambda when: None, lambda error: None),
-                             ended=lambda attempt, end: ends.append((attempt, end)))
+    engine = SimpleNamespace(
+        gate=None,
+        clock=clock,
+        stats=Stats(),
+        deadlines=Deadlines(lambda when: None, lambda error: None),
+        ended=lambda attempt, end: ends.append((attempt, end)),
+    )
     caches = CacheServers(engine, Limits(), lambda text: None)
     caches.dial = lambda pool: setattr(pool, "dialling", pool.dialling + 1)  # it never comes up
     caches.known(1, "s-1", "127.0.0.1", 1)
--- a/tests/test_upstream_endings.py
+++ b/tests/test_upstream_endings.py
@@ -65,7 +65,6 @@
     assert len(below.ends) == 1
 
 
-
 def give(wire: UpstreamConnection, raw: bytes) -> None:
     """What the server sends, in one piece."""
     while raw:
@@ -206,7 +205,8 @@
 
 @pytest.mark.parametrize(("mine", "ver"), [(None, "4be0"), ("4be0", "4be1"), ("4be0", None)])
 def test_a_copy_is_called_current_only_if_the_server_named_it(
-        tmp_path: Path, mine: str | None, ver: str | None) -> None:
+    tmp_path: Path, mine: str | None, ver: str | None
+) -> None:
     """Guards against a spoilt answer that lets a client take its copy, or none, for good."""
 
     async def scene(w: World) -> None:
@@ -232,11 +232,14 @@
         await asyncio.sleep(0.05)
 
 
-@pytest.mark.parametrize(("head", "more"), [(b"%s ok ver=a,born=1 200000\r\n", b"x"), (b"", b"x"),
-                                            (b"", b"00000000000000cc ok - 0\r\n\r\n" * 20)],
-                         ids=["body", "line", "unasked"])
+@pytest.mark.parametrize(
+    ("head", "more"),
+    [(b"%s ok ver=a,born=1 200000\r\n", b"x"), (b"", b"x"), (b"", b"00000000000000cc ok - 0\r\n\r\n" * 20)],
+    ids=["body", "line", "unasked"],
+)
 def test_an_answer_that_trickles_without_end_takes_one_connection_and_is_ended(
-        tmp_path: Path, head: bytes, more: bytes) -> None:
+    tmp_path: Path, head: bytes, more: bytes
+) -> None:
     """Guards against a connection that is never silent, never done, and takes what is sent on it along: the rest of an
     answer that was given up, a line that does not end, answers that nobody asked for."""
 
@@ -257,5 +260,4 @@
         assert (await client.get(budget=30_000))[0] == "200" and w.counted("fault", "server") == 0
 
     limits = SETTINGS["limits"] | {"conn-idle": 3_600_000_000}  # it is not ended as one that is idle
-    play(tmp_path, scene, caches=1, settings={"limits": limits,
-                                              "extra": SETTINGS["extra"] | {"bypass-allowed": False}})
+    play(tmp_path, scene, caches=1, settings={"limits": limits, "extra": SETTINGS["extra"] | {"bypass-allowed": False}})
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -13,8 +13,11 @@
 from tests.world import World
 from threadhill.dns.views import View, Views
 
-TABLE = [View("sierra", ("198.51.100.0/24", "2001:db8::/32"), ("edge-1",)),
-         View("costa", ("198.51.100.128/25",)), View("edge-1", ("10.0.0.0/8",))]
+TABLE = [
+    View("sierra", ("198.51.100.0/24", "2001:db8::/32"), ("edge-1",)),
+    View("costa", ("198.51.100.128/25",)),
+    View("edge-1", ("10.0.0.0/8",)),
+]
 
 
 def test_the_longest_prefix_chooses_and_sets_the_scope() -> None:
@@ -39,8 +42,9 @@
     """An OPT with a client subnet."""
     raw = socket.inet_aton(address)[: (bits + 7) // 8]
     data = struct.pack("!HBB", 1, bits, 0) + raw
-    return b"\0" + struct.pack("!HHBBHH", 41, 1_232, 0, 0, 0x8000, 4 + len(data)) + struct.pack("!HH", 8, len(data)) \
-        + data
+    return (
+        b"\0" + struct.pack("!HHBBHH", 41, 1_232, 0, 0, 0x8000, 4 + len(data)) + struct.pack("!HH", 8, len(data)) + data
+    )
 
 
 def scope_of(reply: Reply) -> int:
@@ -49,12 +53,15 @@
 
 
 def test_clients_go_to_their_nodes_servers_and_fall_to_the_next_when_those_drain(tmp_path: Path) -> None:
-    operator = OPERATOR.replace('trusted = ["127.0.0.1/32"]', '''trusted = ["127.0.0.1/32"]
+    operator = OPERATOR.replace(
+        'trusted = ["127.0.0.1/32"]',
+        """trusted = ["127.0.0.1/32"]
 
 [[dns.views]]
 node = "sierra"
 networks = ["203.0.113.0/24"]
-then = ["edge-1"]''')
+then = ["edge-1"]""",
+    )
 
     async def run() -> None:
         w = World(tmp_path, caches=3, operator=operator)
--- a/tests/upstream_stub.py
+++ b/tests/upstream_stub.py
@@ -52,9 +52,14 @@
     def __init__(self) -> None:
         self.now = 1_000_000
         self.ends: list[tuple[int, Ended]] = []
-        engine = SimpleNamespace(gate=None, clock=SimpleNamespace(now=lambda: self.now), stats=Stats(), trace=Trace(),
-                                 deadlines=Deadlines(lambda when: None, lambda error: None),
-                                 ended=lambda attempt, end: self.ends.append((attempt, end)))
+        engine = SimpleNamespace(
+            gate=None,
+            clock=SimpleNamespace(now=lambda: self.now),
+            stats=Stats(),
+            trace=Trace(),
+            deadlines=Deadlines(lambda when: None, lambda error: None),
+            ended=lambda attempt, end: self.ends.append((attempt, end)),
+        )
         self.deadlines = engine.deadlines
         self.caches = CacheServers(engine, Limits(), lambda text: None)
         self.caches.dial = self._dial
