--- a/threadhill/ownership/works.py
+++ b/threadhill/ownership/works.py
@@ -28,8 +28,14 @@
 
     def document(self, now: int) -> dict[str, Any]:
         late = self.due and now > self.due
-        return {"name": self.name, "owner": self.owner, "effect": self.effect, "progress": self.progress,
-                "due": self.due, "late": bool(late)}
+        return {
+            "name": self.name,
+            "owner": self.owner,
+            "effect": self.effect,
+            "progress": self.progress,
+            "due": self.due,
+            "late": bool(late),
+        }
 
 
 def snapshots_by(owner: str, fresh: Sequence[str]) -> str:
@@ -37,17 +43,39 @@
     return next((name for name in sorted(fresh) if name != owner), owner)
 
 
-def works(owner: str, fresh: Sequence[str], apply: Mapping[str, Any] | None, draining: int, events: int, oldest: int,
-          snapshot_at: int, proxies: int) -> list[Work]:
+def works(
+    owner: str,
+    fresh: Sequence[str],
+    apply: Mapping[str, Any] | None,
+    draining: int,
+    events: int,
+    oldest: int,
+    snapshot_at: int,
+    proxies: int,
+) -> list[Work]:
     """All works: `apply` is the open one (number, done, steps, moved: when a step last did)."""
     found = []
     if apply is not None:
-        found.append(Work(f"apply {apply['number']}", owner, ONCE, f"{apply['done']} of {apply['steps']} steps",
-                          apply["moved"] + LATE_APPLY_MS))
+        found.append(
+            Work(
+                f"apply {apply['number']}",
+                owner,
+                ONCE,
+                f"{apply['done']} of {apply['steps']} steps",
+                apply["moved"] + LATE_APPLY_MS,
+            )
+        )
     found.append(Work("confirm drains and warm starts", owner, HARMLESS, f"{draining} servers to be confirmed"))
     found.append(Work("retention", owner, HARMLESS, f"{events} events kept, from {oldest} on"))
     by = snapshots_by(owner, fresh)
-    found.append(Work("snapshots", by, HARMLESS, "none yet" if not snapshot_at else "taken",
-                      snapshot_at + 2 * SNAPSHOT_EVERY_MS if snapshot_at else 0))
+    found.append(
+        Work(
+            "snapshots",
+            by,
+            HARMLESS,
+            "none yet" if not snapshot_at else "taken",
+            snapshot_at + 2 * SNAPSHOT_EVERY_MS if snapshot_at else 0,
+        )
+    )
     found.append(Work("knowledge", owner, HARMLESS, f"reports of {proxies} proxies"))
     return found
--- a/threadhill/plans/configuration.py
+++ b/threadhill/plans/configuration.py
@@ -18,8 +18,14 @@
 from threadhill.plans.syntax import Attribute, Block
 
 MOST_RESOURCES = 200_000
-TYPES = {"string": lambda v: isinstance(v, str), "number": is_number, "bool": lambda v: isinstance(v, bool),
-         "list": lambda v: isinstance(v, list), "map": lambda v: isinstance(v, dict), "any": lambda v: True}
+TYPES = {
+    "string": lambda v: isinstance(v, str),
+    "number": is_number,
+    "bool": lambda v: isinstance(v, bool),
+    "list": lambda v: isinstance(v, list),
+    "map": lambda v: isinstance(v, dict),
+    "any": lambda v: True,
+}
 
 
 @dataclass(slots=True)
@@ -99,8 +105,12 @@
     for block in blocks:
         by_kind.setdefault(block.kind, []).append(block)
         if block.kind not in ("variable", "locals", *KINDS):
-            reading.fault(block, block.line, block.title, f"no such kind of block; there are variable, locals, "
-                          f"{', '.join(KINDS)}")
+            reading.fault(
+                block,
+                block.line,
+                block.title,
+                f"no such kind of block; there are variable, locals, " f"{', '.join(KINDS)}",
+            )
     _variables(reading, by_kind.get("variable", []), given or {})
     for block in by_kind.get("locals", []):
         for name, attribute in block.attributes.items():
@@ -192,8 +202,12 @@
     def add(kind: str, instance: _Instance) -> bool:
         block, id = instance.block, f"{kind}.{instance.name}"
         if not NAME.fullmatch(instance.name) or instance.name in RESERVED.get(kind, ()):
-            reading.fault(block, block.line, id, "is no name: lower case letters, digits and hyphens, 63 at most, "
-                          "and none that is reserved")
+            reading.fault(
+                block,
+                block.line,
+                id,
+                "is no name: lower case letters, digits and hyphens, 63 at most, " "and none that is reserved",
+            )
             return False
         if id in seen:
             first = seen[id].block
@@ -287,8 +301,9 @@
     return Resource(block.kind, instance.name, attrs)
 
 
-def _checked(reading: _Reading, block: Block, id: str, model: Any, values: dict[str, Any],
-             scope: Scope | None) -> dict[str, Any] | None:
+def _checked(
+    reading: _Reading, block: Block, id: str, model: Any, values: dict[str, Any], scope: Scope | None
+) -> dict[str, Any] | None:
     """The values through their model; None, with the faults told, where they can't be used."""
     try:
         return dict(vars(model(**values)))  # flat: no model holds another
@@ -327,8 +342,7 @@
     return made
 
 
-def _check(reading: _Reading, resources: dict[str, Resource],
-           where: dict[str, tuple[Block, dict[str, int]]]) -> None:
+def _check(reading: _Reading, resources: dict[str, Resource], where: dict[str, tuple[Block, dict[str, int]]]) -> None:
     """What concerns several resources: numbers on the wire, zones, what must be there, loops of sources."""
 
     def fault(id: str, word: str, text: str) -> None:
@@ -353,12 +367,16 @@
             for _, told in zonefile.check(read, attrs["zones"], resource.name):
                 fault(id, "records", told)
     if sum(len(resource.attrs.get("records", ())) for resource in resources.values()) > MOST_OF_ALL:
-        id = max((id for id, r in resources.items() if "records" in r.attrs),
-                 key=lambda id: len(resources[id].attrs["records"]))
+        id = max(
+            (id for id, r in resources.items() if "records" in r.attrs),
+            key=lambda id: len(resources[id].attrs["records"]),
+        )
         fault(id, "records", f"all tenants have over {MOST_OF_ALL} static records together, this one the most")
     if any(resource.kind in (*SERVERS, "proxy", "node") for resource in resources.values()):
-        for kind, text in (("settings", "there must be a block of settings"),
-                           ("library", "there must be a library: everything comes from it")):
+        for kind, text in (
+            ("settings", "there must be a block of settings"),
+            ("library", "there must be a library: everything comes from it"),
+        ):
             if not any(resource.kind == kind for resource in resources.values()):
                 told = any(f.name.split(".")[0] == kind for f in reading.faults)
                 if not told:
@@ -391,7 +409,7 @@
                 path.append(target)
                 stack.append((target, iter(edges[target])))
             elif state[target] == 1:
-                loop = path[path.index(target):]
+                loop = path[path.index(target) :]
                 least = loop.index(min(loop))
                 loops.append(loop[least:] + loop[:least])
     return loops
--- a/threadhill/plans/expr.py
+++ b/threadhill/plans/expr.py
@@ -348,18 +348,37 @@
 
 
 ARITHMETIC: dict[str, Callable[[Any, Any], Any]] = {
-    "+": lambda a, b: a + b, "-": lambda a, b: a - b, "*": lambda a, b: a * b, "/": lambda a, b: a / b,
-    "%": lambda a, b: math.fmod(a, b) if a < 0 or b < 0 else a % b, "<": lambda a, b: a < b, ">": lambda a, b: a > b,
-    "<=": lambda a, b: a <= b, ">=": lambda a, b: a >= b}
+    "+": lambda a, b: a + b,
+    "-": lambda a, b: a - b,
+    "*": lambda a, b: a * b,
+    "/": lambda a, b: a / b,
+    "%": lambda a, b: math.fmod(a, b) if a < 0 or b < 0 else a % b,
+    "<": lambda a, b: a < b,
+    ">": lambda a, b: a > b,
+    "<=": lambda a, b: a <= b,
+    ">=": lambda a, b: a >= b,
+}
 
 MAKERS: dict[str, Callable[[Tree], Compiled]] = {
-    "expr_term": _term, "identifier": _name, "string": _string, "tuple": _list, "object": _map,
+    "expr_term": _term,
+    "identifier": _name,
+    "string": _string,
+    "tuple": _list,
+    "object": _map,
     "int_lit": lambda tree: _literal(int(tree.children[0])),
     "float_lit": lambda tree: _literal(float(tree.children[0])),
     "literal_value": lambda tree: _literal({"true": True, "false": False, "null": None}[str(tree.children[0])]),
-    "heredoc_template": _heredoc, "heredoc_template_trim": _heredoc, "function_call": _call,
-    "get_attr_expr_term": _attribute, "index_expr_term": _index, "conditional": _conditional, "unary_op": _unary,
-    "binary_op": _binary, "for_tuple_expr": _for, "for_object_expr": _for}
+    "heredoc_template": _heredoc,
+    "heredoc_template_trim": _heredoc,
+    "function_call": _call,
+    "get_attr_expr_term": _attribute,
+    "index_expr_term": _index,
+    "conditional": _conditional,
+    "unary_op": _unary,
+    "binary_op": _binary,
+    "for_tuple_expr": _for,
+    "for_object_expr": _for,
+}
 
 
 # --- functions
@@ -434,13 +453,32 @@
 
 
 FUNCTIONS: dict[str, Callable[..., Any]] = {
-    "abs": abs, "ceil": math.ceil, "floor": math.floor, "max": max, "min": min,
-    "concat": lambda *lists: [item for one in lists for item in one], "contains": lambda value, item: item in value,
-    "distinct": _unique, "element": lambda value, i: value[i % len(value)], "flatten": _flatten, "format": _format,
-    "join": lambda by, value: by.join(_text(item, 0) for item in value), "keys": lambda table: sorted(table),
-    "length": len, "lookup": _lookup, "lower": lambda text: text.lower(), "merge": _merge, "range": _range,
-    "replace": lambda text, old, new: text.replace(old, new), "reverse": lambda value: value[::-1],
-    "sort": sorted, "split": lambda by, text: text.split(by), "tonumber": _number, "toset": _set,
-    "tostring": lambda value: _text(value, 0), "upper": lambda text: text.upper(),
+    "abs": abs,
+    "ceil": math.ceil,
+    "floor": math.floor,
+    "max": max,
+    "min": min,
+    "concat": lambda *lists: [item for one in lists for item in one],
+    "contains": lambda value, item: item in value,
+    "distinct": _unique,
+    "element": lambda value, i: value[i % len(value)],
+    "flatten": _flatten,
+    "format": _format,
+    "join": lambda by, value: by.join(_text(item, 0) for item in value),
+    "keys": lambda table: sorted(table),
+    "length": len,
+    "lookup": _lookup,
+    "lower": lambda text: text.lower(),
+    "merge": _merge,
+    "range": _range,
+    "replace": lambda text, old, new: text.replace(old, new),
+    "reverse": lambda value: value[::-1],
+    "sort": sorted,
+    "split": lambda by, text: text.split(by),
+    "tonumber": _number,
+    "toset": _set,
+    "tostring": lambda value: _text(value, 0),
+    "upper": lambda text: text.upper(),
     "values": lambda table: [table[key] for key in sorted(table)],
-    "zipmap": lambda names, values: dict(zip(names, values, strict=True))}
+    "zipmap": lambda names, values: dict(zip(names, values, strict=True)),
+}
--- a/threadhill/plans/forecast.py
+++ b/threadhill/plans/forecast.py
@@ -72,15 +72,19 @@
             raise ValueError(f"{name}: must be a number over 0, {most.get(name, 1e6):g} at most")
     if not isinstance(classes, dict) or not classes or set(classes) - set(settings["classes"]):
         raise ValueError(f"classes: must be a map of some of {', '.join(settings['classes'])} to their parts")
-    figures = {name: int(value) if name in ("objects", "parts") else value for name, value in given.items()
-               if name != "classes"}
+    figures = {
+        name: int(value) if name in ("objects", "parts") else value
+        for name, value in given.items()
+        if name != "classes"
+    }
     return Mix(classes=classes, **figures)
 
 
 def shares(resources: Mapping[str, Resource], node: str, mix: Mix, seed: int = 1) -> dict[str, dict[str, float]]:
     """For each class its shares by box, in parts of 1, of a node (`node.NAME`) where all servers are warm."""
-    crew = sorted((r for r in resources.values() if r.kind == "proxy" and r.attrs["node"] == node),
-                  key=lambda r: r.name)
+    crew = sorted(
+        (r for r in resources.values() if r.kind == "proxy" and r.attrs["node"] == node), key=lambda r: r.name
+    )
     proxy = crew[0] if crew else Resource("node", node, {"node": node})
     settings = read_settings(options.options(resources, proxy))
     numbers: dict[int, str] = {}
@@ -109,12 +113,15 @@
                 out.append((now + TAKES, action))
                 if i >= rate * WARM_UP:
                     counted[cls][numbers[action.server]] += 1
-    return {cls: {id: count / max(1, sum(by.values())) for id, count in sorted(by.items())}
-            for cls, by in sorted(counted.items())}
+    return {
+        cls: {id: count / max(1, sum(by.values())) for id, count in sorted(by.items())}
+        for cls, by in sorted(counted.items())
+    }
 
 
-def before_and_after(before: Mapping[str, Resource], after: Mapping[str, Resource], changed: Iterable[str],
-                     mix: Mix | None = None) -> dict[str, Any]:
+def before_and_after(
+    before: Mapping[str, Resource], after: Mapping[str, Resource], changed: Iterable[str], mix: Mix | None = None
+) -> dict[str, Any]:
     """The forecast of a plan: for each node that it changes, each class and each box, the shares on both sides."""
     told: dict[str, Any] = {}
     for node in sorted(changed):
@@ -127,11 +134,23 @@
                 continue
             use = mix or default_mix(side["settings.settings"].attrs)
             known = side["settings.settings"].attrs["classes"]
-            use = Mix(use.rate, {c: p for c, p in use.classes.items() if c in known}, use.objects, use.zipf, use.parts,
-                      use.seconds)
+            use = Mix(
+                use.rate,
+                {c: p for c, p in use.classes.items() if c in known},
+                use.objects,
+                use.zipf,
+                use.parts,
+                use.seconds,
+            )
             sides.append(shares(side, node, use) if use.classes else {})
-        told[node] = {cls: {box: {"before": round(sides[0].get(cls, {}).get(box, 0.0), 4),
-                                  "after": round(sides[1].get(cls, {}).get(box, 0.0), 4)}
-                            for box in sorted({*sides[0].get(cls, {}), *sides[1].get(cls, {})})}
-                      for cls in sorted({*sides[0], *sides[1]})}
+        told[node] = {
+            cls: {
+                box: {
+                    "before": round(sides[0].get(cls, {}).get(box, 0.0), 4),
+                    "after": round(sides[1].get(cls, {}).get(box, 0.0), 4),
+                }
+                for box in sorted({*sides[0].get(cls, {}), *sides[1].get(cls, {})})
+            }
+            for cls in sorted({*sides[0], *sides[1]})
+        }
     return told
--- a/threadhill/plans/model.py
+++ b/threadhill/plans/model.py
@@ -19,8 +19,13 @@
 
 def _address(value: str) -> str:
     host, colon, port = value.rpartition(":")
-    if not colon or not host or set(host) & set(" ,=/\r\n") or not (port.isascii() and port.isdigit()) \
-            or not 0 < int(port) < 65_536:
+    if (
+        not colon
+        or not host
+        or set(host) & set(" ,=/\r\n")
+        or not (port.isascii() and port.isdigit())
+        or not 0 < int(port) < 65_536
+    ):
         raise ValueError("must be host:port, the port from 1 to 65535")
     return value
 
@@ -172,6 +177,14 @@
     silent_s: float = Field(7, ge=1, le=600)  # after which a proxy that says nothing is not waited for
 
 
-MODELS: dict[str, type[Model]] = {"hub": Hub, "node": Node, "library": Library, "parent": Parent, "box": Box,
-                                  "proxy": Proxy, "tenant": Tenant, "settings": Settings}
+MODELS: dict[str, type[Model]] = {
+    "hub": Hub,
+    "node": Node,
+    "library": Library,
+    "parent": Parent,
+    "box": Box,
+    "proxy": Proxy,
+    "tenant": Tenant,
+    "settings": Settings,
+}
 RESERVED = {"tenant": {BOXES}}
--- a/threadhill/plans/planner.py
+++ b/threadhill/plans/planner.py
@@ -24,17 +24,31 @@
 ACTIONS = ("set", "update", "add", "return", "drain", "remove", "unset")
 PRECONDITIONS = {
     "add": "its name and address are free, its sources are ready and warm, and its place may have one more cold",
-    "return": "it drains, and its sources are ready", "update": "its sources are ready",
-    "drain": "enough of its place stay warm, and nobody ready fills from it", "remove": "it is drained",
-    "set": "what it stands on is there", "unset": "nothing stands on it"}
+    "return": "it drains, and its sources are ready",
+    "update": "its sources are ready",
+    "drain": "enough of its place stay warm, and nobody ready fills from it",
+    "remove": "it is drained",
+    "set": "what it stands on is there",
+    "unset": "nothing stands on it",
+}
 EFFECTS = {
-    "add": "listed: it is sent requests within its cold start's limits", "return": "listed again, as it was",
-    "update": "listed with other figures", "drain": "gets nothing new", "remove": "forgotten; its address is free",
-    "set": "recorded", "unset": "forgotten"}
-CONFIRMED = {"add": "every live proxy has applied it and its warming time has passed",
-             "return": "every live proxy has applied it", "update": "every live proxy has applied it",
-             "drain": "every live proxy has applied it and what it had taken has had its time",
-             "remove": "every live proxy has applied it", "set": "it is recorded", "unset": "it is recorded"}
+    "add": "listed: it is sent requests within its cold start's limits",
+    "return": "listed again, as it was",
+    "update": "listed with other figures",
+    "drain": "gets nothing new",
+    "remove": "forgotten; its address is free",
+    "set": "recorded",
+    "unset": "forgotten",
+}
+CONFIRMED = {
+    "add": "every live proxy has applied it and its warming time has passed",
+    "return": "every live proxy has applied it",
+    "update": "every live proxy has applied it",
+    "drain": "every live proxy has applied it and what it had taken has had its time",
+    "remove": "every live proxy has applied it",
+    "set": "it is recorded",
+    "unset": "it is recorded",
+}
 
 
 @dataclass(frozen=True, slots=True, eq=False)
@@ -79,9 +93,19 @@
         return EFFECTS[self.action]
 
     def document(self) -> dict[str, Any]:
-        return {"id": self.id, "action": self.action, "kind": self.kind, "name": self.name, "before": self.before,
-                "after": self.after, "needs": list(self.needs), "wave": self.wave,
-                "precondition": PRECONDITIONS[self.action], "effect": self.effect, "confirmed_by": self.confirmed_by}
+        return {
+            "id": self.id,
+            "action": self.action,
+            "kind": self.kind,
+            "name": self.name,
+            "before": self.before,
+            "after": self.after,
+            "needs": list(self.needs),
+            "wave": self.wave,
+            "precondition": PRECONDITIONS[self.action],
+            "effect": self.effect,
+            "confirmed_by": self.confirmed_by,
+        }
 
 
 @dataclass(frozen=True, slots=True)
@@ -163,8 +187,11 @@
 
 def drift(records: Mapping[str, Record], observed: Observed) -> list[Drift]:
     """What proxies see that is not as recorded; a plan does not undo it, since nobody asked for it by file."""
-    found = [Drift(id, records[id].phase.value, "no live proxy reaches it")
-             for id in sorted(observed.gone) if id in records and records[id].ready]
+    found = [
+        Drift(id, records[id].phase.value, "no live proxy reaches it")
+        for id in sorted(observed.gone)
+        if id in records and records[id].ready
+    ]
     found += [Drift(id, "as configured", text) for id, text in sorted(observed.proxies.items()) if id in records]
     return found
 
@@ -247,8 +274,15 @@
     """Waves: what may begin together, each time all before it is confirmed. What never may is blocked."""
     height = {kind: i for i, kind in enumerate(KINDS)}
     ranks = _ranks(steps)
-    left = sorted(steps, key=lambda s: (ACTIONS.index(s.action), height[s.kind] if s.after is not None
-                                        else -height[s.kind], ranks.get(s.id, 0), s.name))
+    left = sorted(
+        steps,
+        key=lambda s: (
+            ACTIONS.index(s.action),
+            height[s.kind] if s.after is not None else -height[s.kind],
+            ranks.get(s.id, 0),
+            s.name,
+        ),
+    )
     drains = Counter((s.place, ranks[s.id]) for s in steps if s.id in ranks)
     done: set[str] = set()
     ordered: list[Step] = []
@@ -264,8 +298,9 @@
                 begin(fleet, step)
                 if step.id in ranks:
                     drains[step.place, ranks[step.id]] -= 1
-                begun.append(Step(step.id, step.action, step.kind, step.name, step.before, step.after, step.needs,
-                                  wave))
+                begun.append(
+                    Step(step.id, step.action, step.kind, step.name, step.before, step.after, step.needs, wave)
+                )
             else:
                 why[step.id] = reason
                 waiting.append(step)
@@ -300,8 +335,9 @@
             if missing is not None:
                 return missing
             if step.action == "update":
-                lost = [s for s in step.after.get("fills_from", ()) if s not in fleet.records
-                        or not fleet.records[s].ready]
+                lost = [
+                    s for s in step.after.get("fills_from", ()) if s not in fleet.records or not fleet.records[s].ready
+                ]
                 return f"{lost[0]}, its source, is not ready" if lost else None
             return rules.may_list(fleet, record)
         case "drain":
--- a/threadhill/plans/rules.py
+++ b/threadhill/plans/rules.py
@@ -100,9 +100,18 @@
     while anything is left, so its place allows nothing."""
     wanted = list(wanted)
     counts = Counter(r.attrs["node"] if r.kind == "box" else r.kind for r in wanted if r.kind in SERVERS)
-    made = {f"node.{r.name}": Place(counts[f"node.{r.name}"], r.attrs["load"], r.attrs["hits"], r.attrs["link_room"],
-                                    r.attrs["cold_at_once"], r.attrs["allow_empty"])
-            for r in wanted if r.kind == "node"}
+    made = {
+        f"node.{r.name}": Place(
+            counts[f"node.{r.name}"],
+            r.attrs["load"],
+            r.attrs["hits"],
+            r.attrs["link_room"],
+            r.attrs["cold_at_once"],
+            r.attrs["allow_empty"],
+        )
+        for r in wanted
+        if r.kind == "node"
+    }
     boxes = sum(1 for r in wanted if r.kind == "box")
     made["parent"] = replace(PARENTS, wanted=counts["parent"], allow_empty=not boxes)
     made["library"] = Place(counts["library"], allow_empty=not boxes and not counts["parent"])
--- a/threadhill/plans/saved.py
+++ b/threadhill/plans/saved.py
@@ -17,14 +17,20 @@
     """A document that is no plan, or not the one that was saved."""
 
 
-def document(plan: Plan, wanted: Mapping[str, Resource], base: int, serial: int, forecast: Any = None,
-             why: str = "") -> dict[str, Any]:
+def document(
+    plan: Plan, wanted: Mapping[str, Resource], base: int, serial: int, forecast: Any = None, why: str = ""
+) -> dict[str, Any]:
     """The plan as JSON. `base` is the version it was made on, `serial` counts every change of the state since ever."""
     body = {
-        "threadhill_plan": FORM, "base": base, "serial": serial, "why": why,
-        "steps": [step.document() for step in plan.steps], "blocked": dict(plan.blocked),
+        "threadhill_plan": FORM,
+        "base": base,
+        "serial": serial,
+        "why": why,
+        "steps": [step.document() for step in plan.steps],
+        "blocked": dict(plan.blocked),
         "drift": [{"id": d.id, "recorded": d.recorded, "observed": d.observed} for d in plan.drift],
-        "pending": list(plan.pending), "forecast": forecast or {},
+        "pending": list(plan.pending),
+        "forecast": forecast or {},
         "wanted": {id: r.attrs for id, r in sorted(wanted.items())},
     }
     return {**body, "digest": digest(body)}
@@ -41,8 +47,10 @@
 
 
 def steps_of(raw: Mapping[str, Any]) -> list[Step]:
-    return [Step(s["id"], s["action"], s["kind"], s["name"], s["before"], s["after"], tuple(s["needs"]), s["wave"])
-            for s in raw["steps"]]
+    return [
+        Step(s["id"], s["action"], s["kind"], s["name"], s["before"], s["after"], tuple(s["needs"]), s["wave"])
+        for s in raw["steps"]
+    ]
 
 
 def resources_of(wanted: Mapping[str, dict[str, Any]]) -> dict[str, Resource]:
@@ -57,8 +65,10 @@
         lines.append("Not as recorded (nobody asked for this by file, and this plan does not change it):")
         lines += [f"  ! {d['id']}: recorded {d['recorded']}, observed: {d['observed']}" for d in raw["drift"]]
     if raw["pending"]:
-        lines.append(f"Still on its way from before: {', '.join(raw['pending'][:8])}"
-                     + (f" and {len(raw['pending']) - 8} more" if len(raw["pending"]) > 8 else ""))
+        lines.append(
+            f"Still on its way from before: {', '.join(raw['pending'][:8])}"
+            + (f" and {len(raw['pending']) - 8} more" if len(raw["pending"]) > 8 else "")
+        )
     wave = -1
     for step in raw["steps"][:SHOWN]:
         if step["wave"] != wave:
@@ -78,8 +88,11 @@
         lines.append("  " + "".ljust(24) + "".join(cls.rjust(20) for cls in classes))
         for box in boxes:
             cells = [by.get(box, {"before": 0.0, "after": 0.0}) for by in classes.values()]
-            lines.append("  " + box.ljust(24) + "".join(
-                f"{100 * cell['before']:.1f} -> {100 * cell['after']:.1f}".rjust(20) for cell in cells))
+            lines.append(
+                "  "
+                + box.ljust(24)
+                + "".join(f"{100 * cell['before']:.1f} -> {100 * cell['after']:.1f}".rjust(20) for cell in cells)
+            )
     lines.append(summary(raw))
     return "\n".join(lines)
 
@@ -88,8 +101,11 @@
     before, after = step["before"] or {}, step["after"] or {}
     if step["action"] not in ("set", "update") or not before:
         return []
-    return [f"      {key}: {before.get(key)!r} -> {after.get(key)!r}" for key in sorted({*before, *after})
-            if before.get(key) != after.get(key) and key != "classes"]
+    return [
+        f"      {key}: {before.get(key)!r} -> {after.get(key)!r}"
+        for key in sorted({*before, *after})
+        if before.get(key) != after.get(key) and key != "classes"
+    ]
 
 
 def summary(raw: Mapping[str, Any]) -> str:
@@ -99,7 +115,9 @@
     count = {a: sum(s["action"] == a for s in steps) for a in ("add", "drain", "remove", "update", "return", "unset")}
     new = sum(s["action"] == "set" and not s["before"] for s in steps)
     changed = count["update"] + sum(s["action"] == "set" and bool(s["before"]) for s in steps)
-    text = (f"{count['add'] + count['return'] + new} to add, {changed} to change, {count['drain']} to drain, "
-            f"{count['remove'] + count['unset']} to remove, in {max((s['wave'] for s in steps), default=-1) + 1} "
-            f"rounds; on state version {raw['base']}.")
+    text = (
+        f"{count['add'] + count['return'] + new} to add, {changed} to change, {count['drain']} to drain, "
+        f"{count['remove'] + count['unset']} to remove, in {max((s['wave'] for s in steps), default=-1) + 1} "
+        f"rounds; on state version {raw['base']}."
+    )
     return text + (f" {len(raw['blocked'])} steps cannot be done." if raw["blocked"] else "")
--- a/threadhill/plans/syntax.py
+++ b/threadhill/plans/syntax.py
@@ -125,8 +125,14 @@
     name, value = str(tree.children[0].children[0]), tree.children[2]
     line = tree.children[0].meta.line
     if name in block.attributes:
-        faults.append(Fault(block.file, line, f"{block.title}.{name}".lstrip("."),
-                            f"stands twice, first in line {block.attributes[name].line}"))
+        faults.append(
+            Fault(
+                block.file,
+                line,
+                f"{block.title}.{name}".lstrip("."),
+                f"stands twice, first in line {block.attributes[name].line}",
+            )
+        )
         return
     try:
         block.attributes[name] = Attribute(name, line, compile_expression(value), value)
--- a/threadhill/recovery/adopt.py
+++ b/threadhill/recovery/adopt.py
@@ -73,8 +73,13 @@
         return f"{zlib.crc32(raw):08x}"
 
     def document(self) -> dict[str, Any]:
-        return {"digest": self.digest(), "pos": self.pos, "proxies": list(self.proxies), "snapshot": self.snapshot,
-                "findings": [{"id": f.id, "state": f.state, "why": f.why, "record": f.record} for f in self.findings]}
+        return {
+            "digest": self.digest(),
+            "pos": self.pos,
+            "proxies": list(self.proxies),
+            "snapshot": self.snapshot,
+            "findings": [{"id": f.id, "state": f.state, "why": f.why, "record": f.record} for f in self.findings],
+        }
 
 
 def take(held: dict[str, Held], raw: Any) -> Held:
@@ -86,8 +91,11 @@
     if not name or not 0 <= part < of or of > MEMBERS:
         raise Malformed("a part of what a proxy holds has no name, or no place")
     members = [_member(member) for member in sequence(told.get("members"), "members")]
-    tenants = {text(t.get("name"), "a tenant's name"): dict(t) for t in sequence(told.get("tenants"), "tenants")
-               if isinstance(t, Mapping)}
+    tenants = {
+        text(t.get("name"), "a tenant's name"): dict(t)
+        for t in sequence(told.get("tenants"), "tenants")
+        if isinstance(t, Mapping)
+    }
     one = held.get(name)
     if one is None or one.pos != pos or one.of != of or part in one.parts:
         one = held[name] = Held(name, pos, text(told.get("zone"), "zone"), of=of)
@@ -105,19 +113,26 @@
     if not name or phase not in (SERVING, DRAINING) or flavor not in KINDS:
         raise Malformed(f"not a server that a proxy may hold: {str(raw)[:80]}")
     host, port = address(raw.get("host_port"), "host_port")
-    return {"id": name, "host_port": f"{host}:{port}", "locality": text(raw.get("locality"), "locality"),
-            "flavor": flavor, "cell": whole(raw.get("cell"), "cell"), "size": number(raw.get("size"), "size"),
-            "phase": phase, "up_since_ms": whole(raw.get("up_since_ms"), "up_since_ms")}
-
-
-def propose(held: Iterable[Held], records: Mapping[str, Mapping[str, Any]], known_pos: int, seen: int,
-            snapshot: str = "") -> Proposal:
+    return {
+        "id": name,
+        "host_port": f"{host}:{port}",
+        "locality": text(raw.get("locality"), "locality"),
+        "flavor": flavor,
+        "cell": whole(raw.get("cell"), "cell"),
+        "size": number(raw.get("size"), "size"),
+        "phase": phase,
+        "up_since_ms": whole(raw.get("up_since_ms"), "up_since_ms"),
+    }
+
+
+def propose(
+    held: Iterable[Held], records: Mapping[str, Mapping[str, Any]], known_pos: int, seen: int, snapshot: str = ""
+) -> Proposal:
     """The proposal: `records` of the newest snapshot by id (kind, name, attrs, phase, since), `known_pos` its last
     number, `seen` the greatest number that any proxy named, whether or not it said what it holds."""
     worlds = sorted((one for one in held if one.whole), key=lambda one: (-one.pos, one.proxy))
     newest = [one for one in worlds if one.pos == worlds[0].pos] if worlds else []
-    findings = [_server(name, worlds, records)
-                for name in sorted({name for one in worlds for name in one.members})]
+    findings = [_server(name, worlds, records) for name in sorted({name for one in worlds for name in one.members})]
     findings = [finding for finding in findings if finding is not None]
     findings += _tenants(newest, records)
     named = {finding.id for finding in findings}
@@ -127,11 +142,23 @@
         if record["kind"] not in (*KINDS, "tenant"):
             findings.append(Finding(id, "certain", "as in the snapshot: proxies do not know of it", dict(record)))
         elif not worlds:
-            findings.append(Finding(id, "in doubt", "only the snapshot has it, and no proxy said what it holds",
-                                    dict(record) | {"phase": "draining"} if record["kind"] in KINDS else dict(record)))
+            findings.append(
+                Finding(
+                    id,
+                    "in doubt",
+                    "only the snapshot has it, and no proxy said what it holds",
+                    dict(record) | {"phase": "draining"} if record["kind"] in KINDS else dict(record),
+                )
+            )
         else:
-            findings.append(Finding(id, "missing", f"in the snapshot, held by none of {len(worlds)} proxies: it went "
-                                    "since, or nobody lives who knew it"))
+            findings.append(
+                Finding(
+                    id,
+                    "missing",
+                    f"in the snapshot, held by none of {len(worlds)} proxies: it went "
+                    "since, or nobody lives who knew it",
+                )
+            )
     pos = 1 + max([known_pos, seen, *(one.pos for one in worlds)])
     return Proposal(tuple(sorted(findings, key=lambda f: f.id)), pos, tuple(sorted(o.proxy for o in worlds)), snapshot)
 
@@ -139,8 +166,11 @@
 def _server(name: str, worlds: list[Held], records: Mapping[str, Any]) -> Finding | None:
     """What is to be thought of one server that somebody holds."""
     first = next(member for one in worlds if (member := one.members.get(name)) is not None)
-    worlds = [one for one in worlds  # who would know of it
-              if name in one.members or first["flavor"] != "box" or one.zone == first["locality"]]
+    worlds = [
+        one
+        for one in worlds  # who would know of it
+        if name in one.members or first["flavor"] != "box" or one.zone == first["locality"]
+    ]
     newest = [one for one in worlds if one.pos == worlds[0].pos]
     best = next((member for one in newest if (member := one.members.get(name)) is not None), None)
     if best is None:  # the newest world has it no more
@@ -200,10 +230,20 @@
         said = [one.tenants.get(name) for one in newest]
         id, first = f"tenant.{name}", next(tenant for tenant in said if tenant is not None)
         known = records.get(id)
-        attrs = {"records": [], **(dict(known["attrs"]) if known is not None else {}),
-                 "zones": first.get("zones", []), "quota": first.get("quota", 0)}
+        attrs = {
+            "records": [],
+            **(dict(known["attrs"]) if known is not None else {}),
+            "zones": first.get("zones", []),
+            "quota": first.get("quota", 0),
+        }
         record = {"kind": "tenant", "name": name, "attrs": attrs, "phase": "set", "since": 0}
         odd = sum(tenant != first for tenant in said)
-        found.append(Finding(id, "in doubt" if odd else "certain", f"{odd} of {len(said)} proxies say else" if odd else
-                             f"as {len(said)} proxies hold it", record))
+        found.append(
+            Finding(
+                id,
+                "in doubt" if odd else "certain",
+                f"{odd} of {len(said)} proxies say else" if odd else f"as {len(said)} proxies hold it",
+                record,
+            )
+        )
     return found
--- a/threadhill/recovery/learned.py
+++ b/threadhill/recovery/learned.py
@@ -37,19 +37,38 @@
     for server in list(router.fleet.servers.values())[:servers]:
         if server.heard or server.speed or server.doubt:
             speed = max((s for s, when in server.speed.values() if now - when < FADES), default=1.0)
-            rows.append([server.entry.server, server.entry.since,
-                         *(round(x, 4) for x in (server.pace[0] if now - server.pace[1] < FADES else 1.0, speed,
-                                                 server.room * router.crew, server.doubt, server.hits, server.busy))])
+            rows.append(
+                [
+                    server.entry.server,
+                    server.entry.since,
+                    *(
+                        round(x, 4)
+                        for x in (
+                            server.pace[0] if now - server.pace[1] < FADES else 1.0,
+                            speed,
+                            server.room * router.crew,
+                            server.doubt,
+                            server.hits,
+                            server.busy,
+                        )
+                    ),
+                ]
+            )
     interval, found = now // INTERVAL, []
     for looked, (name, rate) in enumerate(reversed(router.rates.items())):
         if looked >= LOOKED:
             break
         if (rate.rate or rate.count) and interval - rate.interval < 60:
             found.append((round(rate.rate or rate.count, 3), rate.copies, name))
-    return {"servers": rows, "objects": [[name, rate, copies] for rate, copies, name in heapq.nlargest(objects, found)],
-            "classes": {name: [round(mean.value), mean.samples] for name, mean in list(router.sends.items())[:CLASSES]},
-            "took": round(router.usual_took.value), "send": round(router.usual_send.value),
-            "work": round(router.work.most, 4), "fills": round(router.fills.most, 4)}
+    return {
+        "servers": rows,
+        "objects": [[name, rate, copies] for rate, copies, name in heapq.nlargest(objects, found)],
+        "classes": {name: [round(mean.value), mean.samples] for name, mean in list(router.sends.items())[:CLASSES]},
+        "took": round(router.usual_took.value),
+        "send": round(router.usual_send.value),
+        "work": round(router.work.most, 4),
+        "fills": round(router.fills.most, 4),
+    }
 
 
 def check(raw: Any) -> dict[str, Any]:
@@ -112,8 +131,9 @@
     return taken
 
 
-def _prime_server(server: Server, crew: int, when: int, health: float, pace: float, speed: float, room: float,
-                  doubt: float) -> None:
+def _prime_server(
+    server: Server, crew: int, when: int, health: float, pace: float, speed: float, room: float, doubt: float
+) -> None:
     server.pace = (max(0.1, pace), when)  # it fades by itself
     server.speed = {large: (max(0.1, speed), when) for large in (False, True)} if speed != 1 else server.speed
     server.room += health * (min(4 * ROOM_FIRST, max(1.0, room)) / crew - server.room)
@@ -139,13 +159,26 @@
     for number, since in rows:
         newest[number] = max(since, newest.get(number, 0))
     least = len(known) / 2  # an object must be news to half of them, or its rate is one proxy's own
-    hot = heapq.nlargest(OBJECTS, ((sum(r for r, _ in seen) / len(known), max(c for _, c in seen), name)
-                                   for name, seen in rates.items() if len(seen) >= min(2, least)))
-    told = {"servers": [[n, s, *(median(f[i] for f in figures) for i in range(FIGURES))]
-                        for (n, s), figures in sorted(rows.items()) if newest[n] == s][:SERVERS],
-            "objects": [[name, rate, copies] for rate, copies, name in hot],
-            "classes": {name: [median(row[0] for row in seen), int(median(row[1] for row in seen))]
-                        for name, seen in list(times.items())[:CLASSES]}}
+    hot = heapq.nlargest(
+        OBJECTS,
+        (
+            (sum(r for r, _ in seen) / len(known), max(c for _, c in seen), name)
+            for name, seen in rates.items()
+            if len(seen) >= min(2, least)
+        ),
+    )
+    told = {
+        "servers": [
+            [n, s, *(median(f[i] for f in figures) for i in range(FIGURES))]
+            for (n, s), figures in sorted(rows.items())
+            if newest[n] == s
+        ][:SERVERS],
+        "objects": [[name, rate, copies] for rate, copies, name in hot],
+        "classes": {
+            name: [median(row[0] for row in seen), int(median(row[1] for row in seen))]
+            for name, seen in list(times.items())[:CLASSES]
+        },
+    }
     for key in ("took", "send", "work", "fills"):
         told[key] = median(d[key] for d, _ in known) if known else 0
     return told, known[len(known) // 2][1] if known else 0
--- a/threadhill/recovery/phases.py
+++ b/threadhill/recovery/phases.py
@@ -164,7 +164,8 @@
             return Allows(False)
         missing = now - self.news_at if self.news_at is not None else self.policy.trust + 1
         if missing <= min(self.silent, self.policy.slack) or (
-                missing <= self.silent and self.phase is not Phase.CATCHING_UP):
+            missing <= self.silent and self.phase is not Phase.CATCHING_UP
+        ):
             return Allows(True, learn=self.phase is not Phase.FULL)
         send = self.trusted(now) or self.policy.blind is Blind.SERVE
         return Allows(send, max(1, self.policy.slack))
--- a/threadhill/recovery/proxy.py
+++ b/threadhill/recovery/proxy.py
@@ -53,13 +53,22 @@
 class Recovery:
     """One proxy's. As the engine's gate it says what may be sent; as the journal's, it hears of each line."""
 
-    def __init__(self, engine: Engine, config: RecoveryConfig, name: str, seed: int, known_at: int | None,
-                 log: Callable[[str], None], journal: Service) -> None:
+    def __init__(
+        self,
+        engine: Engine,
+        config: RecoveryConfig,
+        name: str,
+        seed: int,
+        known_at: int | None,
+        log: Callable[[str], None],
+        journal: Service,
+    ) -> None:
         self.engine, self.config, self.log, self.journal = engine, config, log, journal
         settings = engine.router.set
         self.random = random.Random(seed ^ 0x5EED)
-        self.phases = Phases(Policy(config.trust, settings.purge_grace or 500_000, config.blind), engine.clock.now(),
-                             known_at)
+        self.phases = Phases(
+            Policy(config.trust, settings.purge_grace or 500_000, config.blind), engine.clock.now(), known_at
+        )
         self.memory, self.fence = Memory(), Fence()
         self.file = StateFile(config.state, name, saved.installation(settings, name), log) if config.state else None
         self._oldest = 0
@@ -123,8 +132,9 @@
     def _tell(self) -> None:
         for change in self.phases.changes:
             self.engine.stats.count("phase", change.now.value)
-            self.log(f"phase: {change.was.value} -> {change.now.value} after {change.lasted / 1e6:.2f} s: "
-                     f"{change.cause}")
+            self.log(
+                f"phase: {change.was.value} -> {change.now.value} after {change.lasted / 1e6:.2f} s: " f"{change.cause}"
+            )
         self.phases.changes.clear()
 
     # --- the journal's side
@@ -159,9 +169,11 @@
         if verdict in (Verdict.BACK, Verdict.FAR):
             self.memory.went_back(applied)
             self.engine.stats.count("journal", "numbers " + ("went back" if verdict is Verdict.BACK else "jumped"))
-            self.log(f"journal: its last number is {last} and {applied} was applied here: an older or another service; "
-                     f"all of it is asked for, and {len(self.memory.out)} servers that drained or went stay out until "
-                     "they are told as started anew")
+            self.log(
+                f"journal: its last number is {last} and {applied} was applied here: an older or another service; "
+                f"all of it is asked for, and {len(self.memory.out)} servers that drained or went stay out until "
+                "they are told as started anew"
+            )
             self.phases.behind(self.engine.clock.now(), f"numbers from {applied} to {last}")
             self._until = 0
             return verdict
@@ -171,8 +183,10 @@
                 self.engine.listed(api.ListNews(api.ListKind.CHANGES, back))
                 self.listed()
             if self.memory.kept_out and self.phases.phase is Phase.CATCHING_UP:
-                self.log(f"journal: {len(self.memory.kept_out)} servers stay out that this older list names: "
-                         f"{', '.join(f's-{n:08x}' for n in sorted(self.memory.kept_out)[:8])}")
+                self.log(
+                    f"journal: {len(self.memory.kept_out)} servers stay out that this older list names: "
+                    f"{', '.join(f's-{n:08x}' for n in sorted(self.memory.kept_out)[:8])}"
+                )
         self.phases.heard(self.engine.clock.now(), applied, last)
         if self.phases.phase is Phase.CATCHING_UP:
             self._until = 0
@@ -187,8 +201,11 @@
 
     def report(self) -> dict[str, Any]:
         """What the control plane is told of this proxy's phase, and of what it learned."""
-        told: dict[str, Any] = {"phase": self.phases.phase.value, "cause": self.phases.cause,
-                                "for_ms": (self.engine.clock.now() - self.phases.since) // 1_000}
+        told: dict[str, Any] = {
+            "phase": self.phases.phase.value,
+            "cause": self.phases.cause,
+            "for_ms": (self.engine.clock.now() - self.phases.since) // 1_000,
+        }
         self._reports += 1
         if self.config.learn and self.phases.phase is Phase.FULL and self._reports % LEARNED_EVERY == 0:
             told["learned"] = learned.gather(self.engine.router, self.engine.clock.now(), *LEARNED_TOLD)
@@ -223,13 +240,18 @@
         self.fence.admits(kept.term)
         if older:  # the configuration is of before what this proxy was told already
             self.phases.news_at = None
-            stale = [e for e in self.engine.cordons.listed.values() if e.state is api.State.READY
-                     and e.server in self.memory.out and e.since <= self.memory.out[e.server]]
+            stale = [
+                e
+                for e in self.engine.cordons.listed.values()
+                if e.state is api.State.READY and e.server in self.memory.out and e.since <= self.memory.out[e.server]
+            ]
             if stale:
                 self.engine.listed(api.ListNews(api.ListKind.CHANGES, self.memory.screen(tuple(stale))))
         late = f"; it knows number {kept.pos}, the configuration {pos}: nothing is sent before the journal is heard"
-        self.log(f"state: {self.file.path}: {(unix - kept.at) / 1e6:.1f} s old: {taken} servers, {len(kept.purges)} "
-                 f"purges, {len(kept.out)} that drained, {len(cordons)} cordons{late if older else ''}")
+        self.log(
+            f"state: {self.file.path}: {(unix - kept.at) / 1e6:.1f} s old: {taken} servers, {len(kept.purges)} "
+            f"purges, {len(kept.out)} that drained, {len(cordons)} cordons{late if older else ''}"
+        )
 
     def _keep(self) -> None:
         self.keep()
@@ -241,8 +263,9 @@
             return
         cordons = sorted(self.engine.cordons.out.values())
         unix = self.engine.clock.unix_now()
-        body = saved.content(self.engine.router, self.memory, self.journal.pos, cordons, self.engine.clock.now(),
-                             self.fence.term, unix)
+        body = saved.content(
+            self.engine.router, self.memory, self.journal.pos, cordons, self.engine.clock.now(), self.fence.term, unix
+        )
         try:
             done = self.file.write(saved.pack(body, self.file.whose, unix))
         except ValueError as error:
--- a/threadhill/recovery/saved.py
+++ b/threadhill/recovery/saved.py
@@ -49,13 +49,20 @@
     return f"{zlib.crc32(chr(0).join(parts).encode()):08x}"
 
 
-def content(router: Router, memory: Memory, pos: int, cordons: list[str], now: int, term: int = 0,
-            unix: int | None = None) -> dict[str, Any]:
+def content(
+    router: Router, memory: Memory, pos: int, cordons: list[str], now: int, term: int = 0, unix: int | None = None
+) -> dict[str, Any]:
     """What is to be kept now: `now` in local time, `unix` the Unix time of the file; absent: the same."""
     unix = now if unix is None else unix
     purges = [[key, unix - (now - record.at)] for key, record in router.freshness.current(now).items()]
-    return {"pos": pos, "learned": learned.gather(router, now), "out": list(memory.out.items()), "purges": purges,
-            "cordons": cordons[:NAMES], "term": term}
+    return {
+        "pos": pos,
+        "learned": learned.gather(router, now),
+        "out": list(memory.out.items()),
+        "purges": purges,
+        "cordons": cordons[:NAMES],
+        "term": term,
+    }
 
 
 def pack(body: Mapping[str, Any], whose: str, at: int) -> bytes:
@@ -93,10 +100,20 @@
         raw = mapping(orjson.loads(body), "its content")
         cordons = [name for name in sequence(raw.get("cordons"), "cordons") if isinstance(name, str)][:NAMES]
         out = {must_whole(n, "a server"): must_whole(s, "its start") for n, s in sequence(raw.get("out"), "out")}
-        purges = [(key, must_whole(when, "a purge's time")) for key, when in sequence(raw.get("purges"), "purges")
-                  if isinstance(key, str | int)]
-        return Saved(at, must_whole(raw.get("pos"), "pos"), learned.check(raw.get("learned")), out, purges, cordons,
-                     whole(raw.get("term"), "term"))
+        purges = [
+            (key, must_whole(when, "a purge's time"))
+            for key, when in sequence(raw.get("purges"), "purges")
+            if isinstance(key, str | int)
+        ]
+        return Saved(
+            at,
+            must_whole(raw.get("pos"), "pos"),
+            learned.check(raw.get("learned")),
+            out,
+            purges,
+            cordons,
+            whole(raw.get("term"), "term"),
+        )
     except (ValueError, TypeError, Malformed) as error:
         raise Malformed(f"its content can't be read: {error}") from None
 
--- a/threadhill/recovery/statefile.py
+++ b/threadhill/recovery/statefile.py
@@ -48,7 +48,7 @@
             try:
                 left = memoryview(raw)
                 while left:
-                    left = left[os.write(handle, left):]
+                    left = left[os.write(handle, left) :]
                 os.fsync(handle)
             finally:
                 os.close(handle)
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -65,8 +65,9 @@
         self.engine = Engine(config.settings, config.seed, self.clock, self.deadlines, self.stats, log)
         self.caches = CacheServers(self.engine, self._limits(config), log)
         self.journal = Journal(self.engine, self.caches, log, config.name, config.report, config.line)
-        self.front = Platform(self.engine, config.settings.classes, config.clients, config.outbound,
-                              self.loop.call_soon, log)
+        self.front = Platform(
+            self.engine, config.settings.classes, config.clients, config.outbound, self.loop.call_soon, log
+        )
         self.caches.held_up = self.front.held_up = LoopLag(self.loop, self.clock).held_up
         self.front.news_waits = self.journal.news_waits
         self.done = asyncio.Event()
@@ -92,15 +93,19 @@
         """What the caches' side may use: the operator's fronts take their descriptors from it."""
         dns, admin = (self.operator.dns, self.operator.admin) if self.operator is not None else (None, None)
         taken = dns.connections * (2 if dns.tls is not None else 1) if dns is not None else 0
-        taken += (ADMINS if admin is not None else 0)
+        taken += ADMINS if admin is not None else 0
         taken += CALLERS if config.management is not None else 0
         return replace(config.limits, descriptors=max(16, config.limits.descriptors - taken))
 
     async def run(self) -> None:
         """Serve until told to stop and all that was taken is answered."""
         # First of all: a signal that nobody handles ends the process.
-        for signum, handle in ((signal.SIGTERM, self.leave), (signal.SIGINT, self.leave),
-                               (signal.SIGUSR1, self.report), (signal.SIGHUP, self.reload)):
+        for signum, handle in (
+            (signal.SIGTERM, self.leave),
+            (signal.SIGINT, self.leave),
+            (signal.SIGUSR1, self.report),
+            (signal.SIGHUP, self.reload),
+        ):
             self.loop.add_signal_handler(signum, handle)
         self.engine.start(self.caches)
         if self.operator is not None:  # before what the journal tells, which may name others
@@ -143,8 +148,9 @@
 
         written = int(os.stat(os.environ["LB_CONFIG"]).st_mtime_ns // 1_000)
         known_at = self.clock.now() - self.clock.age(written) if self.config.known[1] else None
-        self.recovery = self.journal.recovery = Recovery(self.engine, config, self.config.name, self.config.seed,
-                                                         known_at, log, self.journal)
+        self.recovery = self.journal.recovery = Recovery(
+            self.engine, config, self.config.name, self.config.seed, known_at, log, self.journal
+        )
 
     def _guard(self, config: OverloadConfig) -> None:
         """Turn overload control on: for every front, since all requests come through the core."""
@@ -155,8 +161,9 @@
         self.front.door.pace = lambda: pace.take(self.clock.now(), control.detector.all.state, len(fleet.caches))
         self.front.spread = config.leave
 
-    def _control(self, config: OverloadConfig, engine: Engine, links: Callable[[], int] = lambda: 0,
-                 node: str = "") -> Control:
+    def _control(
+        self, config: OverloadConfig, engine: Engine, links: Callable[[], int] = lambda: 0, node: str = ""
+    ) -> Control:
         """One engine's guard: each node has servers, rooms and storms of its own."""
         from threadhill.overload.capacity import Signs
         from threadhill.overload.control import TURN, Control
@@ -167,8 +174,16 @@
             origin = router.fleet.origin
             return Signs(origin.pace[0] if origin is not None else 1.0, router.link)
 
-        control = Control(settings.classes, settings.flow, settings.max_advice, config, self.config.seed,
-                          lambda text: log(f"node {node}: {text}" if node else text), signs, links)
+        control = Control(
+            settings.classes,
+            settings.flow,
+            settings.max_advice,
+            config,
+            self.config.seed,
+            lambda text: log(f"node {node}: {text}" if node else text),
+            signs,
+            links,
+        )
         engine.guard = control
 
         def turn() -> None:
@@ -187,15 +202,23 @@
         for node in sorted(({v.node for v in config.views} | {n for v in config.views for n in v.then}) - {home}):
             # Each node's clients are answered by a module of that node's own, told of the list as this one is.
             settings = replace(self.config.settings, zone=node)
-            nodes[node] = Engine(settings, self.config.seed ^ zlib.crc32(node.encode()), self.clock, self.deadlines,
-                                 self.stats, log)
+            nodes[node] = Engine(
+                settings, self.config.seed ^ zlib.crc32(node.encode()), self.clock, self.deadlines, self.stats, log
+            )
             nodes[node].start(None)
             if self.operator.overload is not None:
                 self.node_guards[node] = self._control(self.operator.overload, nodes[node], node=node)
             self.engine.follow(nodes[node])
         signer = self._signer(config) if config.keys is not None else None
-        front = DnsFront(self.engine, config, frozenset(self.config.settings.classes), self.caches.where,
-                         self.caches.families, nodes, signer)
+        front = DnsFront(
+            self.engine,
+            config,
+            frozenset(self.config.settings.classes),
+            self.caches.where,
+            self.caches.families,
+            nodes,
+            signer,
+        )
         self.dns = front
         try:
             server = DnsServer(front, log)
@@ -232,8 +255,14 @@
         token, note = self._access(config)
         dns = self.dns
         resolvers = (lambda: dns.charging.resolvers(self.clock.now())) if dns is not None else None
-        api = Api(self.engine.tenants, self.stats, lambda: log(f"tenants: version {self.engine.tenants.version}"),
-                  resolvers, self._explain() if self.overload is not None else None, note)
+        api = Api(
+            self.engine.tenants,
+            self.stats,
+            lambda: log(f"tenants: version {self.engine.tenants.version}"),
+            resolvers,
+            self._explain() if self.overload is not None else None,
+            note,
+        )
         door = Door(self.engine, "admin client", ADMINS, lambda door: HttpConnection(token, api, door), log)
         host = config.listen[0]
         log.say(f"admin: serving on {host}:{await door.listen(*config.listen)}")
@@ -398,8 +427,10 @@
         after = f"{since / 1e6:.2f} s after SIGTERM"
         if since >= kill - BEFORE_KILL and not self._given_up:
             self._given_up = True
-            log.event(f"leaving: {len(self.engine.requests)} requests still open are failed, "
-                    f"{len(door.guests)} client connections still open, {after}")
+            log.event(
+                f"leaving: {len(self.engine.requests)} requests still open are failed, "
+                f"{len(door.guests)} client connections still open, {after}"
+            )
             self.engine.end_all()
             self.front.let_go(now, all_of_them=True)
         elif since >= serve_on:
--- a/threadhill/settings.py
+++ b/threadhill/settings.py
@@ -48,8 +48,12 @@
 
 def figure(value: Any, most: float, what: str) -> float:
     """One figure from 0 to so much, of what others tell: neither a flag nor without end."""
-    if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) \
-            or not 0 <= value <= most:
+    if (
+        isinstance(value, bool)
+        or not isinstance(value, int | float)
+        or not math.isfinite(value)
+        or not 0 <= value <= most
+    ):
         raise Malformed(f"{what} is from 0 to {most:g}, not {str(value)[:20]}")
     return float(value)
 
@@ -157,15 +161,37 @@
 
 
 # Counts, times and shares that have no meaning below zero, by the name that the settings give them.
-NOT_NEGATIVE = {"routers": "n-instances", "tick": "tick", "ask_within": "ask-within", "answer_slack": "grace-to-answer",
-                "drain_grace": "drain-grace", "cold_from": "start-capacity", "cold_time": "ramp-time",
-                "fall_multiple": "fall-multiple", "fall_window": "fall", "parent_cold_from": "upper-cold-from",
-                "parent_cold_time": "parent-ramp", "parent_fall_multiple": "parent-fall-multiple",
-                "purge_grace": "purge-slack", "purge_done": "purge-takes", "max_advice": "max-retry-after",
-                "max_attempts": "max-attempts", "connect_timeout": "connect-timeout", "flow": "client-kb-per-s"}
-CLASS_NOT_NEGATIVE = {"window": "repeat-window", "aim": "objective", "aim_stretch": "aim-stretch",
-                      "deadline": "deadline", "fresh": "fresh-for", "grace": "stale-for", "worth": "value",
-                      "late_worth": "late-worth", "old_worth": "old-copy-worth"}
+NOT_NEGATIVE = {
+    "routers": "n-instances",
+    "tick": "tick",
+    "ask_within": "ask-within",
+    "answer_slack": "grace-to-answer",
+    "drain_grace": "drain-grace",
+    "cold_from": "start-capacity",
+    "cold_time": "ramp-time",
+    "fall_multiple": "fall-multiple",
+    "fall_window": "fall",
+    "parent_cold_from": "upper-cold-from",
+    "parent_cold_time": "parent-ramp",
+    "parent_fall_multiple": "parent-fall-multiple",
+    "purge_grace": "purge-slack",
+    "purge_done": "purge-takes",
+    "max_advice": "max-retry-after",
+    "max_attempts": "max-attempts",
+    "connect_timeout": "connect-timeout",
+    "flow": "client-kb-per-s",
+}
+CLASS_NOT_NEGATIVE = {
+    "window": "repeat-window",
+    "aim": "objective",
+    "aim_stretch": "aim-stretch",
+    "deadline": "deadline",
+    "fresh": "fresh-for",
+    "grace": "stale-for",
+    "worth": "value",
+    "late_worth": "late-worth",
+    "old_worth": "old-copy-worth",
+}
 SHARES = {"cold_from": "start-capacity", "parent_cold_from": "upper-cold-from"}  # of a whole
 CLASS_SHARES = {"late_worth": "late-worth", "old_worth": "old-copy-worth"}
 
@@ -208,9 +234,7 @@
     raw = mapping(raw, "options")
     extra, limits, rules = (mapping(raw.get(key), key) for key in ("extra", "limits", "obligations"))
     kinds = names(raw.get("machine-types"), "machine-types")
-    classes = [
-        read_class(item, i, extra) for i, item in enumerate(sequence(raw.get("profiles"), "profiles"))
-    ]
+    classes = [read_class(item, i, extra) for i, item in enumerate(sequence(raw.get("profiles"), "profiles"))]
     names([cls.name for cls in classes], "profiles")
     for key in BY_CLASS:
         told = len(sequence(extra.get(key), key))
@@ -234,8 +258,10 @@
         zone=text(raw.get("zone") or "", "zone"),
         zones=names(raw.get("zones"), "zones"),
         zone_hub=tuple(must_whole(hub, "hub-of") for hub in sequence(extra.get("hub-of"), "hub-of")),
-        zone_link=tuple(number(link, "zone-link-kb-per-s")
-                        for link in sequence(extra.get("zone-link-kb-per-s"), "zone-link-kb-per-s")),
+        zone_link=tuple(
+            number(link, "zone-link-kb-per-s")
+            for link in sequence(extra.get("zone-link-kb-per-s"), "zone-link-kb-per-s")
+        ),
         zone_routers=tuple(sequence(extra.get("crew-by-zone"), "crew-by-zone")),
         routers=max(1, told_routers) if told_routers >= 0 else told_routers,
         rank=whole(raw.get("rank"), "rank"),
--- a/threadhill/standin/ask.py
+++ b/threadhill/standin/ask.py
@@ -49,8 +49,9 @@
         future = self.waiting[tag] = asyncio.get_running_loop().create_future()
         return future
 
-    def ask(self, cls: str, obj: str, part: int = 0, budget: int = 3_000, body: bytes = b"",
-            **more: Any) -> asyncio.Future[Answer]:
+    def ask(
+        self, cls: str, obj: str, part: int = 0, budget: int = 3_000, body: bytes = b"", **more: Any
+    ) -> asyncio.Future[Answer]:
         fields = {"rid": os.urandom(8).hex(), "budget": budget, "obj": obj, "n": part, "shard": int(obj[:2], 16)} | more
         return self.send(b"ASK", cls.encode(), ",".join(f"{k}={v}" for k, v in fields.items()).encode(), body)
 
@@ -87,15 +88,18 @@
         typer.echo(orjson.dumps({"answers": told, "words": words}).decode())
     else:
         for answer in told[:20]:
-            typer.echo(f"{answer['answer']}  {answer['ms']:.1f} ms  {answer['bytes']} bytes"
-                       + (f"  come back in {answer['backoff']} ms" if answer["backoff"] else "")
-                       + ("" if answer["right"] else "  (not what the stand-ins hold for it)"))
+            typer.echo(
+                f"{answer['answer']}  {answer['ms']:.1f} ms  {answer['bytes']} bytes"
+                + (f"  come back in {answer['backoff']} ms" if answer["backoff"] else "")
+                + ("" if answer["right"] else "  (not what the stand-ins hold for it)")
+            )
         typer.echo(", ".join(f"{count} x {word}" for word, count in sorted(words.items())))
     return 0 if set(words) == {"served"} else 1
 
 
-async def _ask(host: str, port: int, cls: str, obj: str, part: int, count: int, budget: int,
-               tenant: str) -> list[dict[str, Any]]:
+async def _ask(
+    host: str, port: int, cls: str, obj: str, part: int, count: int, budget: int, tenant: str
+) -> list[dict[str, Any]]:
     names = {"200": "served", "503": "refused"}
     loop = asyncio.get_running_loop()
     client = await Client.connect(host, port)
@@ -107,7 +111,14 @@
         async with asyncio.timeout(budget / 1e3 + 5):
             word, fields, body = await client.ask(cls, obj, part, budget, **more, **keyed)
         right = word != "200" or body == body_of(obj, str(part))
-        told.append({"answer": names.get(word, "failed"), "ms": (loop.time() - began) * 1e3, "bytes": len(body),
-                     "backoff": fields.get("backoff", ""), "right": right})
+        told.append(
+            {
+                "answer": names.get(word, "failed"),
+                "ms": (loop.time() - began) * 1e3,
+                "bytes": len(body),
+                "backoff": fields.get("backoff", ""),
+                "right": right,
+            }
+        )
     client.close()
     return told
--- a/threadhill/standin/dev.py
+++ b/threadhill/standin/dev.py
@@ -101,8 +101,15 @@
             if process is not None and process.returncode is None:
                 await self._end(name)
             started = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "threadhill", "serve", *(["--operator", self.operator] if self.operator else []),
-                env=environment(LB_CONFIG=str(file)), stderr=asyncio.subprocess.DEVNULL, start_new_session=True)
+                sys.executable,
+                "-m",
+                "threadhill",
+                "serve",
+                *(["--operator", self.operator] if self.operator else []),
+                env=environment(LB_CONFIG=str(file)),
+                stderr=asyncio.subprocess.DEVNULL,
+                start_new_session=True,
+            )
             self.proxies[name] = started, report
 
     async def _end(self, name: str) -> None:
@@ -120,13 +127,26 @@
                 await process.wait()
 
 
-async def start_control(data: Path, api: str, feed: str, token: str, quiet: bool = False,
-                        *words: str) -> asyncio.subprocess.Process:
+async def start_control(
+    data: Path, api: str, feed: str, token: str, quiet: bool = False, *words: str
+) -> asyncio.subprocess.Process:
     """A control plane as a process; it answers when this returns."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "threadhill", "control", "--data", str(data), "--api", api, "--feed", feed,
-        *words, env=environment(THREADHILL_TOKEN=token), start_new_session=True,
-        stderr=asyncio.subprocess.DEVNULL if quiet else None)
+        sys.executable,
+        "-m",
+        "threadhill",
+        "control",
+        "--data",
+        str(data),
+        "--api",
+        api,
+        "--feed",
+        feed,
+        *words,
+        env=environment(THREADHILL_TOKEN=token),
+        start_new_session=True,
+        stderr=asyncio.subprocess.DEVNULL if quiet else None,
+    )
     ask = client.Caller(api, token)
     end = asyncio.get_running_loop().time() + PATIENCE
     while True:
@@ -170,11 +190,13 @@
             lease = await asyncio.to_thread(client.begin, ask, plan, "dev", "dev", "threadhill dev")
             await asyncio.to_thread(client.carry_on, ask, lease, lambda told: None)
         proxies = [r.attrs["listen"] for _, r in sorted(wanted.items()) if r.kind == "proxy"]
-        typer.echo(f"Running. Control plane {api}; proxies {', '.join(proxies)}. In another terminal:\n"
-                   f"  export THREADHILL_TOKEN={token} THREADHILL_PROXY={proxies[0] if proxies else ''}\n"
-                   "  threadhill ask art-pages 7f3a9c21e0b4d655\n"
-                   "  threadhill plan deploy/example -var boxes=7\n"
-                   "Ctrl-C ends everything.")
+        typer.echo(
+            f"Running. Control plane {api}; proxies {', '.join(proxies)}. In another terminal:\n"
+            f"  export THREADHILL_TOKEN={token} THREADHILL_PROXY={proxies[0] if proxies else ''}\n"
+            "  threadhill ask art-pages 7f3a9c21e0b4d655\n"
+            "  threadhill plan deploy/example -var boxes=7\n"
+            "Ctrl-C ends everything."
+        )
         sys.stdout.flush()
         await stopped.wait()
     finally:
--- a/threadhill/standin/links.py
+++ b/threadhill/standin/links.py
@@ -88,8 +88,11 @@
             self.bytes -= len(data)
             peer.write(data)
         if self.waiting:
-            wait = min(self.waiting[0][0] - now, RATE_TURN) if self.relay.ways[self.name].rate else \
-                self.waiting[0][0] - now
+            wait = (
+                min(self.waiting[0][0] - now, RATE_TURN)
+                if self.relay.ways[self.name].rate
+                else self.waiting[0][0] - now
+            )
             self._timer = asyncio.get_running_loop().call_later(wait, self.pump)
         elif self.ended:
             peer.close()
@@ -210,8 +213,10 @@
 async def switch(relay: Relay, change: Change) -> None:
     """Bring one change about."""
     if change.kind not in KINDS or change.direction not in ("both", "up", "down"):
-        raise ValueError(f"{change.kind} {change.direction}: no such change of a link; there are {', '.join(KINDS)}, "
-                         "each for both, up or down")
+        raise ValueError(
+            f"{change.kind} {change.direction}: no such change of a link; there are {', '.join(KINDS)}, "
+            "each for both, up or down"
+        )
     if change.kind == "reset":
         relay.reset()
         return
@@ -222,8 +227,13 @@
     if change.kind == "half":
         relay.accepts = "half"
         return
-    way = {"pass": PASS, "drop": Way(drop=True), "stall": Way(stall=True), "delay": replace(PASS, delay=change.amount),
-           "slow": replace(PASS, rate=change.amount)}[change.kind]
+    way = {
+        "pass": PASS,
+        "drop": Way(drop=True),
+        "stall": Way(stall=True),
+        "delay": replace(PASS, delay=change.amount),
+        "slow": replace(PASS, rate=change.amount),
+    }[change.kind]
     if change.kind == "pass":
         relay.accepts = "all"
     relay.set(way if change.direction != "down" else None, way if change.direction != "up" else None)
--- a/threadhill/standin/players.py
+++ b/threadhill/standin/players.py
@@ -74,7 +74,8 @@
             more["acct"] = self.tenant
         try:
             word, fields, _ = await asyncio.wait_for(
-                one.ask("clip-parts", obj, part, max(1, int(left * 1e3)), **more), left + 0.05)
+                one.ask("clip-parts", obj, part, max(1, int(left * 1e3)), **more), left + 0.05
+            )
         except (OSError, TimeoutError):
             return "silence", 0.0
         return word, int(fields.get("backoff", 0)) / 1e3
--- a/threadhill/standin/servers.py
+++ b/threadhill/standin/servers.py
@@ -50,7 +50,8 @@
 
     most: int = KEPT
     by_rank: list[OrderedDict[tuple[str, str], float]] = field(
-        default_factory=lambda: [OrderedDict() for _ in range(4)])
+        default_factory=lambda: [OrderedDict() for _ in range(4)]
+    )
 
     def __len__(self) -> int:
         return sum(len(kept) for kept in self.by_rank)
@@ -78,8 +79,16 @@
 class Server:
     """One stand-in; `kind` is box, parent or library. `where` finds the address of a source by its name."""
 
-    def __init__(self, name: str, kind: str, address: tuple[str, int], where: Callable[[str], tuple[str, int] | None],
-                 cold: float = 0.0, cold_from: float = 0.16, upstream: str = "") -> None:
+    def __init__(
+        self,
+        name: str,
+        kind: str,
+        address: tuple[str, int],
+        where: Callable[[str], tuple[str, int] | None],
+        cold: float = 0.0,
+        cold_from: float = 0.16,
+        upstream: str = "",
+    ) -> None:
         self.name, self.kind, self.address, self.where = name, kind, address, where
         self.started, self.cold, self.cold_from, self.upstream = time.time(), cold, cold_from, upstream
         self.copies = Copies()
@@ -261,8 +270,16 @@
                 task.cancel()
         elif words[0] == "do" and len(words) == 4:
             fields = fields_of(words[2])
-            self.server.arrivals.append(Arrival(time.time(), fields.get("profile", ""), fields.get("thing", ""),
-                                                fields.get("nth", "0"), fields.get("from", ""), "fill" in fields))
+            self.server.arrivals.append(
+                Arrival(
+                    time.time(),
+                    fields.get("profile", ""),
+                    fields.get("thing", ""),
+                    fields.get("nth", "0"),
+                    fields.get("from", ""),
+                    "fill" in fields,
+                )
+            )
             self.tasks[words[1]] = asyncio.ensure_future(self._serve(words[1], fields))
         else:
             self.transport.abort()
@@ -345,8 +362,15 @@
         server = self.servers.get(name)
         return server.address if server is not None else None
 
-    async def add(self, name: str, kind: str, address: tuple[str, int], cold: float = 0.0, cold_from: float = 0.16,
-                  upstream: str = "") -> Server:
+    async def add(
+        self,
+        name: str,
+        kind: str,
+        address: tuple[str, int],
+        cold: float = 0.0,
+        cold_from: float = 0.16,
+        upstream: str = "",
+    ) -> Server:
         server = Server(name, kind, address, self.where, cold, cold_from, upstream)
         await server.start()
         self.servers[name] = server
--- a/threadhill/standin/soak/clients.py
+++ b/threadhill/standin/soak/clients.py
@@ -33,8 +33,10 @@
     def ask(self, request: ClientRequest, token: str) -> None:
         """Send a request."""
         tag = next(self.tags)
-        fields = (f"rid={request.rid},budget={round(request.budget * 1e3)},obj={request.thing},n={request.part},"
-                  f"shard={request.group},mem=120")
+        fields = (
+            f"rid={request.rid},budget={round(request.budget * 1e3)},obj={request.thing},n={request.part},"
+            f"shard={request.group},mem=120"
+        )
         fields += f",token={token}" if token else ""
         fields += f",mine={request.seen}" if request.seen else ""
         request.crossed = not self.open
--- a/threadhill/standin/soak/deployment.py
+++ b/threadhill/standin/soak/deployment.py
@@ -48,8 +48,15 @@
     FAILED_CALLS = "system calls fail"
 
 
-WEIGHTS = {Act.PURGE: 6, Act.PURGES_IN_A_ROW: 10, Act.RELOAD: 2, Act.KILL: 2, Act.WATCH_BREAKS: 2, Act.SILENT_WATCH: 2,
-           Act.DRAIN: 2}  # how often each kind is drawn; others: 1
+WEIGHTS = {
+    Act.PURGE: 6,
+    Act.PURGES_IN_A_ROW: 10,
+    Act.RELOAD: 2,
+    Act.KILL: 2,
+    Act.WATCH_BREAKS: 2,
+    Act.SILENT_WATCH: 2,
+    Act.DRAIN: 2,
+}  # how often each kind is drawn; others: 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,26 +110,64 @@
     def settings(self) -> dict[str, Any]:
         """The settings as the platform tells them."""
         us = 1_000_000
-        profiles = [{"aim-stretch": 1.0, "deadline": round(cls.deadline * us), "name": cls.name, "dedup-scope": "all",
-                     "objective": round(cls.deadline * us / 4), "repeat": cls.effect.value,
-                     "repeat-window": round(cls.window * us)} for cls in self.classes]
+        profiles = [
+            {
+                "aim-stretch": 1.0,
+                "deadline": round(cls.deadline * us),
+                "name": cls.name,
+                "dedup-scope": "all",
+                "objective": round(cls.deadline * us / 4),
+                "repeat": cls.effect.value,
+                "repeat-window": round(cls.window * us),
+            }
+            for cls in self.classes
+        ]
         count = len(self.classes)
         return {
-            "extra": {"bypass-allowed": True, "class-write": [cls.write for cls in self.classes],
-                      "client-kb-per-s": 4000.0, "crew-by-zone": [0, self.processes], "fresh-for": [0] * count,
-                      "in-parts": [False] * count, "master-kind": 2, "notes-given": "none", "shares-fills": True,
-                      "parent-fall-multiple": 2.0, "parent-ramp": 20 * us, "sideways": "location",
-                      "purge-slack": round(self.purge_slack * us), "purge-takes": round(self.purge_takes * us),
-                      "upper-cold-from": 0.063, "upper-kind": 1},
-            "limits": {"cancel": True, "conn-idle": 30 * us, "connect-timeout": 400_000, "max-attempts": 8,
-                       "max-retry-after": 500_000, "max-streams": 32, "retry-after": True, "second-copies": True},
-            "machine-types": ["standard", "parent", "origin"], "membership-mode": "pushed",
+            "extra": {
+                "bypass-allowed": True,
+                "class-write": [cls.write for cls in self.classes],
+                "client-kb-per-s": 4000.0,
+                "crew-by-zone": [0, self.processes],
+                "fresh-for": [0] * count,
+                "in-parts": [False] * count,
+                "master-kind": 2,
+                "notes-given": "none",
+                "shares-fills": True,
+                "parent-fall-multiple": 2.0,
+                "parent-ramp": 20 * us,
+                "sideways": "location",
+                "purge-slack": round(self.purge_slack * us),
+                "purge-takes": round(self.purge_takes * us),
+                "upper-cold-from": 0.063,
+                "upper-kind": 1,
+            },
+            "limits": {
+                "cancel": True,
+                "conn-idle": 30 * us,
+                "connect-timeout": 400_000,
+                "max-attempts": 8,
+                "max-retry-after": 500_000,
+                "max-streams": 32,
+                "retry-after": True,
+                "second-copies": True,
+            },
+            "machine-types": ["standard", "parent", "origin"],
+            "membership-mode": "pushed",
             "n-instances": self.processes,
-            "obligations": {"drain-grace": round(self.drain_grace * us), "fall": round(self.fall_window * us),
-                            "fall-multiple": self.fall_multiple, "grace-to-answer": 8_000,
-                            "ramp-time": round(self.ramp * us), "start-capacity": self.start_share},
-            "profiles": profiles, "report": {"columns": ["rif", "busy", "x1", "x0"], "via": "answers"},
-            "tick": 2_000, "zone": "edge-1", "zones": ["sierra", "edge-1"],
+            "obligations": {
+                "drain-grace": round(self.drain_grace * us),
+                "fall": round(self.fall_window * us),
+                "fall-multiple": self.fall_multiple,
+                "grace-to-answer": 8_000,
+                "ramp-time": round(self.ramp * us),
+                "start-capacity": self.start_share,
+            },
+            "profiles": profiles,
+            "report": {"columns": ["rif", "busy", "x1", "x0"], "via": "answers"},
+            "tick": 2_000,
+            "zone": "edge-1",
+            "zones": ["sierra", "edge-1"],
         }
 
 
@@ -138,26 +183,49 @@
         RequestClass("orders", order, max(reads), rng.choice([0.15, 2.0]), True, 0.08),
     )
     processes = rng.choice([1, 2, 4, 6, 6, 8, 12])
-    acts = [(rng.uniform(2, LENGTH - 2), act) for act in
-            rng.choices(list(Act), weights=[WEIGHTS.get(act, 1) for act in Act], k=rng.choice([8, 20, 30, 40]))]
+    acts = [
+        (rng.uniform(2, LENGTH - 2), act)
+        for act in rng.choices(list(Act), weights=[WEIGHTS.get(act, 1) for act in Act], k=rng.choice([8, 20, 30, 40]))
+    ]
     scene = rng.random()
-    calm = [(rng.uniform(2, LENGTH - 2), rng.choice([Act.PURGE, Act.PURGES_IN_A_ROW, Act.SLOW_FILLS, Act.RESET]))
-            for _ in range(8)]
+    calm = [
+        (rng.uniform(2, LENGTH - 2), rng.choice([Act.PURGE, Act.PURGES_IN_A_ROW, Act.SLOW_FILLS, Act.RESET]))
+        for _ in range(8)
+    ]
     if scene < 0.2:  # quiet but for watches that fall silent, and drains that nobody hears of then
         acts = calm + [(rng.uniform(2, 4), Act.SILENT_WATCH)] + [(rng.uniform(4, 7), Act.DRAIN) for _ in range(3)]
     elif scene < 0.4:  # cold servers under load, told to all
         acts = calm + [(rng.uniform(2, 5), Act.COLD) for _ in range(2)]
     elif scene < 0.85:  # a purge of most groups, and then what a release is likely to bring with it
         at = rng.uniform(4, LENGTH - 9)
-        acts += [(at, Act.FLUSH), (at + rng.uniform(0.05, 0.7), Act.KILL), (at + rng.uniform(4, 6), Act.SILENT_WATCH),
-                 (at + rng.uniform(6, 8), Act.RELOAD)]
+        acts += [
+            (at, Act.FLUSH),
+            (at + rng.uniform(0.05, 0.7), Act.KILL),
+            (at + rng.uniform(4, 6), Act.SILENT_WATCH),
+            (at + rng.uniform(6, 8), Act.RELOAD),
+        ]
     cold = 0.2 <= scene < 0.4
     return Deployment(
-        seed, classes, processes, caches=3 if cold else rng.randint(3, 9), parents=rng.randint(1, 3),
-        rate=min(240.0, processes * rng.uniform(15, 30)), objects=rng.choice([40, 200]), groups=32,
-        purge_slack=rng.choice([0.3, 0.5]), purge_takes=rng.choice([2.0, 6.0, 6.0, 15.0]),
-        drain_grace=rng.choice([0.25, 0.5]), start_share=rng.uniform(0.06, 0.12 if cold else 0.3),
+        seed,
+        classes,
+        processes,
+        caches=3 if cold else rng.randint(3, 9),
+        parents=rng.randint(1, 3),
+        rate=min(240.0, processes * rng.uniform(15, 30)),
+        objects=rng.choice([40, 200]),
+        groups=32,
+        purge_slack=rng.choice([0.3, 0.5]),
+        purge_takes=rng.choice([2.0, 6.0, 6.0, 15.0]),
+        drain_grace=rng.choice([0.25, 0.5]),
+        start_share=rng.uniform(0.06, 0.12 if cold else 0.3),
         ramp=rng.uniform(16 if cold else 8, 20),
-        fall_multiple=1.5 if cold else rng.choice([1.5, 2.0, 2.5]), fall_window=3.0, news_delay=rng.uniform(0.03, 0.36),
-        heartbeat_object=rng.random() < 0.5, heartbeat_first=rng.random() < 0.5, joins_old_fills=rng.random() < 0.7,
-        crowd=rng.choice([0, 0, 0, 60]), descriptors=rng.choice([256, 640, 1024]), acts=tuple(sorted(acts)))
+        fall_multiple=1.5 if cold else rng.choice([1.5, 2.0, 2.5]),
+        fall_window=3.0,
+        news_delay=rng.uniform(0.03, 0.36),
+        heartbeat_object=rng.random() < 0.5,
+        heartbeat_first=rng.random() < 0.5,
+        joins_old_fills=rng.random() < 0.7,
+        crowd=rng.choice([0, 0, 0, 60]),
+        descriptors=rng.choice([256, 640, 1024]),
+        acts=tuple(sorted(acts)),
+    )
--- a/threadhill/standin/soak/discovery.py
+++ b/threadhill/standin/soak/discovery.py
@@ -121,7 +121,8 @@
                     writer.write(self.heartbeat % self.last)
                     last = self._tell(writer, last)
                 elif writer not in self.silent and (
-                        not self.heartbeat_first or now <= beat + HEARTBEAT - BEFORE_EVENTS):
+                    not self.heartbeat_first or now <= beat + HEARTBEAT - BEFORE_EVENTS
+                ):
                     last = self._tell(writer, last)
                 await writer.drain()
                 await asyncio.sleep(TURN)
--- a/threadhill/standin/soak/judge.py
+++ b/threadhill/standin/soak/judge.py
@@ -110,8 +110,11 @@
     def _killed_under(self, request: ClientRequest) -> bool:
         """Whether a kill that nobody planned took its process along before its answer was due."""
         life = self.record.processes[request.process]
-        return bool(life.killed_at and not life.asked_to_end_at
-                    and life.killed_at < request.sent_at + request.budget + LATE_ANSWER)
+        return bool(
+            life.killed_at
+            and not life.asked_to_end_at
+            and life.killed_at < request.sent_at + request.budget + LATE_ANSWER
+        )
 
     def _served(self, request: ClientRequest) -> Iterator[Breach]:
         for answer in request.answers[:1]:
@@ -120,8 +123,11 @@
             if answer.same:
                 yield from self._current(request, answer)
                 continue
-            made = [a for a in self.attempts[request.rid]
-                    if a.word == "ok" and answer.body == body_of(a.thing, a.part, a.born)]
+            made = [
+                a
+                for a in self.attempts[request.rid]
+                if a.word == "ok" and answer.body == body_of(a.thing, a.part, a.born)
+            ]
             if not made or (made[0].thing, made[0].part) != (request.thing, request.part):
                 yield self._breach(Rule.SPOILT, answer.at, request, repr(answer.body[:60]))
             elif not self.classes[request.cls].write:
@@ -136,18 +142,29 @@
 
     def _purged(self, request: ClientRequest, answer: ClientAnswer, made: list[ServerAttempt]) -> Iterator[Breach]:
         """Of several attempts that may have brought this answer, one that may has to be within the rule."""
-        found = [(attempt, purge) for attempt in made for purge in self.record.purges
-                 if purge.covers(request.thing, request.group) and attempt.born < purge.stamp
-                 and request.process in purge.told
-                 and attempt.at > purge.told[request.process] + self.deployment.purge_slack
-                 + self.slack(purge.told[request.process], attempt.at, request.process)]
+        found = [
+            (attempt, purge)
+            for attempt in made
+            for purge in self.record.purges
+            if purge.covers(request.thing, request.group)
+            and attempt.born < purge.stamp
+            and request.process in purge.told
+            and attempt.at
+            > purge.told[request.process]
+            + self.deployment.purge_slack
+            + self.slack(purge.told[request.process], attempt.at, request.process)
+        ]
         if found and len({attempt.at for attempt, _ in found}) == len(made):
             attempt, purge = found[0]
             told = purge.told[request.process]
-            yield self._breach(Rule.PURGED, answer.at, request,
-                               f"born {attempt.born}, purged {purge.stamp} ({purge.name or purge.group}), told "
-                               f"{told - self.record.began:.3f}, asked {attempt.at - self.record.began:.3f}, oldest "
-                               f"{attempt.oldest}")
+            yield self._breach(
+                Rule.PURGED,
+                answer.at,
+                request,
+                f"born {attempt.born}, purged {purge.stamp} ({purge.name or purge.group}), told "
+                f"{told - self.record.began:.3f}, asked {attempt.at - self.record.began:.3f}, oldest "
+                f"{attempt.oldest}",
+            )
 
     # --- what servers are owed
 
@@ -182,8 +199,12 @@
             listed_again = removal.until and attempt.at >= removal.until
             if late > self.slack(told, attempt.at, process) and not listed_again:
                 what = "source" if removal.server == attempt.source else "server"
-                yield self._breach(Rule.DRAINED, attempt.at, request,
-                                   f"{what} {removal.server}, told {told - self.record.began:.3f}, {late:.3f} s late")
+                yield self._breach(
+                    Rule.DRAINED,
+                    attempt.at,
+                    request,
+                    f"{what} {removal.server}, told {told - self.record.began:.3f}, {late:.3f} s late",
+                )
 
     def _admits_purged(self, request: ClientRequest, attempt: ServerAttempt) -> Iterator[Breach]:
         """While servers may keep copies from before a purge, an attempt says that they are too old."""
@@ -196,9 +217,13 @@
             if attempt.at <= told + self.deployment.purge_slack + self.slack(told, attempt.at, request.process):
                 continue
             if not attempt.oldest or attempt.oldest / 1e3 > since + SOCKETS:
-                yield self._breach(Rule.ADMITS_PURGED, attempt.at, request,
-                                   f"oldest {attempt.oldest}, {since:.3f} s after the purge of "
-                                   f"{purge.name or purge.group}, told {told - self.record.began:.3f}")
+                yield self._breach(
+                    Rule.ADMITS_PURGED,
+                    attempt.at,
+                    request,
+                    f"oldest {attempt.oldest}, {since:.3f} s after the purge of "
+                    f"{purge.name or purge.group}, told {told - self.record.began:.3f}",
+                )
                 return
 
     # --- what cold servers are owed
@@ -212,12 +237,16 @@
             arrivals[attempt.server].append(attempt.at)
         cold_names = {cold.server for cold in self.record.cold_starts}
         window = self.deployment.fall_window
-        capacity = max((most_in_window(times, window) / window for name, times in arrivals.items()
-                        if name not in cold_names), default=0.0)
+        capacity = max(
+            (most_in_window(times, window) / window for name, times in arrivals.items() if name not in cold_names),
+            default=0.0,
+        )
         for cold in self.record.cold_starts:
             times = arrivals[cold.server]
-            told = max((at for process, at in cold.told.items()
-                        if self.record.processes[process].started_at < cold.at), default=cold.at)
+            told = max(
+                (at for process, at in cold.told.items() if self.record.processes[process].started_at < cold.at),
+                default=cold.at,
+            )
             for i, start in enumerate(times):
                 if start < told or start + window > cold.at + self.deployment.ramp:
                     continue
@@ -249,8 +278,9 @@
         if life.asked_to_end_at and life.killed_at:
             yield breach(Rule.NOT_ENDED, life.killed_at, "")
         if life.most_descriptors > self.deployment.descriptors or life.most_memory_mb > MEMORY_MB:
-            yield breach(Rule.LIMIT, life.started_at,
-                         f"{life.most_descriptors} descriptors, {life.most_memory_mb:.0f} MB")
+            yield breach(
+                Rule.LIMIT, life.started_at, f"{life.most_descriptors} descriptors, {life.most_memory_mb:.0f} MB"
+            )
 
     @staticmethod
     def _breach(rule: Rule, at: float, request: ClientRequest, why: str) -> Breach:
--- a/threadhill/standin/soak/proxy.py
+++ b/threadhill/standin/soak/proxy.py
@@ -78,15 +78,23 @@
     def takes_connections(self) -> bool:
         """Whether the front sends new clients here."""
         life = self.life
-        return (bool(life.serving_at) and not life.ended_at
-                and (not life.asked_to_end_at or time.monotonic() < life.asked_to_end_at + 0.3))
+        return (
+            bool(life.serving_at)
+            and not life.ended_at
+            and (not life.asked_to_end_at or time.monotonic() < life.asked_to_end_at + 0.3)
+        )
 
     def configure(self, known: dict[str, Any]) -> None:
         """Write the file that the process is told by."""
-        config = {"name": self.name, "listen": f"127.0.0.1:{self.port}", "seed": f"{self.deployment.seed + 1:x}",
-                  "settings": self.deployment.settings(),
-                  "limits": {"cores": 1.0, "memory_mb": 96, "sockets": self.deployment.descriptors},
-                  "journal": f"127.0.0.1:{self.watcher.port}", "known": known}
+        config = {
+            "name": self.name,
+            "listen": f"127.0.0.1:{self.port}",
+            "seed": f"{self.deployment.seed + 1:x}",
+            "settings": self.deployment.settings(),
+            "limits": {"cores": 1.0, "memory_mb": 96, "sockets": self.deployment.descriptors},
+            "journal": f"127.0.0.1:{self.watcher.port}",
+            "known": known,
+        }
         partial = self.folder / f"{self.name}.part"
         partial.write_text(json.dumps(config))
         partial.rename(self.folder / f"{self.name}.json")
@@ -99,9 +107,18 @@
         before = self.log.stat().st_size if self.log.exists() else 0
         with self.log.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
-                *self.program.command, str(self.folder / f"{self.name}.table"), "serve", cwd=self.program.root,
-                stderr=log, env=os.environ | {"LB_CONFIG": str(self.folder / f"{self.name}.json"),
-                                              "PYTHONPATH": str(self.program.root), "TMPDIR": str(self.folder)})
+                *self.program.command,
+                str(self.folder / f"{self.name}.table"),
+                "serve",
+                cwd=self.program.root,
+                stderr=log,
+                env=os.environ
+                | {
+                    "LB_CONFIG": str(self.folder / f"{self.name}.json"),
+                    "PYTHONPATH": str(self.program.root),
+                    "TMPDIR": str(self.folder),
+                },
+            )
         asyncio.ensure_future(self._wait_for_end(self.process, self.life))
         await self._wait_until_it_serves(before)
 
--- a/threadhill/standin/soak/report.py
+++ b/threadhill/standin/soak/report.py
@@ -23,24 +23,35 @@
 
 def timeline(record: Record, breach: Breach, logs: Mapping[str, str]) -> str:
     """All that is known of one breach, in the order of time, and how to play its seed again."""
+
     def at(time: float) -> str:
         return f"{time - record.began:8.3f}"
 
-    told = [f"seed {record.seed}: {breach.rule.value}",
-            f"{at(breach.at)}  {breach.process} {breach.rid} {breach.why}"]
+    told = [f"seed {record.seed}: {breach.rule.value}", f"{at(breach.at)}  {breach.process} {breach.rid} {breach.why}"]
     events = [(fault.at, f"fault: {fault.what}") for fault in record.faults if breach.at - NEAR < fault.at <= breach.at]
     request = record.requests.get(breach.rid)
     if request is not None:
         events += _of_request(record, request)
-        events += [(purge.told.get(request.process, breach.at),
-                    f"told of the purge of {purge.name or f'group {purge.group}'}, stamp {purge.stamp}")
-                   for purge in record.purges if purge.covers(request.thing, request.group)]
-        events += [(removal.told.get(request.process, removal.at), f"told that {removal.server} drains or is gone")
-                   for removal in record.removals]
+        events += [
+            (
+                purge.told.get(request.process, breach.at),
+                f"told of the purge of {purge.name or f'group {purge.group}'}, stamp {purge.stamp}",
+            )
+            for purge in record.purges
+            if purge.covers(request.thing, request.group)
+        ]
+        events += [
+            (removal.told.get(request.process, removal.at), f"told that {removal.server} drains or is gone")
+            for removal in record.removals
+        ]
     life = record.processes.get(breach.process)
     if life is not None:
-        events += [(life.started_at, "its process was started"), (life.asked_to_end_at, "SIGTERM"),
-                   (life.killed_at, "SIGKILL"), (life.ended_at, f"its process ended: {life.code}")]
+        events += [
+            (life.started_at, "its process was started"),
+            (life.asked_to_end_at, "SIGTERM"),
+            (life.killed_at, "SIGKILL"),
+            (life.ended_at, f"its process ended: {life.code}"),
+        ]
         events += [(since, f"it stood still for {to - since:.3f} s") for since, to in life.stopped]
     told += [f"{at(when)}  {what}" for when, what in sorted(events) if when]
     log = logs.get(breach.process.partition("#")[0], "").splitlines()
@@ -50,16 +61,29 @@
 
 
 def _of_request(record: Record, request: ClientRequest) -> list[tuple[float, str]]:
-    events = [(request.sent_at, f"client asks {request.cls} {request.thing}/{request.part}, group {request.group}, "
-                                f"budget {request.budget:.3f} s, seen {request.seen or '-'}"),
-              (request.left_at, "client leaves"), (request.closed_at, "the connection is ended under it")]
-    events += [(answer.at, f"answer {answer.word}{' same' if answer.same else ''} {answer.body[:40]!r}")
-               for answer in request.answers]
+    events = [
+        (
+            request.sent_at,
+            f"client asks {request.cls} {request.thing}/{request.part}, group {request.group}, "
+            f"budget {request.budget:.3f} s, seen {request.seen or '-'}",
+        ),
+        (request.left_at, "client leaves"),
+        (request.closed_at, "the connection is ended under it"),
+    ]
+    events += [
+        (answer.at, f"answer {answer.word}{' same' if answer.same else ''} {answer.body[:40]!r}")
+        for answer in request.answers
+    ]
     for one in record.attempts:
         if one.rid == request.rid:
-            events.append((one.at, f"attempt at {one.server} from {one.source or '-'}, max {one.allowed:.3f} s, oldest "
-                                   f"{one.oldest}, mode {one.mode or '-'}: {one.word or 'no answer'}, born {one.born}, "
-                                   f"ran {one.ran}, given up {one.given_up_at > 0}"))
+            events.append(
+                (
+                    one.at,
+                    f"attempt at {one.server} from {one.source or '-'}, max {one.allowed:.3f} s, oldest "
+                    f"{one.oldest}, mode {one.mode or '-'}: {one.word or 'no answer'}, born {one.born}, "
+                    f"ran {one.ran}, given up {one.given_up_at > 0}",
+                )
+            )
     return events
 
 
--- a/threadhill/standin/soak/servers.py
+++ b/threadhill/standin/soak/servers.py
@@ -79,8 +79,16 @@
 class StandInServer:
     """One server. `name` stays over a restart, `port` does not always."""
 
-    def __init__(self, name: str, kind: Kind, zone: str, deployment: Deployment, record: Record, rng: random.Random,
-                 find: Callable[[str], StandInServer | None]) -> None:
+    def __init__(
+        self,
+        name: str,
+        kind: Kind,
+        zone: str,
+        deployment: Deployment,
+        record: Record,
+        rng: random.Random,
+        find: Callable[[str], StandInServer | None],
+    ) -> None:
         self.name, self.kind, self.zone = name, kind, zone
         self.deployment, self.record, self.rng, self.find = deployment, record, rng, find
         self.mood = Mood.WELL
@@ -114,8 +122,16 @@
 
     def member(self, phase: str = "SERVING") -> dict[str, object]:
         """Its entry in the list."""
-        return {"id": self.name, "host_port": f"{self.host}:{self.port}", "locality": self.zone, "cell": 1,
-                "flavor": self.kind.value, "phase": phase, "size": 1, "up_since_ms": self.up_since_ms}
+        return {
+            "id": self.name,
+            "host_port": f"{self.host}:{self.port}",
+            "locality": self.zone,
+            "cell": 1,
+            "flavor": self.kind.value,
+            "phase": phase,
+            "size": 1,
+            "up_since_ms": self.up_since_ms,
+        }
 
     def drop_later(self, purge: Purge) -> None:
         """Drop the older copies at a moment of its own, within the time that servers have."""
@@ -156,9 +172,18 @@
         now = time.monotonic()
         fields = dict(item.split("=", 1) for item in words[2].split(","))
         command = Command(words[1], fields, now)
-        attempt = ServerAttempt(command.rid, self.name, self.port, fields["profile"], now, *command.key,
-                                fields.get("from", ""), int(fields.get("max", "0")) / 1e3, command.oldest,
-                                fields.get("mode", ""))
+        attempt = ServerAttempt(
+            command.rid,
+            self.name,
+            self.port,
+            fields["profile"],
+            now,
+            *command.key,
+            fields.get("from", ""),
+            int(fields.get("max", "0")) / 1e3,
+            command.oldest,
+            fields.get("mode", ""),
+        )
         self.record.attempts.append(attempt)
         return attempt, command
 
--- a/threadhill/standin/soak/world.py
+++ b/threadhill/standin/soak/world.py
@@ -31,8 +31,9 @@
 class SoakWorld:
     """One seed's world."""
 
-    def __init__(self, deployment: Deployment, folder: Path, program: Program,
-                 make_shims: Callable[[Path], Shims]) -> None:
+    def __init__(
+        self, deployment: Deployment, folder: Path, program: Program, make_shims: Callable[[Path], Shims]
+    ) -> None:
         self.deployment, self.folder, self.program, self.make_shims = deployment, folder, program, make_shims
         self.rng = random.Random(deployment.seed ^ 0x50A4)
         self.record = Record(deployment.seed)
@@ -55,8 +56,11 @@
     # --- the beginning and the end
 
     async def _begin(self) -> None:
-        counts = ((Kind.CACHE, self.deployment.caches, "edge-1"), (Kind.PARENT, self.deployment.parents, "sierra"),
-                  (Kind.ORIGIN, 1, "sierra"))
+        counts = (
+            (Kind.CACHE, self.deployment.caches, "edge-1"),
+            (Kind.PARENT, self.deployment.parents, "sierra"),
+            (Kind.ORIGIN, 1, "sierra"),
+        )
         for kind, count, zone in counts:
             for _ in range(count):
                 await self._new_server(kind, zone)
@@ -74,8 +78,16 @@
 
     async def _new_proxy(self, name: str) -> None:
         table = self.folder / f"{name}.table"
-        proxy = Proxy(name, self.folder, self.deployment, self.record, self.program, self.make_shims(table),
-                      self._watcher(), ProcessLife(name, 0.0))
+        proxy = Proxy(
+            name,
+            self.folder,
+            self.deployment,
+            self.record,
+            self.program,
+            self.make_shims(table),
+            self._watcher(),
+            ProcessLife(name, 0.0),
+        )
         self.proxies.append(proxy)
         await self._prepare(proxy)
 
@@ -90,17 +102,23 @@
         for content in self._events_of_a_start():
             proxy.watcher.add(content, 0.0, lambda at: None)
         proxy.history = proxy.history or [event.content for event in proxy.watcher.events]
-        for told in (*(purge.told for purge in self.record.purges), *(one.told for one in self.draining.values()),
-                     *(cold.told for cold in self.record.cold_starts)):
+        for told in (
+            *(purge.told for purge in self.record.purges),
+            *(one.told for one in self.draining.values()),
+            *(cold.told for cold in self.record.cold_starts),
+        ):
             told[process] = now
         proxy.configure(proxy.watcher.known())
 
     def _events_of_a_start(self) -> list[dict[str, Any]]:
-        members = [server.member("DRAINING" if server.name in self.draining else "SERVING")
-                   for server in self.servers.values()]
+        members = [
+            server.member("DRAINING" if server.name in self.draining else "SERVING") for server in self.servers.values()
+        ]
         since = unix_ms() - round(self.deployment.purge_takes * 1e3)
-        return [{"hosts": {"revision": 1, "complete": True, "members": members}},
-                *(self._content(purge) for purge in self.record.purges if purge.stamp >= since)]
+        return [
+            {"hosts": {"revision": 1, "complete": True, "members": members}},
+            *(self._content(purge) for purge in self.record.purges if purge.stamp >= since),
+        ]
 
     @staticmethod
     def _content(purge: Purge) -> dict[str, Any]:
@@ -206,8 +224,17 @@
         if self.rng.random() < 0.02:
             budget = self.rng.uniform(0.005, 0.05)
         seen = client.copies.get((thing, part), "") if not cls.write and self.rng.random() < 0.3 else ""
-        request = ClientRequest(os.urandom(8).hex(), proxy.life.name, cls.name, thing, part,
-                                self.deployment.group_of(thing), budget, time.monotonic(), seen)
+        request = ClientRequest(
+            os.urandom(8).hex(),
+            proxy.life.name,
+            cls.name,
+            thing,
+            part,
+            self.deployment.group_of(thing),
+            budget,
+            time.monotonic(),
+            seen,
+        )
         self.record.requests[request.rid] = request
         return request
 
@@ -226,8 +253,9 @@
             delay = self.rng.uniform(0.03, self.deployment.news_delay + 0.03)
             process = proxy.life.name
             proxy.history.append(content)
-            proxy.watcher.add(content, delay,
-                              (lambda at: None) if told is None else lambda at, p=process: told.setdefault(p, at))
+            proxy.watcher.add(
+                content, delay, (lambda at: None) if told is None else lambda at, p=process: told.setdefault(p, at)
+            )
 
     def _purge(self, name: str | None, group: int | None) -> None:
         purge = Purge(name, group, unix_ms())
@@ -304,14 +332,18 @@
 
     def _some_cache(self) -> StandInServer | None:
         """A cache that serves, of more than two that do."""
-        able = [server for server in self.servers.values()
-                if server.kind is Kind.CACHE and server.name not in self.draining]
+        able = [
+            server for server in self.servers.values() if server.kind is Kind.CACHE and server.name not in self.draining
+        ]
         return self.rng.choice(able) if len(able) > 2 else None
 
     def _some_parent(self) -> StandInServer | None:
         """A parent that serves, of more than one that do."""
-        able = [server for server in self.servers.values()
-                if server.kind is Kind.PARENT and server.name not in self.draining]
+        able = [
+            server
+            for server in self.servers.values()
+            if server.kind is Kind.PARENT and server.name not in self.draining
+        ]
         return self.rng.choice(able) if len(able) > 1 else None
 
     async def _drain(self, back_after: float) -> None:
@@ -460,9 +492,16 @@
             proxy.shims.shorten(call, 0)
 
     async def _failed_calls(self, proxy: Proxy) -> None:
-        call, error = self.rng.choice([
-            ("accept", errno.ECONNABORTED), ("accept", errno.ENFILE), ("connect", errno.ENOBUFS),
-            ("connect", errno.EADDRNOTAVAIL), ("connect", errno.ENETUNREACH), ("socket", errno.EMFILE)])
+        call, error = self.rng.choice(
+            [
+                ("accept", errno.ECONNABORTED),
+                ("accept", errno.ENFILE),
+                ("connect", errno.ENOBUFS),
+                ("connect", errno.EADDRNOTAVAIL),
+                ("connect", errno.ENETUNREACH),
+                ("socket", errno.EMFILE),
+            ]
+        )
         proxy.shims.fail(call, error)
         await asyncio.sleep(self.rng.uniform(0.1, 0.4))
         proxy.shims.fail(call, 0, 0)
--- a/threadhill/standin/swarm.py
+++ b/threadhill/standin/swarm.py
@@ -32,20 +32,59 @@
 def settings_for(crew: int, **limits: Any) -> dict[str, Any]:
     """Settings of one location with so many proxies, reports of load in every answer, and a class of small objects."""
     return {
-        "extra": {"bypass-allowed": True, "class-write": [False], "client-kb-per-s": 4000.0, "crew-by-zone": [0, crew],
-                  "fresh-for": [0], "in-parts": [False], "master-kind": 2, "notes-given": "none",
-                  "parent-fall-multiple": 2.0, "parent-ramp": 20_000_000, "purge-slack": 500_000,
-                  "purge-takes": 6_000_000, "shares-fills": True, "sideways": "location", "upper-cold-from": 0.063,
-                  "upper-kind": 1},
-        "limits": {"cancel": True, "conn-idle": 30_000_000, "connect-timeout": 400_000, "max-attempts": 8,
-                   "max-retry-after": 500_000, "max-streams": 32, "retry-after": True, "second-copies": True, **limits},
-        "machine-types": ["standard", "parent", "origin"], "membership-mode": "pushed", "n-instances": crew,
-        "obligations": {"drain-grace": 250_000, "fall": 3_000_000, "fall-multiple": 2.5, "grace-to-answer": 8_000,
-                        "ramp-time": 16_000_000, "start-capacity": 0.16},
-        "profiles": [{"aim-stretch": 2.0, "deadline": 3_000_000, "name": "art-pages", "objective": 300_000,
-                      "repeat": "read_like"}],
+        "extra": {
+            "bypass-allowed": True,
+            "class-write": [False],
+            "client-kb-per-s": 4000.0,
+            "crew-by-zone": [0, crew],
+            "fresh-for": [0],
+            "in-parts": [False],
+            "master-kind": 2,
+            "notes-given": "none",
+            "parent-fall-multiple": 2.0,
+            "parent-ramp": 20_000_000,
+            "purge-slack": 500_000,
+            "purge-takes": 6_000_000,
+            "shares-fills": True,
+            "sideways": "location",
+            "upper-cold-from": 0.063,
+            "upper-kind": 1,
+        },
+        "limits": {
+            "cancel": True,
+            "conn-idle": 30_000_000,
+            "connect-timeout": 400_000,
+            "max-attempts": 8,
+            "max-retry-after": 500_000,
+            "max-streams": 32,
+            "retry-after": True,
+            "second-copies": True,
+            **limits,
+        },
+        "machine-types": ["standard", "parent", "origin"],
+        "membership-mode": "pushed",
+        "n-instances": crew,
+        "obligations": {
+            "drain-grace": 250_000,
+            "fall": 3_000_000,
+            "fall-multiple": 2.5,
+            "grace-to-answer": 8_000,
+            "ramp-time": 16_000_000,
+            "start-capacity": 0.16,
+        },
+        "profiles": [
+            {
+                "aim-stretch": 2.0,
+                "deadline": 3_000_000,
+                "name": "art-pages",
+                "objective": 300_000,
+                "repeat": "read_like",
+            }
+        ],
         "report": {"columns": ["rif", "busy", "x1", "x0"], "via": "answers"},
-        "tick": 2_000, "zone": "edge-1", "zones": ["sierra", "edge-1"],
+        "tick": 2_000,
+        "zone": "edge-1",
+        "zones": ["sierra", "edge-1"],
     }
 
 
@@ -158,8 +197,9 @@
 class Swarm:
     """An installation of one location: servers, the journal, and so many proxies of the program at `root`."""
 
-    def __init__(self, folder: Path, host: str, settings: dict[str, Any], root: Path, hints: bool = False,
-                 operator: str = "") -> None:
+    def __init__(
+        self, folder: Path, host: str, settings: dict[str, Any], root: Path, hints: bool = False, operator: str = ""
+    ) -> None:
         self.folder, self.host, self.settings, self.root, self.hints = folder, host, settings, root, hints
         self.operator = operator or ("[knowledge]\nshare = true\n" if hints else "")  # the proxies' file
         self.fleet, self.journal = Fleet(), JournalService(Merged() if hints else None)
@@ -189,9 +229,16 @@
         server = self.fleet.servers[name]
         host, port = self.links[name].address if name in self.links else server.address
         flavor = {"box": "standard", "parent": "parent", "library": "origin"}[server.kind]
-        return {"id": name, "host_port": f"{host}:{port}", "locality": "edge-1" if flavor == "standard" else "sierra",
-                "cell": 1, "flavor": flavor, "phase": phase, "size": 1,
-                "up_since_ms": int(server.started * 1e3) if server.cold else 0}
+        return {
+            "id": name,
+            "host_port": f"{host}:{port}",
+            "locality": "edge-1" if flavor == "standard" else "sierra",
+            "cell": 1,
+            "flavor": flavor,
+            "phase": phase,
+            "size": 1,
+            "up_since_ms": int(server.started * 1e3) if server.cold else 0,
+        }
 
     @property
     def boxes(self) -> list[Server]:
@@ -199,11 +246,17 @@
 
     def configure(self, name: str, **more: Any) -> Proxy:
         where = self.links["journal"].address if "journal" in self.links else self.journal.address
-        config = {"name": name, "listen": f"{self.host}:0", "seed": f"{random.Random(name).getrandbits(63):x}",
-                  "settings": self.settings, "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-                  "journal": f"{where[0]}:{where[1]}",
-                  "known": {"pos": len(self.journal.events), "entries": [orjson.loads(e) for e in self.journal.events]},
-                  **({"report": "1"} if self.hints else {}), **more}
+        config = {
+            "name": name,
+            "listen": f"{self.host}:0",
+            "seed": f"{random.Random(name).getrandbits(63):x}",
+            "settings": self.settings,
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
+            "journal": f"{where[0]}:{where[1]}",
+            "known": {"pos": len(self.journal.events), "entries": [orjson.loads(e) for e in self.journal.events]},
+            **({"report": "1"} if self.hints else {}),
+            **more,
+        }
         proxy = self.proxies.setdefault(name, Proxy(name, self.folder / f"{name}.json"))
         proxy.config.write_bytes(orjson.dumps(config))
         return proxy
@@ -216,9 +269,20 @@
     async def _start(self, proxy: Proxy) -> None:
         with proxy.log.open("wb") as log:
             proxy.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "threadhill", "serve", *self._operator(), cwd=self.root, stderr=log,
-                env={**os.environ, "PYTHONPATH": str(self.root), "LB_CONFIG": str(proxy.config),
-                     "TMPDIR": str(self.folder)})
+                sys.executable,
+                "-m",
+                "threadhill",
+                "serve",
+                *self._operator(),
+                cwd=self.root,
+                stderr=log,
+                env={
+                    **os.environ,
+                    "PYTHONPATH": str(self.root),
+                    "LB_CONFIG": str(proxy.config),
+                    "TMPDIR": str(self.folder),
+                },
+            )
         proxy.port = 0
 
     def _operator(self) -> list[str]:
--- a/threadhill/tenancy/audit.py
+++ b/threadhill/tenancy/audit.py
@@ -23,9 +23,18 @@
 
 def line(number: int, at: int, who: str, did: str, what: Any, outcome: int, before: str) -> tuple[str, str]:
     """One line and its hash."""
-    body = json.dumps({"n": number, "at": at, "who": who[:200], "did": did[:300], "outcome": outcome,
-                       "what": what if len(json.dumps(what)) <= MOST_TEXT else "too long to be kept"},
-                      sort_keys=True, separators=(",", ":"))
+    body = json.dumps(
+        {
+            "n": number,
+            "at": at,
+            "who": who[:200],
+            "did": did[:300],
+            "outcome": outcome,
+            "what": what if len(json.dumps(what)) <= MOST_TEXT else "too long to be kept",
+        },
+        sort_keys=True,
+        separators=(",", ":"),
+    )
     found = digest(before, body)
     return json.dumps({"body": body, "hash": found}, separators=(",", ":")) + "\n", found
 
--- a/threadhill/tenancy/keyfile.py
+++ b/threadhill/tenancy/keyfile.py
@@ -23,8 +23,10 @@
             raise ValueError(f"it holds no list of {MOST_KEYS} keys at most")
         keys = [read_key(one) for one in raw["keys"]]
     except ValueError as error:
-        raise Malformed(f"{path}: not a file of keys: {str(error)[:160]}; put back a copy of it, or make a new one "
-                        "with `threadhill key create`") from None
+        raise Malformed(
+            f"{path}: not a file of keys: {str(error)[:160]}; put back a copy of it, or make a new one "
+            "with `threadhill key create`"
+        ) from None
     return {key.id: key for key in keys}
 
 
--- a/threadhill/tenancy/keys.py
+++ b/threadhill/tenancy/keys.py
@@ -59,9 +59,17 @@
         return scope in self.scopes or Scope.ADMIN in self.scopes
 
     def document(self) -> dict[str, Any]:
-        return {"id": self.id, "scopes": sorted(s.value for s in self.scopes), "tenant": self.tenant,
-                "salt": base64.b64encode(self.salt).decode(), "hash": base64.b64encode(self.hash).decode(),
-                "created": self.created, "expires": self.expires, "revoked": self.revoked, "note": self.note}
+        return {
+            "id": self.id,
+            "scopes": sorted(s.value for s in self.scopes),
+            "tenant": self.tenant,
+            "salt": base64.b64encode(self.salt).decode(),
+            "hash": base64.b64encode(self.hash).decode(),
+            "created": self.created,
+            "expires": self.expires,
+            "revoked": self.revoked,
+            "note": self.note,
+        }
 
 
 def read_key(raw: Any) -> Key:
@@ -69,9 +77,17 @@
     if not isinstance(raw, dict):
         raise ValueError("a key is an object")
     try:
-        key = Key(raw["id"], frozenset(Scope(s) for s in raw["scopes"]), base64.b64decode(raw["salt"], validate=True),
-                  base64.b64decode(raw["hash"], validate=True), raw["created"], raw["expires"], raw["tenant"],
-                  raw["revoked"], raw["note"])
+        key = Key(
+            raw["id"],
+            frozenset(Scope(s) for s in raw["scopes"]),
+            base64.b64decode(raw["salt"], validate=True),
+            base64.b64decode(raw["hash"], validate=True),
+            raw["created"],
+            raw["expires"],
+            raw["tenant"],
+            raw["revoked"],
+            raw["note"],
+        )
     except (KeyError, TypeError) as error:
         raise ValueError(f"a key without {error}") from None
     whole = all(type(value) is int and value >= 0 for value in (key.created, key.expires, key.revoked))
--- a/threadhill/zonefile.py
+++ b/threadhill/zonefile.py
@@ -19,10 +19,14 @@
 MOST_DATA = 4_096  # bytes of a record's data
 A, CNAME, MX, TXT, AAAA, SRV, CAA = 1, 5, 15, 16, 28, 33, 257
 CODES = {"A": A, "CNAME": CNAME, "MX": MX, "TXT": TXT, "AAAA": AAAA, "SRV": SRV, "CAA": CAA}
-ELSEWHERE = {"NS": "name servers stand in the operator's file (dns.nameservers)",
-             "SOA": "the SOA is made by the server", "DS": "a signed zone's DS belongs into its parent",
-             **dict.fromkeys(("DNSKEY", "RRSIG", "NSEC", "CDS", "CDNSKEY"), "keys and signatures are made by "
-                             "`threadhill dns key`")}
+ELSEWHERE = {
+    "NS": "name servers stand in the operator's file (dns.nameservers)",
+    "SOA": "the SOA is made by the server",
+    "DS": "a signed zone's DS belongs into its parent",
+    **dict.fromkeys(
+        ("DNSKEY", "RRSIG", "NSEC", "CDS", "CDNSKEY"), "keys and signatures are made by " "`threadhill dns key`"
+    ),
+}
 WORD = re.compile(r'"((?:[^"\\]|\\.)*)"|(\S+)')
 ESCAPED = re.compile(r"\\(?:([0-9]{3})|(.))", re.DOTALL)
 
@@ -66,8 +70,13 @@
 
 
 def _quoted(raw: bytes) -> str:
-    return '"' + "".join(f"\\{chr(byte)}" if byte in b'"\\' else chr(byte) if 32 <= byte < 127 else f"\\{byte:03}"
-                         for byte in raw) + '"'
+    return (
+        '"'
+        + "".join(
+            f"\\{chr(byte)}" if byte in b'"\\' else chr(byte) if 32 <= byte < 127 else f"\\{byte:03}" for byte in raw
+        )
+        + '"'
+    )
 
 
 def _string(raw: bytes) -> bytes:
@@ -94,8 +103,10 @@
         rank, name = _number(words[0], 65_535, "the preference"), _name(words[1])
         return (struct.pack("!H", rank), name), f"{rank} {_written(name)}"
     if kind == SRV:  # its target is not compressed (RFC 2782): as bytes
-        numbers = [_number(word, 65_535, what)
-                   for word, what in zip(words, ("the priority", "the weight", "the port"), strict=False)]
+        numbers = [
+            _number(word, 65_535, what)
+            for word, what in zip(words, ("the priority", "the weight", "the port"), strict=False)
+        ]
         name = _name(words[3])
         wire = b"".join(bytes([len(label)]) + label.encode() for label in name) + b"\0"
         return (struct.pack("!3H", *numbers) + wire,), " ".join(map(str, numbers)) + " " + _written(name)
@@ -141,7 +152,7 @@
 
 def zone_of(owner: Labels, zones: Iterable[str]) -> Labels | None:
     """The longest of these zones that the name is in."""
-    inside = [labels for zone in zones if owner[-len(labels := labels_of(zone)):] == labels]
+    inside = [labels for zone in zones if owner[-len(labels := labels_of(zone)) :] == labels]
     return max(inside, key=len, default=None)
 
 
