--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -106,14 +106,18 @@
     Mutant(
         "a cold start is forgotten",
         "decision/choice.py",
-        "        if not server.entry.start or age >= ramp:\n",
+        "        if not server.entry.start_time or age >= ramp:\n",
         "        if True:\n",
         (Rule.COLD,),
     ),
     Mutant(
         "what may have run once is asked again",
         "decision/choice.py",
-        "        return min(late, job.may_have_run[0][1] + job.cls.window - self.set.tick) if effect is api.Effect.KEYED else 0",
+        "        return (\n"
+        "            min(late, job.may_have_run[0][1] + job.cls.dedup_window - self.set.tick)\n"
+        "            if effect is api.RetrySafety.KEYED\n"
+        "            else 0\n"
+        "        )",
         "        return late",
         (Rule.TWICE,),
     ),
@@ -186,7 +190,7 @@
         "        if job is not None and self.now >= job.deadline - ANSWER_EARLY:\n",
         "        if False:\n",
         (Rule.LOST,),
-        (("decision/choice.py", "        job.limit = limit\n", "        limit = 0\n        job.limit = limit\n"),),
+        (("decision/choice.py", "        job.timeout = limit\n", "        limit = 0\n        job.timeout = limit\n"),),
     ),
 )
 
--- a/tests/faults/test_beyond.py
+++ b/tests/faults/test_beyond.py
@@ -195,7 +195,7 @@
         for n in range(400):
             script.serve(f"w{n}")
             script.wait(5 * MS)
-        script.list([cache(11, since=script.now)])
+        script.list([cache(11, reported_start=script.now)])
         got = sum(script.serve(f"x{n}").server == 11 for n in range(300) if not script.wait(5 * MS))
         shares.append(got)
     assert shares[1] <= shares[0] * 1.5 + 3
@@ -207,5 +207,5 @@
     script.list([cache(11, state=api.State.DRAINING)])
     for _ in range(20):
         (sent,) = script.ask("a")
-        assert 0 < sent.age <= 100 * MS and sent.server != 11
+        assert 0 < sent.max_age <= 100 * MS and sent.server != 11
         script.end(sent)
--- a/tests/script.py
+++ b/tests/script.py
@@ -10,11 +10,13 @@
 
 MS = 1_000
 SECOND = 1_000_000
-READS = api.RequestClass("reads", aim=400 * MS, aim_stretch=2.0, deadline=6 * SECOND)
-PARTS = replace(READS, name="parts", parts=True)
-PAGES = replace(READS, name="pages", fresh=12 * SECOND, grace=10 * SECOND)
-UNSAFE = api.RequestClass("orders", effect=api.Effect.UNSAFE, aim=700 * MS, deadline=3 * SECOND, write=True)
-KEYED = replace(UNSAFE, name="reports", effect=api.Effect.KEYED, window=3 * SECOND)
+READS = api.RequestClass("reads", latency_target=400 * MS, latency_target_stretch=2.0, deadline=6 * SECOND)
+PARTS = replace(READS, name="parts", in_parts=True)
+PAGES = replace(READS, name="pages", freshness_lifetime=12 * SECOND, max_stale=10 * SECOND)
+UNSAFE = api.RequestClass(
+    "orders", retry_safety=api.RetrySafety.UNSAFE, latency_target=700 * MS, deadline=3 * SECOND, write=True
+)
+KEYED = replace(UNSAFE, name="reports", retry_safety=api.RetrySafety.KEYED, dedup_window=3 * SECOND)
 CLASSES = {cls.name: cls for cls in (READS, PARTS, PAGES, UNSAFE, KEYED)}
 SETTINGS = api.Settings(
     classes=CLASSES,
@@ -24,25 +26,25 @@
     routers=2,
     parent_kind="parent",
     origin_kind="origin",
-    flow=8000.0,
+    client_kb_per_s=8000.0,
     tick=2 * MS,
-    direct=True,
-    joins=True,
-    tells=api.Tells.ALL,
+    direct_to_origin=True,
+    coalesces_fills=True,
+    cache_status_detail=api.CacheStatusDetail.ALL,
     answer_slack=8 * MS,
     drain_grace=SECOND,
-    cold_from=0.25,
-    cold_time=16 * SECOND,
-    fall_multiple=2.0,
-    fall_window=2 * SECOND,
-    parent_cold_from=0.07,
-    parent_cold_time=20 * SECOND,
-    parent_fall_multiple=2.0,
+    cold_capacity=0.25,
+    warm_up_time=16 * SECOND,
+    overload_multiple=2.0,
+    overload_window=2 * SECOND,
+    parent_cold_capacity=0.07,
+    parent_warm_up_time=20 * SECOND,
+    parent_overload_multiple=2.0,
     purge_grace=500 * MS,
-    purge_done=6 * SECOND,
+    purge_drop_time=6 * SECOND,
     cancel=True,
-    advice=True,
-    max_advice=SECOND,
+    retry_after_allowed=True,
+    max_retry_after=SECOND,
     max_attempts=8,
 )
 CACHES = (11, 12, 13, 14)
@@ -94,15 +96,15 @@
     def ask(self, name: str = "a", cls: str = "reads", **more: object) -> list[api.Action]:
         """A new request; its actions without the timer that guards its deadline."""
         self.asked += 1
-        left = more.pop("left", CLASSES[cls].deadline)
+        left = more.pop("time_left", CLASSES[cls].deadline)
         event = api.Request(f"q{self.asked}", cls, name, left, **more)
         return [a for a in self.give(event) if not isinstance(a, api.SetTimer)]
 
     def end(
         self, sent: api.Fetch, outcome: api.Outcome = api.Outcome.SERVED, attempt: int = 0, **more: object
     ) -> list[api.Action]:
-        more.setdefault("closed", outcome is api.Outcome.SERVED)
-        more.setdefault("took", 50 * MS)
+        more.setdefault("request_closed", outcome is api.Outcome.SERVED)
+        more.setdefault("duration", 50 * MS)
         return self.give(api.AttemptEnded(sent.id, attempt, sent.server, outcome, **more))
 
     def serve(self, name: str = "a", cls: str = "reads", **more: object) -> api.Fetch:
--- a/tests/test_charging.py
+++ b/tests/test_charging.py
@@ -132,7 +132,7 @@
             book.reported(named.server, 200.0, script.now)
         script.wait(100 * MS)
     assert book.weight("crowd", "reads", script.now) > 100
-    script.list([cache(11, since=script.now)])
+    script.list([cache(11, reported_start=script.now)])
     to_cold = {"crowd": 0, "single": 0}
     for n in range(200):
         for who in to_cold:
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -26,7 +26,7 @@
 )
 from threadhill.decision import choice
 from threadhill.decision import interface as api
-from threadhill.decision.interface import Effect, Note, Outcome, Scope, State
+from threadhill.decision.interface import CacheStatus, DedupScope, Outcome, RetrySafety, State
 from threadhill.decision.state import Mean
 
 NEVER_RAN = sorted(api.NEVER_RAN, key=lambda o: o.value)
@@ -114,7 +114,7 @@
     for _ in range(6):
         (sent,) = script.ask("a", size=400.0)
         if sent.server == home:
-            script.end(sent, took=2 * SECOND, note=Note.HIT)
+            script.end(sent, duration=2 * SECOND, cache_status=CacheStatus.HIT)
         else:
             script.end(sent)
         script.wait(100 * MS)
@@ -132,10 +132,10 @@
     home = script.serve("a", size=400.0).server
     (sent,) = script.ask("a", size=400.0)
     before = script.router.fleet.servers[home].pace
-    script.end(sent, took=SECOND, note=Note.FILLED)
+    script.end(sent, duration=SECOND, cache_status=CacheStatus.FILLED)
     assert script.router.fleet.servers[home].pace == before
     (sent,) = script.ask("a", size=400.0)
-    script.end(sent, took=SECOND, note=Note.HIT)
+    script.end(sent, duration=SECOND, cache_status=CacheStatus.HIT)
     assert script.router.fleet.servers[home].pace > before
 
 
@@ -147,7 +147,7 @@
         for n in range(60):
             script.serve(f"o{n % 40}")
             script.wait(400 * MS)
-        script.list([cache(11, since=script.now)])
+        script.list([cache(11, reported_start=script.now)])
         for n in range(10):
             sends += script.serve(f"o{n}").server == 11
             script.wait(200 * MS)
@@ -156,8 +156,8 @@
 
 def test_the_last_attempt_ends_before_the_deadlines_timer() -> None:
     """Seen with ageing caches: the last attempt ended with the timer, and nobody learnt from it."""
-    (sent,) = Script(replace(SETTINGS, max_attempts=1)).ask("a", left=900 * MS)
-    assert sent.limit < 900 * MS - choice.ANSWER_EARLY
+    (sent,) = Script(replace(SETTINGS, max_attempts=1)).ask("a", time_left=900 * MS)
+    assert sent.timeout < 900 * MS - choice.ANSWER_EARLY
 
 
 def test_a_passing_burst_on_the_link_does_not_shut_it() -> None:
@@ -175,7 +175,7 @@
     sent = []
     for n in range(count):
         sent.append(script.ask(f"new-{script.asked}-{n}", **more)[0])
-        script.end(sent[-1], note=Note.HIT)
+        script.end(sent[-1], cache_status=CacheStatus.HIT)
     return sum(fetch.source != fetch.server for fetch in sent)
 
 
@@ -208,14 +208,14 @@
 
 def test_where_sizes_are_not_told_a_source_is_not_slow_by_the_first_answers_or_one_large_one() -> None:
     """Seen after each start: the mean sending time began at 50 ms, so every fill looked slow and fills were refused."""
-    script = Script(replace(SETTINGS, flow=0.0), fleet(parents=(21,)))
+    script = Script(replace(SETTINGS, client_kb_per_s=0.0), fleet(parents=(21,)))
     source = script.router.fleet.servers[21]
     for n in range(12):
         (sent,) = script.ask(f"o{n}")
-        script.end(sent, took=700 * MS, note=Note.FILLED)
+        script.end(sent, duration=700 * MS, cache_status=CacheStatus.FILLED)
     assert source.speed[False][0] < 1.2
     script.wait(8 * SECOND)
-    script.end(script.ask("large")[0], took=6 * SECOND, note=Note.FILLED)
+    script.end(script.ask("large")[0], duration=6 * SECOND, cache_status=CacheStatus.FILLED)
     assert source.speed[False][0] < 1.4
 
 
@@ -266,7 +266,7 @@
     for n in range(200):
         (sent,) = script.ask(f"o{n}", size=400.0)
         took = 700 * MS if sent.source == first else 70 * MS
-        script.end(sent, took=took, note=Note.FILLED)
+        script.end(sent, duration=took, cache_status=CacheStatus.FILLED)
         script.wait(20 * MS)
     assert script.serve("a", size=400.0).source != first
 
@@ -283,11 +283,11 @@
 
 
 def test_without_notes_the_first_parent_stays_the_source() -> None:
-    script = Script(replace(SETTINGS, tells=api.Tells.NONE))
+    script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE))
     first = script.serve("a").source
     for n in range(200):
         (sent,) = script.ask(f"o{n}")
-        script.end(sent, took=200 * MS if sent.source == first else 60 * MS)
+        script.end(sent, duration=200 * MS if sent.source == first else 60 * MS)
     assert script.serve("a").source == first
 
 
@@ -297,9 +297,9 @@
 
 def test_writes_take_the_shortest_way() -> None:
     (sent,) = Script().ask("w", "orders")
-    assert (sent.server, sent.source, sent.keep) == (ORIGIN, ORIGIN, 0)
-    (sent,) = Script(replace(SETTINGS, direct=False)).ask("w", "orders")
-    assert sent.server in CACHES and sent.source == ORIGIN and sent.keep == 0
+    assert (sent.server, sent.source, sent.keep_rank) == (ORIGIN, ORIGIN, 0)
+    (sent,) = Script(replace(SETTINGS, direct_to_origin=False)).ask("w", "orders")
+    assert sent.server in CACHES and sent.source == ORIGIN and sent.keep_rank == 0
 
 
 # --- rule 1: one final answer in time
@@ -326,7 +326,7 @@
     assert len(timers) == 1 and timers[0].delay < 900 * MS
     script.wait(timers[0].delay)
     (end,) = script.give(api.TimerDue(timers[0].token))
-    assert isinstance(end, api.Refuse) and choice.COME_BACK / 2 <= end.come_back <= choice.COME_BACK
+    assert isinstance(end, api.Refuse) and choice.COME_BACK / 2 <= end.retry_after <= choice.COME_BACK
     assert script.give(api.AttemptEnded("x", 0, 11, Outcome.CANCELLED)) == []
 
 
@@ -375,14 +375,14 @@
     (sent,) = script.ask("w", "reports")
     (again,) = script.end(sent, Outcome.BROKEN)
     assert isinstance(again, api.Fetch)
-    script.wait(KEYED.window)
+    script.wait(KEYED.dedup_window)
     (action,) = script.end(again, Outcome.BROKEN, 1)
     assert not isinstance(action, api.Fetch)
 
 
-@pytest.mark.parametrize(("scope", "allowed"), [(Scope.ZONE, {11, 12, 13}), (Scope.CELL, {11, 12})])
-def test_keyed_stays_in_its_group_and_is_failed_not_refused(scope: Scope, allowed: set[int]) -> None:
-    keyed = replace(KEYED, name="keyed", scope=scope, write=False)
+@pytest.mark.parametrize(("scope", "allowed"), [(DedupScope.ZONE, {11, 12, 13}), (DedupScope.CELL, {11, 12})])
+def test_keyed_stays_in_its_group_and_is_failed_not_refused(scope: DedupScope, allowed: set[int]) -> None:
+    keyed = replace(KEYED, name="keyed", dedup_scope=scope, write=False)
     entries = [cache(11), cache(12), cache(13, cell=2), parent(21), origin()]
     for name in ("a", "b", "c", "d", "e"):
         script = Script(with_class(keyed), entries)
@@ -430,7 +430,7 @@
     script = Script()
     script.list(out)
     assert script.serve("a").server in PARENTS
-    script = Script(replace(SETTINGS, direct=False))
+    script = Script(replace(SETTINGS, direct_to_origin=False))
     script.list(out)
     assert isinstance(script.ask("a")[0], api.Refuse)
 
@@ -453,13 +453,13 @@
     for n in range(400):
         script.serve(f"o{n % 80}")
         script.wait(25 * MS)
-    script.list([cache(11, since=script.now)])
+    script.list([cache(11, reported_start=script.now)])
     sends = []
     for _ in range(8):
         sends.append(sum(script.serve(f"o{n}").server == 11 for n in range(80)))
         script.wait(2 * SECOND)
     # 40 requests a second over four caches: 20 in a window of 2 s is a warm cache's usual share
-    assert sends[0] < 2 * SETTINGS.cold_from * 20
+    assert sends[0] < 2 * SETTINGS.cold_capacity * 20
     assert sends[-1] > sends[0]
 
 
@@ -468,14 +468,16 @@
     for n in range(400):
         script.serve(f"o{n % 80}")
         script.wait(25 * MS)
-    script.list([parent(21, since=script.now)])
-    assert sum(script.serve(f"o{n}").source == 21 for n in range(80)) <= 2 * SETTINGS.parent_cold_from * 40
+    script.list([parent(21, reported_start=script.now)])
+    assert sum(script.serve(f"o{n}").source == 21 for n in range(80)) <= 2 * SETTINGS.parent_cold_capacity * 40
 
 
 def test_all_cold_and_no_budget_refuses_early_where_direct_is_not_allowed() -> None:
     now = 1000 * SECOND
-    entries = [cache(n, since=now) for n in CACHES] + [parent(n, since=now) for n in PARENTS] + [origin()]
-    script = Script(replace(SETTINGS, direct=False), entries, now=now)
+    entries = (
+        [cache(n, reported_start=now) for n in CACHES] + [parent(n, reported_start=now) for n in PARENTS] + [origin()]
+    )
+    script = Script(replace(SETTINGS, direct_to_origin=False), entries, now=now)
     kinds = {type(script.ask(f"o{n}")[0]) for n in range(20)}
     assert api.Refuse in kinds
 
@@ -484,7 +486,7 @@
     script = Script()
     script.heat("a", 5, 20)
     home = script.serve("a").server
-    script.list([cache(home, since=script.now)])
+    script.list([cache(home, reported_start=script.now)])
     sends = [script.serve("a").server for _ in range(60)]
     assert sends.count(home) < 60
 
@@ -498,17 +500,17 @@
     for wait in (0, SECOND, 3 * SECOND):
         script.wait(wait)
         sent = script.serve("a")
-        assert 0 < sent.age <= script.now - (1000 * SECOND - 100 * MS)
+        assert 0 < sent.max_age <= script.now - (1000 * SECOND - 100 * MS)
     script.wait(4 * SECOND)
-    assert script.serve("a").age == 0
+    assert script.serve("a").max_age == 0
 
 
 def test_a_purged_group_covers_its_objects_and_no_others() -> None:
     script = Script()
     script.give(api.Purge(None, 3, 0))
     script.wait(SECOND)
-    assert script.serve("x", group=3).age == SECOND
-    assert script.serve("y", group=4).age == 0
+    assert script.serve("x", group=3).max_age == SECOND
+    assert script.serve("y", group=4).max_age == 0
 
 
 def test_where_purges_may_be_missing_no_copy_older_than_that_will_do() -> None:
@@ -517,19 +519,19 @@
     script.give(api.Unsure(2 * SECOND))
     for wait in (0, SECOND, 3 * SECOND):  # it holds as long as it is told, and a purge that is newer holds with it
         script.wait(wait)
-        assert script.serve("a").age == script.serve("b").age == 2 * SECOND
+        assert script.serve("a").max_age == script.serve("b").max_age == 2 * SECOND
     script.give(api.Purge("a", 3, SECOND))
-    assert (script.serve("a").age, script.serve("b").age) == (SECOND, 2 * SECOND)
+    assert (script.serve("a").max_age, script.serve("b").max_age) == (SECOND, 2 * SECOND)
     script.give(api.Unsure(0))
-    assert script.serve("b").age == 0
+    assert script.serve("b").max_age == 0
 
 
 def test_the_age_sent_is_never_over_the_fresh_time() -> None:
-    fresh = replace(READS, name="reads", fresh=2 * SECOND)
+    fresh = replace(READS, name="reads", freshness_lifetime=2 * SECOND)
     script = Script(with_class(fresh))
     script.give(api.Purge("a", None, 0))
     script.wait(4 * SECOND)
-    assert script.serve("a").age <= 2 * SECOND
+    assert script.serve("a").max_age <= 2 * SECOND
 
 
 # --- guards
@@ -580,7 +582,7 @@
 
 def test_where_all_refuse_nobody_is_ejected_and_ejection_calls_off_only_what_is_silent() -> None:
     """Guards against throwing away what a crowded cache keeps, and against asking twice for what it is sending."""
-    script = Script(replace(SETTINGS, tells=api.Tells.NONE))
+    script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE))
     servers = script.router.fleet.servers.values()
     for _ in range(60):
         fail_throughout(script, Outcome.REFUSED)
@@ -591,7 +593,7 @@
         fail_throughout(script, Outcome.REFUSED)
         script.wait(SECOND)
     assert not any(server.ejections for server in servers)
-    script = Script(replace(SETTINGS, tells=api.Tells.NONE))
+    script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE))
     (slow,) = script.ask("a")
     home, done = script.router.fleet.servers[slow.server], []
     for _ in range(12):
@@ -616,7 +618,9 @@
 
 def test_a_source_that_fills_too_late_is_asked_for_fewer_at_once() -> None:
     """Guards against pushing a slow origin over: what it can't fill in time is answered from what caches hold."""
-    script = Script(replace(SETTINGS, second_copies=True, tells=api.Tells.NONE), fleet(parents=(21,)))
+    script = Script(
+        replace(SETTINGS, second_copies=True, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=(21,))
+    )
     source = script.router.fleet.servers[21]
     script.router.fleet.origin.pace = (9.0, script.now)  # it is no way out
     first = source.fill_room
@@ -624,11 +628,11 @@
     assert source.fills == 24 and {a.source for a in out} == {21}
     script.wait(2 * SECOND)
     for sent in out:  # too late for the aim, but answered
-        script.end(sent, took=2 * SECOND)
+        script.end(sent, duration=2 * SECOND)
     assert source.fills == 0 and source.fill_room == script.router.fills_least < first
     source.speed.clear()
     out = [script.ask(f"p{n}")[0] for n in range(60)]
-    held = [a for a in out if isinstance(a, api.Fetch) and a.mode & api.FillMode.HELD_ONLY]
+    held = [a for a in out if isinstance(a, api.Fetch) and a.mode & api.FillMode.CACHED_ONLY]
     fills = [a for a in out if isinstance(a, api.Fetch) and a.source == 21 and a not in held]
     assert len(fills) <= source.fill_room + 1 and len(fills) + len(held) == source.fills
     # Past its room a parent still gives what it holds; what it lacks is refused at once, not tried again.
@@ -636,24 +640,26 @@
     assert isinstance(script.end(held[0], Outcome.MISS)[0], api.Refuse)
     room = source.fill_room
     for sent in fills:
-        script.end(sent, took=MS)
+        script.end(sent, duration=MS)
     assert source.fill_room > room and not script.router.filling.get((fills[0].id, 0))
 
 
 def test_past_its_room_the_origin_is_asked_for_no_fill() -> None:
     """Guards against asking it only for what it holds: that is everything."""
-    script = Script(replace(SETTINGS, tells=api.Tells.NONE), fleet(parents=()))
+    script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=()))
     script.router.fleet.origin.fill_room = 12.0
     out = [script.ask(f"o{n}")[0] for n in range(30)]
     assert [a.source == ORIGIN for a in out][:11] == [True] * 11 and 11 <= sum(a.source == ORIGIN for a in out) <= 12
-    assert not any(a.mode & api.FillMode.HELD_ONLY for a in out)
+    assert not any(a.mode & api.FillMode.CACHED_ONLY for a in out)
 
 
 @pytest.mark.parametrize("routers", [1, 3, 40])
 def test_what_protects_a_source_holds_for_all_routers_together(routers: int) -> None:
     """Guards against a bound that each router holds alone: 40 times it is no bound, and a part of it under one that is
     rounded up is more than the whole."""
-    settings = replace(SETTINGS, tells=api.Tells.NONE, routers=routers, zone_routers=(0, routers, 0))
+    settings = replace(
+        SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE, routers=routers, zone_routers=(0, routers, 0)
+    )
     scripts = [Script(settings, fleet(parents=(21,)), seed=seed) for seed in range(routers)]
     fills = least = 0
     for script in scripts:
@@ -661,14 +667,14 @@
         source = script.router.fleet.servers[21]
         for name in range(200 // routers):
             for sent in script.ask(f"o{name}"):
-                fills += isinstance(sent, api.Fetch) and sent.source == 21 and not sent.mode & api.FillMode.HELD_ONLY
+                fills += isinstance(sent, api.Fetch) and sent.source == 21 and not sent.mode & api.FillMode.CACHED_ONLY
         source.fills, source.fill_room = 0, script.router.fills_least
         script.router.jobs.clear()
         for server in script.router.fleet.caches:
             server.open = 0
         for name in range(200 // routers):
             for sent in script.ask(f"p{name}"):
-                least += isinstance(sent, api.Fetch) and sent.source == 21 and not sent.mode & api.FillMode.HELD_ONLY
+                least += isinstance(sent, api.Fetch) and sent.source == 21 and not sent.mode & api.FillMode.CACHED_ONLY
     assert 0.7 * choice.FILLS_FIRST < fills < 1.3 * choice.FILLS_FIRST
     assert 0.6 * choice.FILLS_LEAST < least < 1.4 * choice.FILLS_LEAST
 
@@ -679,7 +685,13 @@
     room that one parent of three locations has."""
     routers = 2 * locations
     zones = ("hub", "here", *(f"z{n}" for n in range(2, locations + 1)))
-    settings = replace(SETTINGS, tells=api.Tells.NONE, routers=routers, zones=zones, zone_routers=(0, *[2] * locations))
+    settings = replace(
+        SETTINGS,
+        cache_status_detail=api.CacheStatusDetail.NONE,
+        routers=routers,
+        zones=zones,
+        zone_routers=(0, *[2] * locations),
+    )
     entries = fleet(parents=range(101, 101 + parents))
     source = 101 if parents else ORIGIN
     fills = 0
@@ -689,7 +701,7 @@
             script.router.fleet.origin.pace = (9.0, script.now)  # it is no way out
         for name in range(max(1, parents) * 2_000 // routers):
             for sent in script.ask(f"o{name}"):
-                held = isinstance(sent, api.Fetch) and sent.mode & api.FillMode.HELD_ONLY
+                held = isinstance(sent, api.Fetch) and sent.mode & api.FillMode.CACHED_ONLY
                 fills += isinstance(sent, api.Fetch) and sent.source == source and not held
     assert 0.7 * sources * choice.FILLS_FIRST < fills < 1.3 * sources * choice.FILLS_FIRST
 
@@ -697,13 +709,13 @@
 def test_an_ill_source_is_told_from_the_caches_that_ask_it_by_a_few_failures() -> None:
     """Guards against means over ten outcomes: a router that meets a parent seldom learnt of its end too late, and
     put half of the blame on the caches."""
-    script = Script(replace(SETTINGS, tells=api.Tells.NONE))
+    script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE))
     ill, failures = script.router.fleet.servers[21], 0
     for n in range(60):
         (sent,) = script.ask(f"o{n}")
         hit = n % 3 == 0 or sent.source != 21  # caches hold a third of it
         failures += not hit
-        action = script.end(sent, Outcome.SERVED if hit else Outcome.REFUSED, took=10 * MS)
+        action = script.end(sent, Outcome.SERVED if hit else Outcome.REFUSED, duration=10 * MS)
         if action and isinstance(action[0], api.Fetch):
             script.end(action[0], attempt=1)
         script.wait(200 * MS)
@@ -716,10 +728,10 @@
 
 def test_slowness_is_put_down_to_the_source_that_is_slow_with_all() -> None:
     """Guards against refusing for the sake of caches that wait for a slow parent themselves."""
-    script = Script(replace(SETTINGS, tells=api.Tells.NONE))
+    script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE))
     for n in range(40):
         (sent,) = script.ask(f"o{n}", size=800.0)
-        script.end(sent, took=(2000 if sent.source == 21 and n % 2 else 100) * MS)
+        script.end(sent, duration=(2000 if sent.source == 21 and n % 2 else 100) * MS)
         script.wait(100 * MS)
     slow, well = (script.router.fleet.servers[n].speed[False][0] for n in (21, 22))
     assert slow > 4 and slow > 3 * well
@@ -728,7 +740,7 @@
 
 def test_a_late_fill_tells_so_at_its_aim() -> None:
     """Guards against learning from an attempt only when it is given up, seconds after it was late."""
-    script = Script(replace(SETTINGS, tells=api.Tells.NONE), fleet(parents=(21,)))
+    script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=(21,)))
     source = script.router.fleet.servers[21]
     script.ask("a", size=400.0)
     room = source.fill_room
@@ -738,12 +750,12 @@
 
 
 def test_the_origin_fills_what_the_parents_have_no_room_for_unless_it_is_slow_itself() -> None:
-    script = Script(replace(SETTINGS, tells=api.Tells.NONE), fleet(parents=(21,)))
+    script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=(21,)))
     script.router.fleet.servers[21].fill_room = 0.0
     out = [script.ask(f"o{n}")[0] for n in range(60)]
     straight = [a for a in out if isinstance(a, api.Fetch) and a.source == ORIGIN]
     assert choice.ORIGIN_FILLS / 2 - 1 <= len(straight) <= choice.ORIGIN_FILLS / 2 + 1  # one of two routers
-    script = Script(replace(SETTINGS, tells=api.Tells.NONE), fleet(parents=(21,)))
+    script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=(21,)))
     script.router.fleet.servers[21].fill_room = 0.0
     script.router.fleet.origin.pace = (4.0, script.now)
     assert ORIGIN not in {a.source for n in range(60) for a in script.ask(f"o{n}") if isinstance(a, api.Fetch)}
@@ -759,11 +771,11 @@
     """Guards against a fleet that comes back in one instant; equal seeds and events still give equal decisions."""
 
     def times(seed: int) -> tuple[int, int]:
-        script = Script(replace(SETTINGS, tells=api.Tells.NONE), seed=seed)
+        script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE), seed=seed)
         server = script.router.fleet.servers[11]
         script.router.eject(server)
         (refused,) = Script(entries=[], seed=seed).ask("a")
-        return server.ejected_until - script.now, refused.come_back
+        return server.ejected_until - script.now, refused.retry_after
 
     seen = [times(seed) for seed in range(20)]
     assert times(3) == seen[3]
@@ -773,14 +785,16 @@
 
 def test_rare_late_fills_do_not_hold_a_source_down_where_many_are_asked_for() -> None:
     """Guards against a room that grew by ones and shrank by parts: one lost answer in fifty set it for good."""
-    script = Script(replace(SETTINGS, second_copies=True, tells=api.Tells.NONE), fleet(parents=(21,)))
+    script = Script(
+        replace(SETTINGS, second_copies=True, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=(21,))
+    )
     source = script.router.fleet.servers[21]
     ended = 0
     for round in range(100):
         out = [script.ask(f"o{round}-{n}")[0] for n in range(50)]
         for sent in [a for a in out if isinstance(a, api.Fetch)]:
             ended += sent.source == 21
-            script.end(sent, took=2 * SECOND if sent.source == 21 and ended % 50 == 10 else MS)
+            script.end(sent, duration=2 * SECOND if sent.source == 21 and ended % 50 == 10 else MS)
     assert source.fill_room > 50
 
 
@@ -816,7 +830,7 @@
     room = server.room
     for n in range(6):
         (sent,) = script.ask(f"o{n}")
-        script.end(sent, took=3 * SECOND, note=Note.HIT, load=load)
+        script.end(sent, duration=3 * SECOND, cache_status=CacheStatus.HIT, load=load)
     assert (server.room < room) == shrinks
     (sent,) = script.ask("full")
     script.end(sent, Outcome.REFUSED, load={"util": 0.1})  # it says so itself
@@ -829,7 +843,7 @@
     free = [script.ask(f"f{n}", hand_over=True)[0] for n in range(30)]
     assert {type(a) for a in free} == {api.HandOver}  # its room is a guess while nothing was heard of it
     for action in free:
-        script.give(api.AttemptEnded(action.id, 0, 11, Outcome.HANDED_OVER, closed=True))
+        script.give(api.AttemptEnded(action.id, 0, 11, Outcome.HANDED_OVER, request_closed=True))
     server.heard = 1
     handed = [script.ask(f"o{n}", hand_over=True)[0] for n in range(30)]
     named = [a for a in handed if isinstance(a, api.HandOver)]
@@ -838,7 +852,7 @@
     assert server.credit < 0 and not script.router.jobs
     script.wait(10 * SECOND)
     for action in named:
-        ended = api.AttemptEnded(action.id, 0, 11, Outcome.HANDED_OVER, closed=True)
+        ended = api.AttemptEnded(action.id, 0, 11, Outcome.HANDED_OVER, request_closed=True)
         assert not script.give(ended)
     assert (server.open, server.unheard, server.doubt, server.heard) == (0, 0, 0.0, 1)
     server.ejections = 1  # on trial: nothing comes back of a client that goes there itself
@@ -851,10 +865,13 @@
 
 
 def test_the_last_part_of_a_servers_room_is_for_those_that_go_first() -> None:
-    script = Script(replace(SETTINGS, second_copies=False, tells=api.Tells.NONE), fleet(caches=(11,), parents=()))
+    script = Script(
+        replace(SETTINGS, second_copies=False, cache_status_detail=api.CacheStatusDetail.NONE),
+        fleet(caches=(11,), parents=()),
+    )
     server = script.router.fleet.servers[11]
     server.room, server.open = 20.0, 12.0
-    others = [script.ask(f"b{n}", share=0.5)[-1] for n in range(3)]  # asked only for what it holds
+    others = [script.ask(f"b{n}", inflight_share=0.5)[-1] for n in range(3)]  # asked only for what it holds
     first = [script.ask(f"c{n}")[-1] for n in range(3)]
     assert all(isinstance(a, api.Fetch) and a.source == 11 for a in others)
     assert all(isinstance(a, api.Fetch) and a.source != 11 for a in first)
@@ -865,7 +882,7 @@
     for n in range(400):
         script.serve(f"o{n % 80}")
         script.wait(25 * MS)
-    script.list([cache(11, since=script.now)])
+    script.list([cache(11, reported_start=script.now)])
     cold = script.router.fleet.servers[11]
     heavy = []
     for n in range(80):  # over 8 s: credit that grows must still not let one answer bring 200 clients at once
@@ -875,10 +892,12 @@
     assert named and not any(a.server == 11 for a in named)
     held = script.router.fleet.servers[named[0].server]
     assert held.open >= 200
-    script.give(api.AttemptEnded(named[0].id, 0, named[0].server, Outcome.HANDED_OVER, closed=True, weight=200.0))
+    script.give(
+        api.AttemptEnded(named[0].id, 0, named[0].server, Outcome.HANDED_OVER, request_closed=True, weight=200.0)
+    )
     assert held.open == 200 * (sum(a.server == named[0].server for a in named) - 1)
     light = [script.ask(f"p{n}", hand_over=True)[0] for n in range(200)]
-    assert sum(isinstance(a, api.HandOver) and a.server == 11 for a in light) < 2 * SETTINGS.cold_from * 50
+    assert sum(isinstance(a, api.HandOver) and a.server == 11 for a in light) < 2 * SETTINGS.cold_capacity * 50
     # However long credit grows, what one answer brings must fit in the fall's window at once; one request must not.
     router, unit = script.router, script.router.work.most / 100
     cold.credit_at = router.now - 10**5 * SECOND
@@ -888,7 +907,7 @@
 
 
 def test_never_all_caches_are_ejected() -> None:
-    script = Script(replace(SETTINGS, direct=False))
+    script = Script(replace(SETTINGS, direct_to_origin=False))
     for n in range(200):
         actions = script.ask(f"o{n}")
         for attempt in range(9):
@@ -902,7 +921,7 @@
 def test_full_caches_refuse_at_once_and_do_not_flood_what_is_behind() -> None:
     script = Script()
     actions = [script.ask(f"o{n}")[0] for n in range(400)]
-    assert isinstance(actions[-1], api.Refuse) and actions[-1].come_back > 0
+    assert isinstance(actions[-1], api.Refuse) and actions[-1].retry_after > 0
     assert all(a.server in CACHES for a in actions if isinstance(a, api.Fetch))
 
 
@@ -915,7 +934,7 @@
         assert sent.source == sent.server
         assert isinstance(script.end(sent, Outcome.MISS)[0], api.Refuse)
     (sent,) = script.ask("kept")
-    assert script.end(sent, note=Note.HIT) == []
+    assert script.end(sent, cache_status=CacheStatus.HIT) == []
 
 
 def test_copies_are_counted_for_the_location_not_for_one_of_its_many_routers() -> None:
@@ -956,7 +975,7 @@
 
 
 def test_retries_are_budgeted() -> None:
-    script = Script(replace(SETTINGS, advice=False))
+    script = Script(replace(SETTINGS, retry_after_allowed=False))
     attempts = 0
     for n in range(1000):
         actions = script.ask(f"o{n}")
@@ -964,21 +983,21 @@
             if not isinstance(actions[0], api.Fetch):
                 break
             attempts += 1
-            actions = script.end(actions[0], Outcome.REFUSED, attempt, note=Note.SOURCE_REFUSED)
+            actions = script.end(actions[0], Outcome.REFUSED, attempt, cache_status=CacheStatus.SOURCE_REFUSED)
         script.wait(10 * MS)
     assert attempts < 1000 * (1 + choice.RETRY_SHARE) + choice.RETRY_BURST + 1
 
 
 def test_advice_is_given_only_where_allowed_and_within_its_limit() -> None:
     (action,) = Script(entries=[]).ask("a")
-    assert 0 < action.come_back <= SETTINGS.max_advice
-    (action,) = Script(replace(SETTINGS, advice=False), []).ask("a")
-    assert action.come_back == 0
+    assert 0 < action.retry_after <= SETTINGS.max_retry_after
+    (action,) = Script(replace(SETTINGS, retry_after_allowed=False), []).ask("a")
+    assert action.retry_after == 0
 
 
 def test_joins_and_cancels_only_where_the_site_allows_them() -> None:
     assert api.FillMode.JOIN in Script().serve("a").mode
-    script = Script(replace(SETTINGS, joins=False, cancel=False))
+    script = Script(replace(SETTINGS, coalesces_fills=False, cancel=False))
     assert api.FillMode.JOIN not in script.serve("a").mode
     for _ in range(300):
         assert not any(isinstance(a, api.CancelAttempt) for a in script.ask("a"))
@@ -992,10 +1011,10 @@
 
 def test_one_cache_no_parents_no_origin_no_reports() -> None:
     script = Script(BARE, [api.Entry(5, zone="here", kind="box")])
-    (sent,) = script.ask("a", left=SECOND)
+    (sent,) = script.ask("a", time_left=SECOND)
     assert (sent.server, sent.source) == (5, 5)
     script.end(sent)
-    assert isinstance(script.ask("a", left=SECOND)[0], api.Fetch)
+    assert isinstance(script.ask("a", time_left=SECOND)[0], api.Fetch)
 
 
 def test_unknown_class_is_treated_as_unsafe() -> None:
@@ -1010,13 +1029,13 @@
     st.lists(st.tuples(st.sampled_from(["ask", "end", "list", "wait", "purge"]), st.integers(0, 10_000)), max_size=120),
     st.booleans(),
     st.booleans(),
-    st.sampled_from(list(api.Tells)),
+    st.sampled_from(list(api.CacheStatusDetail)),
 )
 def test_any_order_of_events_keeps_answers_single_and_attempts_alone(
-    steps: list[tuple[str, int]], direct: bool, joins: bool, tells: api.Tells
+    steps: list[tuple[str, int]], direct: bool, joins: bool, tells: api.CacheStatusDetail
 ) -> None:
     def play() -> list[list[api.Action]]:
-        script = Script(replace(SETTINGS, direct=direct, joins=joins, tells=tells))
+        script = Script(replace(SETTINGS, direct_to_origin=direct, coalesces_fills=joins, cache_status_detail=tells))
         log: list[list[api.Action]] = []
         out: dict[str, api.Fetch] = {}
         attempts: dict[str, int] = {}
@@ -1044,24 +1063,26 @@
                 take(script.give(api.Purge(f"o{n % 7}" if n % 2 else None, n % 4, n)))
             elif step == "list":
                 state = list(State)[n % 3]
-                take(script.list([cache(CACHES[n % 4], state=state, since=script.now - n * MS)]))
+                take(script.list([cache(CACHES[n % 4], state=state, reported_start=script.now - n * MS)]))
             elif out:
                 name = sorted(out)[n % len(out)]
                 sent, outcome = out.pop(name), outcomes[n % len(outcomes)]
                 if outcome is Outcome.SERVED:
                     answered.add(name)
-                take(script.end(sent, outcome, attempts[name], closed=name in answered))
+                take(script.end(sent, outcome, attempts[name], request_closed=name in answered))
         return log
 
     assert play() == play()
 
 
-@pytest.mark.parametrize("effect", list(Effect))
-def test_every_effect_gets_an_answer_when_nobody_is_left(effect: Effect) -> None:
-    cls = api.RequestClass("c", effect=effect, deadline=SECOND)
+@pytest.mark.parametrize("effect", list(RetrySafety))
+def test_every_effect_gets_an_answer_when_nobody_is_left(effect: RetrySafety) -> None:
+    cls = api.RequestClass("c", retry_safety=effect, deadline=SECOND)
     script = Script(with_class(cls), [])
     actions = [a for a in script.give(api.Request("x", "c", "a", SECOND)) if not isinstance(a, api.SetTimer)]
-    assert isinstance(actions[0], api.Refuse) and 0 < actions[0].come_back <= min(choice.COME_BACK, SETTINGS.max_advice)
+    assert isinstance(actions[0], api.Refuse) and 0 < actions[0].retry_after <= min(
+        choice.COME_BACK, SETTINGS.max_retry_after
+    )
 
 
 def test_hits_do_not_clear_a_parent_that_answers_nothing() -> None:
@@ -1076,11 +1097,11 @@
         script.wait(10 * MS)
         script.serve("hit")  # the cache answers others meanwhile
         if sent.source == hung:
-            actions = script.end(sent, Outcome.TIMED_OUT, took=5 * SECOND)
+            actions = script.end(sent, Outcome.TIMED_OUT, duration=5 * SECOND)
             if isinstance(actions[0], api.Fetch):
-                script.end(actions[0], attempt=1, note=Note.FILLED)
+                script.end(actions[0], attempt=1, cache_status=CacheStatus.FILLED)
         else:
-            script.end(sent, note=Note.FILLED)
+            script.end(sent, cache_status=CacheStatus.FILLED)
         script.serve("hit")
     assert sources[:20].count(hung) > sources[20:].count(hung)
     assert sources[40:].count(hung) <= 2
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -123,10 +123,14 @@
     read = read_settings(told())
     assert [cls.name for cls in read.classes.values()] == ["record-request", "small-record", "big-record"]
     order, small, big = read.classes.values()
-    assert (order.effect, order.write, order.window) == (api.Effect.UNSAFE, True, 0)
-    assert (small.fresh, big.fresh, small.parts or big.parts) == (12_000_000, 0, False)
-    assert (read.tells, read.zone_hub, read.parent_cold_from) == (api.Tells.ALL, (0, 1, 2, 0), 0.069)
-    assert (read.drain_grace, read.fall_window, read.fall_multiple) == (500_000, 1_000_000, 2.0)
+    assert (order.retry_safety, order.write, order.dedup_window) == (api.RetrySafety.UNSAFE, True, 0)
+    assert (small.freshness_lifetime, big.freshness_lifetime, small.in_parts or big.in_parts) == (12_000_000, 0, False)
+    assert (read.cache_status_detail, read.zone_hub, read.parent_cold_capacity) == (
+        api.CacheStatusDetail.ALL,
+        (0, 1, 2, 0),
+        0.069,
+    )
+    assert (read.drain_grace, read.overload_window, read.overload_multiple) == (500_000, 1_000_000, 2.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -47,7 +47,7 @@
         known.append((one.key, record))
     sent_at, born = START + sent_after, START + born_after
     expected = any(
-        key in ("a", 3, EVERYTHING) and record.heard_at <= sent_at and born <= record.stamp + STAMP_ERROR
+        key in ("a", 3, EVERYTHING) and record.heard_at <= sent_at and born <= record.timestamp + STAMP_ERROR
         for key, record in known
     )
     assert fresh.is_purged("a", 3, sent_at, born, max(now, sent_at)) == expected
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -161,11 +161,11 @@
         assert script.serve("a").server != 11
     script.give(api.Purge("a", None, 0))
     script.give(api.Hints({"a": 1e5}, {}, {}, 0))
-    assert script.serve("a").age > 0
+    assert script.serve("a").max_age > 0
     cold, credit = Script(), []
     for told in (False, True):
         cold = Script(
-            entries=[api.Entry(n, zone="here", kind="box", cell=1, since=1_000 * SECOND) for n in (11, 12)]
+            entries=[api.Entry(n, zone="here", kind="box", cell=1, reported_start=1_000 * SECOND) for n in (11, 12)]
             + [api.Entry(ORIGIN, zone="hub", kind="origin", cell=8)]
         )
         sent = 0
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -315,9 +315,15 @@
 
 
 CLASSES = {
-    "clip": api.RequestClass("clip", aim=600 * MS, deadline=5 * SECOND, worth=2.0, parts=True),
+    "clip": api.RequestClass("clip", latency_target=600 * MS, deadline=5 * SECOND, value=2.0, in_parts=True),
     "buy": api.RequestClass(
-        "buy", effect=api.Effect.KEYED, window=2 * SECOND, aim=700 * MS, deadline=3 * SECOND, worth=3.0, write=True
+        "buy",
+        retry_safety=api.RetrySafety.KEYED,
+        dedup_window=2 * SECOND,
+        latency_target=700 * MS,
+        deadline=3 * SECOND,
+        value=3.0,
+        write=True,
     ),
 }
 
@@ -327,13 +333,13 @@
     known = api.Settings(
         CLASSES,
         zone="z",
-        flow=4_000.0,
-        advice=True,
-        max_advice=500 * MS,
+        client_kb_per_s=4_000.0,
+        retry_after_allowed=True,
+        max_retry_after=500 * MS,
         cancel=True,
         max_attempts=3,
         origin_kind="origin",
-        direct=True,
+        direct_to_origin=True,
     )
     engine = Engine(known, 1, clock, Deadlines(lambda when: None, lambda error: None), stats, lambda text: None)
     engine.start(Quiet())
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -465,7 +465,12 @@
     plan = planner.plan(made, [])
     assert not plan.blocked and sum(s.action == "add" for s in plan.steps) >= 12 + 3 + 1
     told = read_settings(options.options(made, made["proxy.west-2"]))
-    assert (told.tells, told.zone, told.crew, told.routers) == (api.Tells.ALL, "west-1", 2, 4)
+    assert (told.cache_status_detail, told.zone, told.location_routers, told.routers) == (
+        api.CacheStatusDetail.ALL,
+        "west-1",
+        2,
+        4,
+    )
     assert dict(zip(told.zones, told.zone_hub, strict=True)) == {
         "central": 0,
         "east": 1,
@@ -474,12 +479,12 @@
         "east-1": 1,
         "west-1": 2,
     }
-    assert [(c.effect, c.write, c.fresh) for c in told.classes.values()] == [
-        (api.Effect.UNSAFE, True, 0),
-        (api.Effect.SAFE, False, 12_000_000),
-        (api.Effect.SAFE, False, 0),
+    assert [(c.retry_safety, c.write, c.freshness_lifetime) for c in told.classes.values()] == [
+        (api.RetrySafety.UNSAFE, True, 0),
+        (api.RetrySafety.SAFE, False, 12_000_000),
+        (api.RetrySafety.SAFE, False, 0),
     ]
-    assert (told.drain_grace, told.parent_cold_from, told.fall_window) == (500_000, 0.069, 1_000_000)
+    assert (told.drain_grace, told.parent_cold_capacity, told.overload_window) == (500_000, 0.069, 1_000_000)
 
 
 def test_its_busiest_days_caches_come_in_and_the_forecast_gives_each_a_part() -> None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -122,9 +122,9 @@
 
 def test_an_older_world_puts_nothing_back_that_drained_until_its_numbers_pass() -> None:
     memory = Memory()
-    memory.note([cache(1), api.Entry(2, State.DRAINING, since=5), api.Entry(3, State.GONE)])
+    memory.note([cache(1), api.Entry(2, State.DRAINING, reported_start=5), api.Entry(3, State.GONE)])
     memory.went_back(57)
-    again, anew = cache(2, since=5), cache(3, since=9)
+    again, anew = cache(2, reported_start=5), cache(3, reported_start=9)
     states = [entry.state for entry in memory.screen((cache(1), again, anew))]
     assert states == [State.READY, State.DRAINING, State.READY]  # the third was started anew
     assert memory.reached(56) == () and memory.older
@@ -137,7 +137,7 @@
 def warmed() -> Script:
     script = Script()
     for n in range(200):
-        script.end(script.ask(f"o{n % 20}")[0], took=60 * MS)
+        script.end(script.ask(f"o{n % 20}")[0], duration=60 * MS)
         if n % 20 == 19:
             script.wait(SECOND)
     return script
@@ -154,7 +154,7 @@
         assert fresh.router.usual_took.value == (known["took"] if share else 0)
         assert bool(fresh.router.rates) == (age == 0)
     again = Script()  # one that was started anew is another server, and what this one saw itself stays
-    again.list([cache(n, since=again.now) for n in CACHES])
+    again.list([cache(n, reported_start=again.now) for n in CACHES])
     again.serve("mine")
     seen = again.router.usual_took.value
     assert learned.prime(again.router, known, 0, again.now) == sum(n not in CACHES for n, *_ in known["servers"])
@@ -173,7 +173,7 @@
     sent = [fresh.serve("o1") for _ in range(20)]
     assert all(s.server != home and s.source != home and 0 < s.age <= SECOND for s in sent)
     cold = Script()
-    cold.list([cache(home, since=cold.now)])
+    cold.list([cache(home, reported_start=cold.now)])
     learned.prime(cold.router, known, 0, cold.now)
     assert sum(cold.serve(f"o{n % 20}").server == home for n in range(60)) < 12
 
@@ -215,7 +215,7 @@
 
 def body() -> dict[str, Any]:
     script, memory = warmed(), Memory()
-    memory.note([api.Entry(9, State.DRAINING, since=4)])
+    memory.note([api.Entry(9, State.DRAINING, reported_start=4)])
     script.give(api.Purge("o1", 3, 0))
     return saved.content(script.router, memory, 57, ["s-00000007"], script.now)
 
--- a/tests/test_server_order.py
+++ b/tests/test_server_order.py
@@ -126,7 +126,7 @@
         elif trouble == "full":
             server.open = server.room + 1
         else:
-            server.entry = cache(server.entry.server, since=script.now - 1)
+            server.entry = cache(server.entry.server, reported_start=script.now - 1)
             server.credit, server.credit_at = -1.0, script.now
     work, (action,) = script.looked(name)
     assert isinstance(action, api.Fetch) and work <= 64
@@ -144,7 +144,7 @@
 
 @pytest.mark.parametrize("count", [200, LARGE])
 def test_every_server_may_be_cold(count: int) -> None:
-    script = Counted(count, since=1000 * SECOND)
+    script = Counted(count, reported_start=1000 * SECOND)
     for name in OBJECTS[:50]:
         work, actions = script.looked(name)
         assert actions and work <= max(64, SMALL) + 4
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -79,22 +79,22 @@
     options = json.loads(LINES[1])[3]
     read = simhost.read_settings(options)
     assert read.parent_kind == "parent" and read.origin_kind == "origin"
-    assert read.tells is api.Tells.ALL and read.siblings is api.Siblings.LOCATION
-    assert read.classes["orders"].effect is api.Effect.UNSAFE and read.classes["orders"].write
-    assert read.classes["tiles"].aim_stretch == 2.0 and read.classes["tiles"].fresh == 0
+    assert read.cache_status_detail is api.CacheStatusDetail.ALL and read.siblings is api.Siblings.LOCATION
+    assert read.classes["orders"].retry_safety is api.RetrySafety.UNSAFE and read.classes["orders"].write
+    assert read.classes["tiles"].latency_target_stretch == 2.0 and read.classes["tiles"].freshness_lifetime == 0
     assert simhost.read_settings({**options, "new-key": {"deep": 1}}) == read
 
 
 def test_nearly_empty_settings_are_enough() -> None:
     read = simhost.read_settings({"profiles": [{"name": "x", "repeat": "read_like"}]})
-    assert read.parent_kind is None and not read.direct and read.max_attempts == 1
+    assert read.parent_kind is None and not read.direct_to_origin and read.max_attempts == 1
 
 
 def test_unknown_report_fields_and_notes_are_skipped() -> None:
     load = simhost.read_load({"rif": 3, "x1": 0.5, "novel": 9, "busy": "?"})
     assert load == {"inflight": 3.0, "link": 0.5}
     end = simhost.read_ended(["t/1", 0, 7, "delivered", 10, True, 99, None, None])
-    assert end.note is api.Note.NONE
+    assert end.cache_status is api.CacheStatus.NONE
 
 
 def test_an_exception_in_the_decisions_is_told_by_the_wires_own_message(
@@ -175,4 +175,4 @@
             "extra": {"crew-by-zone": [routers]},
         }
         router = simhost.Router(simhost.read_settings(options), 1)
-        assert router.crew == max(1, routers) and 0 < router.room_first < float("inf")
+        assert router.location_routers == max(1, routers) and 0 < router.room_first < float("inf")
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -33,9 +33,9 @@
 def allowed(age: float, rate: float) -> float:
     """Most requests in the window that ends at this age in seconds, of a server whose peers serve their part of so many
     requests a second."""
-    low, ramp = SETTINGS.cold_from, SETTINGS.cold_time / SECOND
+    low, ramp = SETTINGS.cold_capacity, SETTINGS.warm_up_time / SECOND
     share = min(1.0, low + (1 - low) * age / ramp)
-    count = rate / len(CACHES) / LOAD * share * SETTINGS.fall_multiple * SETTINGS.fall_window / SECOND
+    count = rate / len(CACHES) / LOAD * share * SETTINGS.overload_multiple * SETTINGS.overload_window / SECOND
     root = math.sqrt(count)
     return count + 2 * root + 2 if count >= 30 else count + 3 * root + 3
 
@@ -79,7 +79,10 @@
 
     def tell(self, n: int, since: int) -> None:
         self.told[n] = True
-        self.act(n, self.routers[n].handle(self.now, api.ListNews(api.ListKind.CHANGES, (cache(COLD, since=since),))))
+        self.act(
+            n,
+            self.routers[n].handle(self.now, api.ListNews(api.ListKind.CHANGES, (cache(COLD, reported_start=since),))),
+        )
 
 
 def play(crew: int, uneven: bool, seed: int) -> tuple[float, int]:
@@ -97,7 +100,7 @@
         before = len(world.arrivals)
         world.request()
         sent += sum(told for _, told in list(world.arrivals)[before:])
-        while world.arrivals and world.arrivals[0][0] <= world.now - SETTINGS.fall_window:
+        while world.arrivals and world.arrivals[0][0] <= world.now - SETTINGS.overload_window:
             world.arrivals.popleft()
         told = sum(told for _, told in world.arrivals)
         if told > 2 / 3 * len(world.arrivals):  # else the fall is not theirs to answer for
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -24,7 +24,9 @@
         self, routers: int, caches: int = 8, crew: int | None = None, parents: tuple[int, ...] = (21, 22), seed: int = 1
     ) -> None:
         crew = crew or routers
-        settings = replace(SETTINGS, tells=api.Tells.NONE, routers=crew, zone_routers=(0, crew, 0))
+        settings = replace(
+            SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE, routers=crew, zone_routers=(0, crew, 0)
+        )
         self.random = random.Random(seed)
         self.now = 1_000 * SECOND
         entries = (*map(cache, range(1, caches + 1)), *map(parent, parents), origin())
@@ -54,7 +56,7 @@
                 self.open[at] += 1
                 self.sent[at] += 1
                 self.final["looks"] += action.source == at
-                if action.source != at and not action.mode & api.FillMode.HELD_ONLY:
+                if action.source != at and not action.mode & api.FillMode.CACHED_ONLY:
                     self.fills[action.source] += 1
                     self.by_source[action.source] += 1
                     self.most_fills = max(self.most_fills, self.fills[action.source])
@@ -90,7 +92,7 @@
     def end(self, due: int, order: int, number: int, sent: Fetch, attempt: int, outcome: Outcome) -> None:
         self.now = due
         self.open[sent.server] -= 1
-        if sent.source != sent.server and not sent.mode & api.FillMode.HELD_ONLY:
+        if sent.source != sent.server and not sent.mode & api.FillMode.CACHED_ONLY:
             self.fills[sent.source] -= 1
         served = outcome is Outcome.SERVED
         self.final["served"] += served
@@ -244,7 +246,7 @@
     many = Many(200, caches=12)
     many.run(4, 400)
     for n in range(6):
-        entries = (replace(cache(1 + n), state=api.State.GONE), cache(50 + n, since=many.now))
+        entries = (replace(cache(1 + n), state=api.State.GONE), cache(50 + n, reported_start=many.now))
         for router in many.routers:
             router.handle(many.now, api.ListNews(api.ListKind.CHANGES, entries))
         many.run(1, 400)
--- a/threadhill/core/cordons.py
+++ b/threadhill/core/cordons.py
@@ -42,8 +42,8 @@
 
     def _seen(self, entry: api.Entry) -> api.Entry:
         told, instead, _ = self.back.get(entry.server, (-1, 0, ""))
-        if told == entry.since:
-            entry = replace(entry, since=instead, started=instead)
+        if told == entry.reported_start:
+            entry = replace(entry, reported_start=instead, local_start=instead)
         elif told >= 0:  # the journal knows of a start of its own now
             del self.back[entry.server]
         if entry.server in self.out and entry.state is api.State.READY:
@@ -77,8 +77,8 @@
         entry = self.listed.get(number)
         if entry is None or entry.state is not api.State.READY:
             return None
-        self.back[number] = entry.since, now, name
-        return api.ListNews(api.ListKind.CHANGES, (replace(entry, since=now, started=now),))
+        self.back[number] = entry.reported_start, now, name
+        return api.ListNews(api.ListKind.CHANGES, (replace(entry, reported_start=now, local_start=now),))
 
     def started(self, number: int, name: str, at: int) -> api.ListNews | None:
         """Another process put this one back at a local time: it is as cold as it was then. None where it is known."""
@@ -88,11 +88,11 @@
             or entry.state is not api.State.READY
             or number in self.out
             or number in self.back
-            or entry.start >= at
+            or entry.start_time >= at
         ):
             return None
-        self.back[number] = entry.since, at, name
-        return api.ListNews(api.ListKind.CHANGES, (replace(entry, since=at, started=at),))
+        self.back[number] = entry.reported_start, at, name
+        return api.ListNews(api.ListKind.CHANGES, (replace(entry, reported_start=at, local_start=at),))
 
     def saved(self, now: int, keep: int) -> dict[str, object]:
         """What another process on this machine needs to go on from here: who is out, and who was put back less than
--- a/threadhill/core/engine.py
+++ b/threadhill/core/engine.py
@@ -129,7 +129,7 @@
                 tenant=ask.tenant,
                 hand_over=ask.hand_over,
                 weight=ask.weight,
-                share=ask.share,
+                inflight_share=ask.share,
             )
         )
         return handle
@@ -217,7 +217,7 @@
         )
         self._log(f"trace: {self.trace.about(request.ask.rid, request.ask.object, request.ask.group)}")
         cls = self.router.set.classes.get(request.ask.cls)
-        harmless = cls is not None and cls.effect is api.Effect.SAFE
+        harmless = cls is not None and cls.retry_safety is api.RetrySafety.SAFE
         return Ended(api.Outcome.MISS if harmless else api.Outcome.ERROR, load=end.load, waited=end.waited)
 
     def listed(self, news: api.ListNews) -> None:
@@ -292,7 +292,7 @@
     def purged(self, purge: api.Purge, event: int = 0, told_by: str = "") -> None:
         """A purge was told, as the event of that number, by discovery or a configuration."""
         key = purge.object if purge.object is not None else purge.group
-        self.trace.add(self.clock.now(), Step.PURGE, key, purge.stamp // 1_000, purge.age, event, told_by)
+        self.trace.add(self.clock.now(), Step.PURGE, key, purge.timestamp // 1_000, purge.age, event, told_by)
         kind = "object" if purge.object is not None else "group" if purge.group is not None else "everything"
         self.stats.count("purge", kind)
         self._take(purge)
@@ -338,19 +338,19 @@
                     self._send(
                         action.id,
                         action.server,
-                        action.limit,
+                        action.timeout,
                         action.source,
-                        action.age,
+                        action.max_age,
                         action.mode,
-                        action.keep,
-                        action.until,
+                        action.keep_rank,
+                        action.start_by,
                     )
                 case api.Look():
-                    self._send(action.id, action.server, action.limit, action.server, 0, api.FillMode.PLAIN, 0)
+                    self._send(action.id, action.server, action.timeout, action.server, 0, api.FillMode.PLAIN, 0)
                 case api.HandOver():
-                    self._hand_over(int(action.id), action.server, action.hold)
+                    self._hand_over(int(action.id), action.server, action.expected_time)
                 case api.Refuse():
-                    self._refuse(int(action.id), action.come_back)
+                    self._refuse(int(action.id), action.retry_after)
                 case api.Fail():
                     self._finish(int(action.id), Answer(Final.FAILED))
                 case api.CancelAttempt():
@@ -375,7 +375,7 @@
         request = self.requests.get(handle)
         if request is None or self.caches is None:
             # The answer went out between the module's decision and here: the attempt is not transmitted.
-            self._events.append(api.AttemptEnded(id, 0, server, api.Outcome.UNSENT, closed=True))
+            self._events.append(api.AttemptEnded(id, 0, server, api.Outcome.UNSENT, request_closed=True))
             return
         now = self.clock.now()
         if self.gate is not None and not self.gate.sends(now):
@@ -394,7 +394,7 @@
             live.timer = self.deadlines.add(now + limit, lambda: self._overdue(attempt))
         self.stats.count("sent", request.ask.cls)
         cls = self.router.set.classes.get(request.ask.cls)
-        once = cls is None or cls.effect is api.Effect.UNSAFE
+        once = cls is None or cls.retry_safety is api.RetrySafety.UNSAFE
         self.caches.send(
             attempt,
             Order(request.ask, server, source, limit, age, mode, keep, once, now + limit if limit else 0, until),
--- a/threadhill/core/ports.py
+++ b/threadhill/core/ports.py
@@ -77,7 +77,7 @@
     tag: str = ""
     same: bool = False
     load: dict[str, float] = field(default_factory=dict)
-    note: api.Note = api.Note.NONE  # what it tells of the fill behind it, where the site tells
+    note: api.CacheStatus = api.CacheStatus.NONE  # what it tells of the fill behind it, where the site tells
     waited: int = 0  # microseconds of it spent on the source
     born: int = 0  # Unix microseconds at which the origin gave out the copy; 0: not told
 
--- a/threadhill/decision/choice.py
+++ b/threadhill/decision/choice.py
@@ -15,7 +15,7 @@
 from threadhill.decision import interface as api
 from threadhill.decision.fleet import Fleet
 from threadhill.decision.freshness import EVERYTHING, Freshness, PurgeRecord
-from threadhill.decision.interface import FillMode, Note, Outcome
+from threadhill.decision.interface import CacheStatus, FillMode, Outcome
 from threadhill.decision.order import KEPT_PLACES, SMALL
 from threadhill.decision.running import RotatingSum
 from threadhill.decision.state import Job, Mean, Rate, Server, Tally, faded, remember, take_hints
@@ -73,12 +73,15 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.set, self.random = settings, random.Random(seed)
-        self.crew = settings.crew  # routers of this location
-        self.room_first, self.room_least = ROOM_FIRST / self.crew, ROOM_LEAST / self.crew  # a part of what binds all
+        self.location_routers = settings.location_routers  # routers of this location
+        self.room_first, self.room_least = (
+            ROOM_FIRST / self.location_routers,
+            ROOM_LEAST / self.location_routers,
+        )  # a part of what binds all
         self.fills_least, self.origin_fills = FILLS_LEAST / settings.routers, ORIGIN_FILLS / settings.routers
-        self.weight = RATE_WEIGHT / self.crew**0.25
+        self.weight = RATE_WEIGHT / self.location_routers**0.25
         self.now, self.actions = 0, []
-        self.freshness = Freshness(settings.purge_done)
+        self.freshness = Freshness(settings.purge_drop_time)
         self.fleet = Fleet(settings.zone, settings.parent_kind, settings.origin_kind)
         self.jobs: dict[str, Job] = {}
         self.rates: dict[str, Rate] = {}
@@ -88,7 +91,7 @@
         self.fill_time: dict[bool, Mean] = {}
         self.filling: dict[tuple[str, int], int] = {}  # (request, attempt) -> source of its fill
         self.due: list[tuple[int, str, int]] = []  # when each attempt that is out should be over: a heap
-        self.retries = self.burst = max(1.0, RETRY_BURST / self.crew)
+        self.retries = self.burst = max(1.0, RETRY_BURST / self.location_routers)
         self.fills_here = RotatingSum()  # fills that the location's caches have asked for
         self.locations = sum(map(bool, settings.zone_routers))  # those with routers
         self.link, self.link_heard = 0.0, 0  # how full the location's link in is, and when that was told
@@ -125,8 +128,8 @@
         take_hints(hints, self.now - hints.age, self.rates, self.fleet.caches, TABLE_SIZE, DOUBT)
 
     def on_unsure(self, event: api.Unsure) -> None:
-        self.freshness.missed_age = event.age
-        self.freshness.missed_at = self.now - event.before if event.before else 0
+        self.freshness.missed_age = event.max_age
+        self.freshness.missed_at = self.now - event.cutoff_age if event.cutoff_age else 0
 
     def on_list(self, news: api.ListNews) -> None:
         if news.kind is not api.ListKind.FAILED:
@@ -147,7 +150,7 @@
             key = purge.object
         elif purge.group is not None:
             key = purge.group
-        self.freshness.purge(key, PurgeRecord(self.now - purge.age, self.now - purge.waited, purge.stamp))
+        self.freshness.purge(key, PurgeRecord(self.now - purge.age, self.now - purge.queue_delay, purge.timestamp))
 
     def on_timer(self, timer: api.TimerDue) -> None:
         job = self.jobs.get(timer.token)
@@ -160,13 +163,13 @@
         """Guard 2: a cold server gets less than a fair share of what pushes it over, by the most that its peers served
         (or filled), as credit from a random start: one may outweigh a share. Many clients (weight) must fit."""
         parent = server.entry.kind == self.set.parent_kind
-        low, ramp, multiple = self.set.cold_rule(parent)
-        age = self.now - server.entry.start
-        if not server.entry.start or age >= ramp:
+        low, ramp, multiple = self.set.slow_start_rule(parent)
+        age = self.now - server.entry.start_time
+        if not server.entry.start_time or age >= ramp:
             return True
         share = COLD_SAFETY * multiple * (low + (1 - low) * max(0, age) / ramp)
         share *= self.fills.most / self.fleet.most_parents if parent else self.work.most / self.fleet.most_caches
-        most = max(work / weight, share * self.set.fall_window / SECOND / 2)
+        most = max(work / weight, share * self.set.overload_window / SECOND / 2)
         return server.earn(self.now, share / SECOND, most, self.random.random() * work) >= work
 
     def eject_silent(self) -> None:
@@ -176,7 +179,7 @@
             if server.unheard < SILENT_SENDS:
                 del self.fleet.awaited[number]
             elif self.now - server.unheard_since > silence and server in self.fleet.peers(server):
-                server.lost = self.set.direct  # then there is a way past it
+                server.lost = self.set.direct_to_origin  # then there is a way past it
                 self.eject(server, silent=True)
 
     def fit(self, order: Iterable[Server], work: float, weight: float = 1.0) -> Iterator[Server]:
@@ -199,27 +202,32 @@
         """Attempts of the location's other routers there: as reported lately, else by own traffic."""
         rate = self.total.count if self.total.first else self.total.rate  # what came in the first second, so far
         own = rate * self.usual_took.value / SECOND / max(1, len(self.fleet.caches))
-        return cache.others(self.now, (self.crew - 1) * own, ROOM_FIRST)
+        return cache.others(self.now, (self.location_routers - 1) * own, ROOM_FIRST)
 
     def has_room(self, server: Server, times: float, part: float) -> bool:
         """Guard 8: whether one more fits a share of a room; under one, odds: 1 while others are far under the room."""
         share = server.room * times / min(1.0, max(0.25, server.busy / EASY))
         if share >= 1 or server.open >= 1:
             return server.open + part < share
-        return part < share or (0.5 + part) * self.others(server) < share * self.crew
+        return part < share or (0.5 + part) * self.others(server) < share * self.location_routers
 
     def may_fill(self, source: Server, share: float, part: float) -> bool:
         """Guard 11: the same for a fill. All locations are taken to ask as this one does."""
         if share >= 1 or source.fills >= 1:
             return source.fills + part < share
-        here = self.fills_here.of(self.fleet.caches, lambda s: (s.open + self.others(s)) * (1 - s.hits)) / self.crew
+        here = (
+            self.fills_here.of(self.fleet.caches, lambda s: (s.open + self.others(s)) * (1 - s.hits))
+            / self.location_routers
+        )
         is_parent = not self.fleet.parents or source in self.fleet.parents
         own = here / max(1, len(self.fleet.parents)) if is_parent else source.fills_lately(self.now)
         return part < share or (0.5 + part) * self.set.routers * own < share * self.set.routers
 
     def in_time_chance(self, job: Job, server: Server) -> float:
         """How likely one as slow as lately may be chosen, by one draw for all: where all are slow, some is refused."""
-        return (PACE_SAFETY * (job.aim or job.ask.left) / (faded(server.pace, self.now, FADES) * job.send + 1)) ** 2
+        return (
+            PACE_SAFETY * (job.aim or job.ask.time_left) / (faded(server.pace, self.now, FADES) * job.send + 1)
+        ) ** 2
 
     def fill_chance(self, job: Job, source: Server) -> float:
         """The same for a fill: from a source that lately filled too slowly for the aim few are asked for."""
@@ -231,14 +239,18 @@
         interval = self.now // INTERVAL
         self.total.roll(interval, self.weight, 1.0)
         rate = self.rates.get(ask.object)
-        gap = rate.roll(interval, self.weight, 1 / self.crew) if rate else 1 - 1 / self.crew
-        steps, rate = round(self.crew * gap), rate or Rate(interval=interval)
+        gap = rate.roll(interval, self.weight, 1 / self.location_routers) if rate else 1 - 1 / self.location_routers
+        steps, rate = round(self.location_routers * gap), rate or Rate(interval=interval)
         # With this request counted: at one of many routers the second one in a few seconds is news of a hot object.
         news = min(self.weight * (rate.count + 1 - rate.rate), 1 / max(1, gap))
-        asked = self.crew * (rate.rate + news) if not rate.first or rate.count else float(self.crew > 1)
+        asked = (
+            self.location_routers * (rate.rate + news)
+            if not rate.first or rate.count
+            else float(self.location_routers > 1)
+        )
         asked = max(asked, rate.hinted(self.now))
         remember(self.rates, ask.object, rate, TABLE_SIZE)
-        share = SHARE_OF_CACHE * self.crew * self.total.rate / max(1, caches)
+        share = SHARE_OF_CACHE * self.location_routers * self.total.rate / max(1, caches)
         limit = max(RATE_FLOOR, share) * (PARTS_SHARE if parts else 1.0)
         for _ in range(min(steps, caches)):
             if asked / rate.copies > limit and (parts or self.link < LINK_FULL):  # further copies need fills
@@ -251,10 +263,10 @@
 
     def source(self, job: Job) -> Server | None:
         """The faster for the size of the object's first two parents; the origin where none may be asked."""
-        name = f"{job.ask.object}/{job.ask.part}" if job.cls.parts else job.ask.object  # a hot object's parts spread
+        name = f"{job.ask.object}/{job.ask.part}" if job.cls.in_parts else job.ask.object  # a hot object's parts spread
         fit = self.fit(self.fleet.parents.of(name), job.work)
         parents = list(islice((p for p in fit if p.entry.server not in job.avoid), 2))
-        if len(parents) < 2 or self.set.tells is api.Tells.NONE:
+        if len(parents) < 2 or self.set.cache_status_detail is api.CacheStatusDetail.NONE:
             return parents[0] if parents else self.fleet.origin
         usual = self.fill_time.get(job.large, Mean(1.0)).value
         heard = [p.speed.get(job.large, (usual, self.now)) for p in parents]
@@ -270,7 +282,7 @@
         if job.ask.hand_over and source is not None and source.ejections:
             source = None  # nothing comes back of it, so it is no trial of one that was ejected
         found = self.look(job, rate.copies, draw, part)
-        if not found.fit and self.set.direct and source is not None and source.open + part < source.room:
+        if not found.fit and self.set.direct_to_origin and source is not None and source.open + part < source.room:
             may = self.in_scope(job, source) and draw < self.in_time_chance(job, source)
             return (source, self.fleet.origin or source) if may else None  # its own source: only what it holds
         usable = found.usable
@@ -281,7 +293,7 @@
         pool = usable[: rate.copies]
         if not pool:
             return None
-        if job.cls.parts:
+        if job.cls.in_parts:
             # Parts are kept one by one: one draw for each. All may ask for one part of a live object at once.
             share = HOT_SHARE * self.total.rate / max(1, len(self.fleet.caches))
             copies = 1 + int(rate.rate / share) if share else 1
@@ -308,7 +320,10 @@
     def look(self, job: Job, copies: int, draw: float, part: float) -> Candidates:
         """Guards 1 to 3, 6 and 8: look through the object's order of caches until as many usable ones are found as it
         has copies. Full caches refuse: sending past them would only move the crowd to link and origin."""
-        own, blind = job.ask.share, self.room_first if job.ask.hand_over else -1  # a guessed room refuses no such one
+        own, blind = (
+            job.ask.inflight_share,
+            self.room_first if job.ask.hand_over else -1,
+        )  # a guessed room refuses no such one
         order, wanted = self.order_for(job, copies)
         found = Candidates()
         not_avoided = 0
@@ -334,7 +349,7 @@
         name, caches = job.ask.object, self.fleet.caches
         if caches.small or copies <= KEPT_PLACES:
             return caches.of(name), copies
-        if job.cls.parts:
+        if job.cls.in_parts:
             return caches.of(f"{name}/{job.ask.part}"), 1
         which = self.random.randrange(-(-copies // KEPT_PLACES))
         order = caches.of(f"{name}#{which}" if which else name)
@@ -347,7 +362,9 @@
             return None
         name = job.ask.object or job.ask.id
         self.eject_silent()
-        fit: Iterable[Server] = [origin] if self.set.direct else self.fit(self.fleet.caches.of(name), job.work)
+        fit: Iterable[Server] = (
+            [origin] if self.set.direct_to_origin else self.fit(self.fleet.caches.of(name), job.work)
+        )
         avoided = None
         for server in fit:
             if not self.in_scope(job, server):
@@ -358,31 +375,31 @@
         return (avoided, origin) if avoided is not None else None
 
     def on_request(self, ask: api.Request) -> None:
-        cls = self.set.classes.get(ask.cls) or api.RequestClass(ask.cls, effect=api.Effect.UNSAFE)
-        job = Job(ask, cls, self.now + ask.left, cls.write or ask.write)
+        cls = self.set.classes.get(ask.cls) or api.RequestClass(ask.cls, retry_safety=api.RetrySafety.UNSAFE)
+        job = Job(ask, cls, self.now + ask.time_left, cls.write or ask.write)
         self.jobs[ask.id] = job
         mean = self.sends.setdefault(cls.name, Mean(FIRST_SEND, 1))
-        job.sized = bool(ask.size and self.set.flow)
+        job.sized = bool(ask.size and self.set.client_kb_per_s)
         if job.sized:
-            mean.add(ask.size / self.set.flow * SECOND, SLOW_MEMORY)
-        job.send = ask.size / self.set.flow * SECOND if job.sized else mean.value
+            mean.add(ask.size / self.set.client_kb_per_s * SECOND, SLOW_MEMORY)
+        job.send = ask.size / self.set.client_kb_per_s * SECOND if job.sized else mean.value
         job.large, job.work = job.send > mean.value, mean.value / SECOND
-        job.aim = cls.aim + cls.aim_stretch * job.send
+        job.aim = cls.latency_target + cls.latency_target_stretch * job.send
         if not job.write:
             self.usual_send.add(job.send, SLOW_MEMORY)
-            self.count(ask, cls.parts, len(self.fleet.caches))
+            self.count(ask, cls.in_parts, len(self.fleet.caches))
         if ask.hand_over:
             self.hand_over(job)
             return
         self.retries = min(self.burst, self.retries + RETRY_SHARE)
-        self.actions.append(api.SetTimer(max(0, ask.left - ANSWER_EARLY), ask.id))
+        self.actions.append(api.SetTimer(max(0, ask.time_left - ANSWER_EARLY), ask.id))
         self.attempt(job)
 
     def hand_over(self, job: Job) -> None:
         """Guard 10: a client that goes there itself spends credit and room like an attempt, but is no sign of
         health either way. It can't be told an age: after a purge only the origin is sure to give a new copy."""
         origin = self.fleet.origin
-        fresh = (origin, origin) if self.set.direct and origin is not None else None
+        fresh = (origin, origin) if self.set.direct_to_origin and origin is not None else None
         way = fresh if job.write or self.age(job) else self.route_read(job)
         if way is None:
             self.finish(job)
@@ -416,16 +433,18 @@
         server.unheard += 1
         if server.unheard >= SILENT_SENDS:
             self.fleet.awaited[server.entry.server] = server
-        mode = FillMode.JOIN * (self.set.joins and job.joins) | FillMode.RENEW * bool(job.cls.fresh)
-        mode |= FillMode.HELD_ONLY * (job.held_only and source is not server)
+        mode = FillMode.JOIN * (self.set.coalesces_fills and job.joins) | FillMode.REFRESH * bool(
+            job.cls.freshness_lifetime
+        )
+        mode |= FillMode.CACHED_ONLY * (job.held_only and source is not server)
         limit = max(1, job.deadline - self.now - 2 * ANSWER_EARLY)  # before the timer, to be learnt from
         spare = len(job.tried) + 1 < self.set.max_attempts and self.retries >= 1 and self.link < LINK_JAM
-        if spare and job.cls.effect is api.Effect.SAFE:
+        if spare and job.cls.retry_safety is api.RetrySafety.SAFE:
             limit = min(limit, int(PATIENCE * job.aim))
-        job.limit = limit
+        job.timeout = limit
         job.tried.append((server.entry.server, source.entry.server))
         job.out, job.late, job.sent_at = True, False, self.now
-        heapq.heappush(self.due, (self.now + int(job.aim or job.ask.left) + 1, job.ask.id, len(job.tried) - 1))
+        heapq.heappush(self.due, (self.now + int(job.aim or job.ask.time_left) + 1, job.ask.id, len(job.tried) - 1))
         self.actions.append(
             api.Fetch(
                 job.ask.id,
@@ -442,7 +461,7 @@
     def age(self, job: Job) -> int:
         """Guard 5: after a purge no older copy, until all have dropped theirs; else the class's limit."""
         oldest = self.freshness.oldest(job.ask.object, job.ask.group, self.now)
-        return min(oldest, job.cls.fresh or self.set.purge_done)
+        return min(oldest, job.cls.freshness_lifetime or self.set.purge_drop_time)
 
     def turns_down(self, id: str, sent_at: int, born: int, now: int) -> bool:
         """Guard 5, at the answer: whether it is from a copy (born that Unix microsecond; 0: not told) that may be older
@@ -457,13 +476,13 @@
 
     def in_scope(self, job: Job, server: Server) -> bool:
         """Guard 6: once it may have run, only servers that would drop the repeat."""
-        if job.cls.effect is not api.Effect.KEYED or job.cls.scope is api.Scope.ALL:
+        if job.cls.retry_safety is not api.RetrySafety.KEYED or job.cls.dedup_scope is api.DedupScope.ALL:
             return True
         known = [self.fleet.servers.get(number) for number, _ in job.may_have_run]
         return all(
             s is not None
             and s.entry.zone == server.entry.zone
-            and (job.cls.scope is api.Scope.ZONE or s.entry.cell == server.entry.cell)
+            and (job.cls.dedup_scope is api.DedupScope.ZONE or s.entry.cell == server.entry.cell)
             for s in known
         )
 
@@ -499,9 +518,9 @@
             server.hear(self.now, end.load.get("inflight"))
             server.open = max(0, server.open - end.weight)
             server.hits, server.busy = end.load.get("hits", server.hits), end.load.get("util", server.busy)
-            if end.outcome in api.OWES_NOTHING or self.had_no_time(end, job):
+            if end.outcome in api.NEVER_CONTACTED or self.had_no_time(end, job):
                 server.unheard = max(0, server.unheard - 1)
-            elif end.outcome not in api.UNHEARD:
+            elif end.outcome not in api.NO_RESPONSE:
                 server.unheard, server.lost = 0, False
         if job is None or not job.tried:
             return
@@ -512,7 +531,7 @@
         if server is not None:
             self.clock(job, end, server, source)
             self.judge(job, end, server, source)
-        if end.closed:
+        if end.request_closed:
             del self.jobs[end.id]
             return
         if end.outcome not in api.NEVER_RAN:
@@ -531,17 +550,22 @@
             return False
         enough = 2 * (self.usual_took.value + LATENCY)
         if job is None:
-            return end.took < enough
+            return end.duration < enough
         if job.cls.deadline:
             enough = min(enough, job.cls.deadline / 2)
-        return min(end.took, job.limit) < enough
+        return min(end.duration, job.timeout) < enough
 
     def clock(self, job: Job, end: api.AttemptEnded, server: Server, source: Server | None) -> None:
         """Guard 8: what an answer, or its absence, tells of the pace of an ageing or crowded server."""
         pace, when = server.pace
-        own = end.note is Note.HIT or source is server or end.note not in api.FILLS and self.link < LINK_FULL
-        seen = own * (end.took - end.waited) / (job.send + LATENCY)
-        if seen and source not in (None, server) and self.set.tells is api.Tells.NONE:
+        own = (
+            end.cache_status is CacheStatus.HIT
+            or source is server
+            or end.cache_status not in api.FILL_STATUSES
+            and self.link < LINK_FULL
+        )
+        seen = own * (end.duration - end.source_wait) / (job.send + LATENCY)
+        if seen and source not in (None, server) and self.set.cache_status_detail is api.CacheStatusDetail.NONE:
             seen -= self.put_down(job, end, seen, server, source)
         if end.outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
             seen *= seen > pace and server.heard < job.sent_at
@@ -550,7 +574,7 @@
         if seen:
             weight = min(PACE_MOST, max(MEMORY, (self.now - when) / FADES))
             server.pace = (pace + weight * (seen - pace), self.now)
-        if end.outcome is Outcome.SERVED and end.took <= job.aim:
+        if end.outcome is Outcome.SERVED and end.duration <= job.aim:
             server.heard = self.now
 
     def put_down(self, job: Job, end: api.AttemptEnded, seen: float, server: Server, source: Server) -> float:
@@ -569,7 +593,7 @@
 
     def judge(self, job: Job, end: api.AttemptEnded, server: Server, source: Server | None) -> None:
         """Guards 3 and 8: one health score and one room a server, whatever ails it."""
-        in_time = end.took - end.waited <= job.aim  # a cache is not judged by its source's wait
+        in_time = end.duration - end.source_wait <= job.aim  # a cache is not judged by its source's wait
         refused, overdue = end.outcome is Outcome.REFUSED, end.outcome is Outcome.TIMED_OUT and not in_time
         served, failed = end.outcome is Outcome.SERVED, end.outcome in api.FAILED
         if not (served or failed or overdue):
@@ -578,11 +602,13 @@
         part = self.source_part(job, end, server, behind) if behind else 0.0  # of the blame
         if served:
             self.learn(job, end, source)
-        held = (server.open + self.others(server) * (self.crew > 1)) / self.crew  # its share of what all have there
+        held = (
+            server.open + self.others(server) * (self.location_routers > 1)
+        ) / self.location_routers  # its share of what all have there
         if part < 1 and (refused or not in_time and server.busy >= BUSY):
             server.room = min(server.room, held if refused else server.room) * (1 - ROOM_SHRINKS)
         elif in_time and held >= server.room / 2:
-            server.room += 1 / (self.crew * server.room)
+            server.room += 1 / (self.location_routers * server.room)
         server.room = max(self.room_least, server.room)
         if overdue and self.link >= LINK_JAM:
             return
@@ -590,36 +616,48 @@
         if part < 1:
             self.score(job, server, 0.0 if served else 1 - part)
         # A hit does not speak for its source, which was not asked; where nothing is told it speaks as most are.
-        asked = float(end.note in api.FILLS) if self.set.tells is not api.Tells.NONE else 1 - server.hits
+        asked = (
+            float(end.cache_status in api.FILL_STATUSES)
+            if self.set.cache_status_detail is not api.CacheStatusDetail.NONE
+            else 1 - server.hits
+        )
         if behind is not None and (part if not served else asked):
             self.score(job, behind, 0.0 if served else part, asked)
 
     def source_part(self, job: Job, end: api.AttemptEnded, server: Server, source: Server) -> float:
         """How likely a failure is the source's and not the server's: what is told, else who failed more with others."""
         late = end.outcome is Outcome.TIMED_OUT  # a cache that answered others meanwhile is well
-        if end.note in (Note.SOURCE_REFUSED, Note.SOURCE_FAILED) or late and server.heard > job.sent_at:
+        if (
+            end.cache_status in (CacheStatus.SOURCE_REFUSED, CacheStatus.SOURCE_FAILED)
+            or late
+            and server.heard > job.sent_at
+        ):
             return 1.0
-        if end.outcome in (Outcome.UNREACHED, Outcome.BROKEN) or self.set.tells is api.Tells.ALL and not late:
+        if (
+            end.outcome in (Outcome.UNREACHED, Outcome.BROKEN)
+            or self.set.cache_status_detail is api.CacheStatusDetail.ALL
+            and not late
+        ):
             return 0.0
         return 1 / (1 + math.exp(server.doubt - source.doubt))
 
     def learn(self, job: Job, end: api.AttemptEnded, source: Server | None) -> None:
         """Take what a served answer tells of work and times."""
         fill = (
-            end.note in (Note.FILLED, Note.FROM_ORIGIN)
-            if self.set.tells is not api.Tells.NONE
+            end.cache_status in (CacheStatus.FILLED, CacheStatus.FROM_ORIGIN)
+            if self.set.cache_status_detail is not api.CacheStatusDetail.NONE
             else 1 - end.load.get("hits", 0.0)
         )
-        few = math.sqrt(self.crew)  # a longer mean where one router sees less; its most once it has settled
+        few = math.sqrt(self.location_routers)  # a longer mean where one router sees less; its most once it has settled
         self.work.add(self.now // INTERVAL, job.work, RATE_WEIGHT / few, few)
         self.fills.add(self.now // INTERVAL, fill * job.work, RATE_WEIGHT / few, few)
-        self.usual_took.add(end.took, SLOW_MEMORY)
+        self.usual_took.add(end.duration, SLOW_MEMORY)
         if not job.sized:
-            self.sends[job.cls.name].add(end.took, SLOW_MEMORY)
+            self.sends[job.cls.name].add(end.duration, SLOW_MEMORY)
         settled = job.sized or self.sends[job.cls.name].samples > SETTLED
-        if source is None or end.note not in api.FILLS or not settled:
+        if source is None or end.cache_status not in api.FILL_STATUSES or not settled:
             return
-        time = min(end.took / (job.send + LATENCY), math.inf if job.sized else LARGE)
+        time = min(end.duration / (job.send + LATENCY), math.inf if job.sized else LARGE)
         usual = self.fill_time.setdefault(job.large, Mean())
         usual.add(time, SLOW_MEMORY)
         old, when = source.speed.get(job.large, (usual.value, 0))
@@ -657,7 +695,7 @@
         self.put_out(server)
         server.unheard = 0
         for job in self.jobs.values() if silent and self.set.cancel else ():
-            if job.cls.effect is api.Effect.SAFE and job.out and job.tried[-1][0] == server.entry.server:
+            if job.cls.retry_safety is api.RetrySafety.SAFE and job.out and job.tried[-1][0] == server.entry.server:
                 self.actions.append(api.CancelAttempt(job.ask.id, len(job.tried) - 1))
 
     def may_retry(self, job: Job) -> bool:
@@ -667,10 +705,14 @@
 
     def repeat_until(self, job: Job) -> int:
         """Guard 6: until when an attempt may begin, or wait to: once it may have run, only as long as it is dropped."""
-        late, effect = job.deadline - 2 * ANSWER_EARLY, job.cls.effect  # too late to be worth sending
-        if not job.may_have_run or effect is api.Effect.SAFE:
+        late, effect = job.deadline - 2 * ANSWER_EARLY, job.cls.retry_safety  # too late to be worth sending
+        if not job.may_have_run or effect is api.RetrySafety.SAFE:
             return late
-        return min(late, job.may_have_run[0][1] + job.cls.window - self.set.tick) if effect is api.Effect.KEYED else 0
+        return (
+            min(late, job.may_have_run[0][1] + job.cls.dedup_window - self.set.tick)
+            if effect is api.RetrySafety.KEYED
+            else 0
+        )
 
     def spread(self, time: int) -> int:
         """About so long, by the seed: what all routers see at once must not bring all of them back at once."""
@@ -679,10 +721,10 @@
     def finish(self, job: Job) -> None:
         """The final answer, at once: a refusal, with advice, where a repeat does no harm; else a failure."""
         del self.jobs[job.ask.id]
-        keyed_by_all = job.cls.effect is api.Effect.KEYED and job.cls.scope is api.Scope.ALL
-        harmless = job.cls.effect is api.Effect.SAFE or keyed_by_all or not (job.may_have_run or job.out)
+        keyed_by_all = job.cls.retry_safety is api.RetrySafety.KEYED and job.cls.dedup_scope is api.DedupScope.ALL
+        harmless = job.cls.retry_safety is api.RetrySafety.SAFE or keyed_by_all or not (job.may_have_run or job.out)
         self.actions.append(
-            api.Refuse(job.ask.id, self.set.advice * self.spread(min(COME_BACK, self.set.max_advice)))
+            api.Refuse(job.ask.id, self.set.retry_after_allowed * self.spread(min(COME_BACK, self.set.max_retry_after)))
             if harmless
             else api.Fail(job.ask.id)
         )
--- a/threadhill/decision/fleet.py
+++ b/threadhill/decision/fleet.py
@@ -29,7 +29,7 @@
             known = self.servers.get(entry.server)
             if entry.state is api.State.GONE:
                 self._remove(entry.server)
-            elif known is None or known.entry.since != entry.since:
+            elif known is None or known.entry.reported_start != entry.reported_start:
                 self._remove(entry.server)
                 self.servers[entry.server] = Server(entry, room)
                 self._place(self.servers[entry.server])
--- a/threadhill/decision/freshness.py
+++ b/threadhill/decision/freshness.py
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeRecord:
-    """One purge: when it happened, since when it counts as known here, and its stamp (0: none that can be believed)."""
+    """One purge: when it happened, when it became known here, and its timestamp (0: none that can be believed)."""
 
     at: int
     heard_at: int
-    stamp: int = 0
+    timestamp: int = 0
 
 
 @dataclass(slots=True)
@@ -39,12 +39,12 @@
     def add(self, record: PurgeRecord) -> None:
         """Note one more purge. One that is told again changes nothing, and an older one is covered by the newer."""
         self.at = max(self.at, record.at)
-        if record.stamp <= self.newest_stamp(record.heard_at):
+        if record.timestamp <= self.newest_stamp(record.heard_at):
             return
         # One that waited unread is known since before others that were noted meanwhile.
-        while self.known and self.known[-1][1] <= record.stamp and self.known[-1][0] >= record.heard_at:
+        while self.known and self.known[-1][1] <= record.timestamp and self.known[-1][0] >= record.heard_at:
             self.known.pop()
-        self.known.append((record.heard_at, record.stamp))
+        self.known.append((record.heard_at, record.timestamp))
         self.known.sort()
         self._forget(record.heard_at - ATTEMPT_LONGEST)
 
--- a/threadhill/decision/interface.py
+++ b/threadhill/decision/interface.py
@@ -27,7 +27,7 @@
     FAILED = "failed"
 
 
-class Effect(Enum):
+class RetrySafety(Enum):
     """What a second run of a request would do."""
 
     SAFE = "safe"
@@ -35,7 +35,7 @@
     UNSAFE = "unsafe"
 
 
-class Scope(Enum):
+class DedupScope(Enum):
     """Which servers drop repeats of a keyed request."""
 
     ALL = "all"
@@ -63,12 +63,12 @@
 NOTHING_SENT = frozenset({Outcome.UNREACHED, Outcome.UNSENT, Outcome.SHORTAGE})
 FAILED = frozenset({Outcome.REFUSED, Outcome.UNREACHED, Outcome.BROKEN, Outcome.ERROR})  # by server or source
 # The server said nothing:
-UNHEARD = frozenset({Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.UNSENT, Outcome.SHORTAGE, Outcome.HANDED_OVER})
+NO_RESPONSE = frozenset({Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.UNSENT, Outcome.SHORTAGE, Outcome.HANDED_OVER})
 # Nothing reached the server, so it owes no sign of life:
-OWES_NOTHING = frozenset({Outcome.UNSENT, Outcome.SHORTAGE})
+NEVER_CONTACTED = frozenset({Outcome.UNSENT, Outcome.SHORTAGE})
 
 
-class Note(Enum):
+class CacheStatus(Enum):
     """What an answer tells of the fill behind it, where the site tells."""
 
     NONE = 0
@@ -76,18 +76,20 @@
     FILLED = 2
     FROM_ORIGIN = 3
     JOINED = 4
-    OLD = 5
+    STALE = 5
     SOURCE_REFUSED = 6
     SOURCE_FAILED = 7
-    SOURCE_LACKS = 8
-    NO_FILL_PLACE = 9
+    SOURCE_MISS = 8
+    NO_FILL_SLOT = 9
     ORIGIN_FAILED = 10
 
 
-FILLS = frozenset({Note.FILLED, Note.FROM_ORIGIN, Note.JOINED})  # notes of answers whose source was asked
+FILL_STATUSES = frozenset(
+    {CacheStatus.FILLED, CacheStatus.FROM_ORIGIN, CacheStatus.JOINED}
+)  # notes of answers whose source was asked
 
 
-class Tells(Enum):
+class CacheStatusDetail(Enum):
     """How much answers tell: every note, only hits and fills, or nothing."""
 
     ALL = "all"
@@ -117,9 +119,9 @@
 
     PLAIN = 0
     JOIN = 1
-    HELD_ONLY = 2
-    PARENT_KEEPS_NOT = 4
-    RENEW = 8
+    CACHED_ONLY = 2
+    PARENT_NO_STORE = 4
+    REFRESH = 8
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,20 +129,20 @@
     """One class of requests and what the location promises for it."""
 
     name: str
-    effect: Effect = Effect.SAFE
-    scope: Scope = Scope.ALL
-    window: int = 0
-    aim: int = 0
-    aim_stretch: float = 0.0
+    retry_safety: RetrySafety = RetrySafety.SAFE
+    dedup_scope: DedupScope = DedupScope.ALL
+    dedup_window: int = 0
+    latency_target: int = 0
+    latency_target_stretch: float = 0.0
     deadline: int = 0
-    worth: float = 1.0
-    late_worth: float = 0.0
+    value: float = 1.0
+    late_value: float = 0.0
     streamed: bool = False
     write: bool = False
-    fresh: int = 0
-    grace: int = 0
-    old_worth: float = 1.0
-    parts: bool = False
+    freshness_lifetime: int = 0
+    max_stale: int = 0
+    stale_value: float = 1.0
+    in_parts: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -151,49 +153,49 @@
     zone: str = ""
     zones: tuple[str, ...] = ()
     zone_hub: tuple[int, ...] = ()
-    zone_link: tuple[float, ...] = ()
+    zone_link_kb_per_s: tuple[float, ...] = ()
     zone_routers: tuple[int, ...] = ()
     routers: int = 1
     rank: int = 0
     parent_kind: str | None = None
     origin_kind: str | None = None
-    flow: float = 0.0
+    client_kb_per_s: float = 0.0
     tick: int = 0
-    direct: bool = False
-    joins: bool = False
+    direct_to_origin: bool = False
+    coalesces_fills: bool = False
     siblings: Siblings = Siblings.NONE
-    tells: Tells = Tells.NONE
+    cache_status_detail: CacheStatusDetail = CacheStatusDetail.NONE
     weights: Weights = Weights.NONE
-    marks_repeats: bool = False
+    clients_mark_retries: bool = False
     list_on_request: bool = False
     ask_within: int = 0
     answer_slack: int = 0
     drain_grace: int = 0
-    cold_from: float = 1.0
-    cold_time: int = 0
-    fall_multiple: float = 1.0
-    fall_window: int = 0
-    parent_cold_from: float = 1.0
-    parent_cold_time: int = 0
-    parent_fall_multiple: float = 1.0
+    cold_capacity: float = 1.0
+    warm_up_time: int = 0
+    overload_multiple: float = 1.0
+    overload_window: int = 0
+    parent_cold_capacity: float = 1.0
+    parent_warm_up_time: int = 0
+    parent_overload_multiple: float = 1.0
     purge_grace: int = 0
-    purge_done: int = 0
+    purge_drop_time: int = 0
     cancel: bool = False
     probes: bool = False
-    advice: bool = False
-    max_advice: int = 0
+    retry_after_allowed: bool = False
+    max_retry_after: int = 0
     max_attempts: int = 1
     second_copies: bool = False
     connect_timeout: int = 0
 
-    def cold_rule(self, parent: bool) -> tuple[float, int, float]:
+    def slow_start_rule(self, parent: bool) -> tuple[float, int, float]:
         """Of a cold cache or parent: the part it starts from, how long it warms, what multiple it bears."""
         if parent:
-            return self.parent_cold_from, self.parent_cold_time, self.parent_fall_multiple
-        return self.cold_from, self.cold_time, self.fall_multiple
+            return self.parent_cold_capacity, self.parent_warm_up_time, self.parent_overload_multiple
+        return self.cold_capacity, self.warm_up_time, self.overload_multiple
 
     @property
-    def crew(self) -> int:
+    def location_routers(self) -> int:
         """How many routers serve this router's location, itself counted; 1 where that is not told."""
         by_zone = dict(zip(self.zones, self.zone_routers, strict=False))
         return max(1, by_zone.get(self.zone, 1))
@@ -209,13 +211,13 @@
     kind: str = ""
     cell: int = 0
     weight: float = 1.0
-    since: int = 0  # Unix microseconds of a late start, as told; tells one start from another
-    started: int = 0  # the same in local time; 0: `since` is in local time already
+    reported_start: int = 0  # Unix microseconds of a late start, as told; tells one start from another
+    local_start: int = 0  # the same in local time; 0: `reported_start` is in local time already
 
     @property
-    def start(self) -> int:
+    def start_time(self) -> int:
         """When it started, in local time; 0: it was there at the beginning."""
-        return self.started or self.since
+        return self.local_start or self.reported_start
 
 
 @dataclass(frozen=True, slots=True)
@@ -234,7 +236,7 @@
     id: str
     cls: str
     object: str
-    left: int
+    time_left: int
     size: float = 0.0
     group: int | None = None
     part: int = 0
@@ -243,7 +245,7 @@
     tenant: str | None = None
     hand_over: bool = False  # the client goes to the server itself: it is told one, at once, or refused
     weight: float = 1.0  # requests that it stands for: an answer to a resolver may bring many clients
-    share: float = 1.0  # of a server's room that it may fill: the rest is for those that go first
+    inflight_share: float = 1.0  # of a server's room that it may fill: the rest is for those that go first
 
 
 @dataclass(frozen=True, slots=True)
@@ -253,7 +255,7 @@
     id: str
     attempt: int
     server: int
-    took: int = 0
+    duration: int = 0
 
 
 @dataclass(slots=True)
@@ -264,10 +266,10 @@
     attempt: int
     server: int
     outcome: Outcome
-    took: int = 0
-    closed: bool = False
-    note: Note = Note.NONE
-    waited: int = 0
+    duration: int = 0
+    request_closed: bool = False
+    cache_status: CacheStatus = CacheStatus.NONE
+    source_wait: int = 0
     load: dict[str, float] = field(default_factory=dict)
     weight: float = 1.0  # as its request's
 
@@ -292,7 +294,7 @@
 
     server: int
     outcome: Outcome
-    took: int = 0
+    duration: int = 0
     load: dict[str, float] = field(default_factory=dict)
 
 
@@ -311,8 +313,8 @@
     object: str | None
     group: int | None
     age: int = 0
-    stamp: int = 0  # Unix microseconds of the purge, where copies' births are told too
-    waited: int = 0  # microseconds for which it may have waited unread in this process
+    timestamp: int = 0  # Unix microseconds of the purge, where copies' births are told too
+    queue_delay: int = 0  # microseconds for which it may have waited unread in this process
 
 
 @dataclass(frozen=True, slots=True)
@@ -320,18 +322,18 @@
     """What this location's routers together reported lately, where a control plane tells it: `age` microseconds old."""
 
     rates: dict[str, float]  # object -> requests a second
-    open: dict[int, float]  # cache -> attempts that they have out there
-    ill: dict[int, float]  # cache -> part of the routers that keep off it
+    inflight: dict[int, float]  # cache -> attempts that they have out there
+    avoid_share: dict[int, float]  # cache -> part of the routers that keep off it
     age: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Unsure:
     """Purges may be missing here: those told longer than `age` microseconds ago, at any moment from now on, and those
-    told longer than `before` microseconds ago now. No copy from before that will do. 0: none of that kind."""
+    told longer than `cutoff_age` microseconds ago now. No copy from before that will do. 0: none of that kind."""
 
-    age: int = 0
-    before: int = 0
+    max_age: int = 0
+    cutoff_age: int = 0
 
 
 Event = (
@@ -355,7 +357,7 @@
 
     id: str
     server: int
-    limit: int = 0
+    timeout: int = 0
 
 
 @dataclass(slots=True)
@@ -364,12 +366,12 @@
 
     id: str
     server: int
-    limit: int
-    age: int
+    timeout: int
+    max_age: int
     source: int
     mode: FillMode
-    keep: int
-    until: int = 0  # the moment from which on it must not begin any more, if it has not by then; 0: none
+    keep_rank: int
+    start_by: int = 0  # the moment from which on it must not begin any more, if it has not by then; 0: none
 
 
 @dataclass(frozen=True, slots=True)
@@ -378,7 +380,7 @@
 
     id: str
     server: int
-    hold: int
+    expected_time: int
 
 
 @dataclass(slots=True)
@@ -386,7 +388,7 @@
     """Final answer: turned away, a retry does no harm."""
 
     id: str
-    come_back: int = 0
+    retry_after: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -445,7 +447,7 @@
 class FollowList:
     """Subscribe to list changes, or stop."""
 
-    on: bool
+    subscribe: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/threadhill/decision/state.py
+++ b/threadhill/decision/state.py
@@ -87,7 +87,7 @@
     joins: bool = True  # whether it may join a fill that is under way
     late: bool = False  # its attempt is, and that was told
     sent_at: int = 0
-    limit: int = 0  # microseconds that its attempt may take
+    timeout: int = 0  # microseconds that its attempt may take
     sized: bool = False  # its size is told
     large: bool = False  # against the mean of its class
     send: float = 0.0  # microseconds of sending, from its size or its class's mean
@@ -178,7 +178,7 @@
         remember(rates, name, known, size)
     for cache in caches:
         number = cache.entry.server
-        if number in hints.open:
-            cache.hear(when, hints.open[number])
-        if number in hints.ill:
-            cache.doubt += (ill * hints.ill[number] - cache.doubt) / 2
+        if number in hints.inflight:
+            cache.hear(when, hints.inflight[number])
+        if number in hints.avoid_share:
+            cache.doubt += (ill * hints.avoid_share[number] - cache.doubt) / 2
--- a/threadhill/net/event_applier.py
+++ b/threadhill/net/event_applier.py
@@ -82,8 +82,8 @@
         if event.stamp is not None:
             self._stamps.hear(event.stamp)
         for member in event.members or ():
-            if member.entry.since:
-                self._stamps.hear(member.entry.since)
+            if member.entry.reported_start:
+                self._stamps.hear(member.entry.reported_start)
 
     def _purge(self, event: Event) -> int:
         """Tell the module of a purge; the age that it is taken for, in microseconds."""
@@ -113,20 +113,20 @@
 
     def _started(self, entry: api.Entry) -> api.Entry:
         """The entry with its start in local time, reckoned once for each start."""
-        if not entry.since or entry.state is api.State.GONE:
+        if not entry.reported_start or entry.state is api.State.GONE:
             self._starts.pop(entry.server, None)
             return entry
         since, started = self._starts.get(entry.server, (0, 0))
-        if since != entry.since:
-            if not self._stamps.believes(entry.since):
+        if since != entry.reported_start:
+            if not self._stamps.believes(entry.reported_start):
                 self.engine.stats.count("malformed", "up_since_ms")
                 self.log(
                     f"journal: server {entry.server:08x}: up_since_ms is no time that has been "
-                    f"({entry.since // 1_000}): it is taken for one that has just started"
+                    f"({entry.reported_start // 1_000}): it is taken for one that has just started"
                 )
-            started = self.engine.clock.now() - self._stamps.age(entry.since)
-            self._starts[entry.server] = entry.since, started
-        return replace(entry, started=started)
+            started = self.engine.clock.now() - self._stamps.age(entry.reported_start)
+            self._starts[entry.server] = entry.reported_start, started
+        return replace(entry, local_start=started)
 
     def catch_up(self, pos: int, events: list[Event]) -> None:
         """What a configuration knows, up to the number `pos`. Where nothing was heard yet all of it is applied, and
--- a/threadhill/net/journal.py
+++ b/threadhill/net/journal.py
@@ -284,7 +284,7 @@
                         "cell": entry.cell,
                         "size": entry.weight,
                         "phase": "SERVING" if entry.state is api.State.READY else "DRAINING",
-                        "up_since_ms": entry.since // 1_000,
+                        "up_since_ms": entry.reported_start // 1_000,
                     }
                 )
         tenants = [
--- a/threadhill/net/resp.py
+++ b/threadhill/net/resp.py
@@ -84,7 +84,7 @@
     if fields.get("again", "0") not in ("0", "1"):
         raise ValueError("again cannot be used")
     token = _field(fields, "token", PLAIN)
-    if cls.effect is api.Effect.KEYED and token is None:
+    if cls.retry_safety is api.RetrySafety.KEYED and token is None:
         raise ValueError("a keyed class needs its token")
     if body and not cls.write:
         raise ValueError("only writes bring a body")
@@ -156,7 +156,7 @@
     ) -> None:
         self.engine, self.classes, self.soon, self.log = engine, classes, soon, log
         told = engine.router.set
-        self.come_back = min(COME_BACK, told.max_advice) if told.advice else 0
+        self.come_back = min(COME_BACK, told.max_retry_after) if told.retry_after_allowed else 0
         self.door = Door(engine, "client", most, lambda door: Client(self, door), log)
         self.all_outbound = all_outbound  # bytes that may wait for all clients together
         self.ready = False
--- a/threadhill/net/upstream.py
+++ b/threadhill/net/upstream.py
@@ -196,7 +196,7 @@
             fields.get("ver", ""),
             word == "current",
             read_report(fields.get("report", "")),
-            NOTES.get(fields.get("remark", ""), api.Note.NONE),
+            NOTES.get(fields.get("remark", ""), api.CacheStatus.NONE),
             read_waited(fields.get("waited", "")),
             read_born(fields.get("born", "")),
         )
--- a/threadhill/net/upstream_codec.py
+++ b/threadhill/net/upstream_codec.py
@@ -17,9 +17,9 @@
 BORN_DIGITS = 13  # of a Unix millisecond before LATEST
 MODES = (
     (api.FillMode.JOIN, "collapse"),
-    (api.FillMode.HELD_ONLY, "only-if-cached"),
-    (api.FillMode.PARENT_KEEPS_NOT, "no-store-up"),
-    (api.FillMode.RENEW, "refresh"),
+    (api.FillMode.CACHED_ONLY, "only-if-cached"),
+    (api.FillMode.PARENT_NO_STORE, "no-store-up"),
+    (api.FillMode.REFRESH, "refresh"),
 )
 ENDS = {
     "ok": api.Outcome.SERVED,
@@ -31,16 +31,16 @@
 }
 # What an answer's `remark` says of the fill behind it; on a site that tells nothing it is absent.
 NOTES = {
-    "local": api.Note.HIT,
-    "pulled": api.Note.FILLED,
-    "pulled_far": api.Note.FROM_ORIGIN,
-    "rode": api.Note.JOINED,
-    "expired": api.Note.OLD,
-    "turned_away": api.Note.SOURCE_REFUSED,
-    "cut_off": api.Note.SOURCE_FAILED,
-    "not_there": api.Note.SOURCE_LACKS,
-    "no_place": api.Note.NO_FILL_PLACE,
-    "far_fault": api.Note.ORIGIN_FAILED,
+    "local": api.CacheStatus.HIT,
+    "pulled": api.CacheStatus.FILLED,
+    "pulled_far": api.CacheStatus.FROM_ORIGIN,
+    "rode": api.CacheStatus.JOINED,
+    "expired": api.CacheStatus.STALE,
+    "turned_away": api.CacheStatus.SOURCE_REFUSED,
+    "cut_off": api.CacheStatus.SOURCE_FAILED,
+    "not_there": api.CacheStatus.SOURCE_MISS,
+    "no_place": api.CacheStatus.NO_FILL_SLOT,
+    "far_fault": api.CacheStatus.ORIGIN_FAILED,
 }
 # In the module's names, and what a figure can be at most; one beyond that, or none at all, would upset its averages.
 REPORT = {
--- a/threadhill/overload/control.py
+++ b/threadhill/overload/control.py
@@ -146,7 +146,11 @@
                 self.budgets.first(client, tenant, now)
             why = self._held_off(ask, cls, retry is not None, back, client, tenant, work, now)
         if not why:
-            aim = int(cls.aim + cls.aim_stretch * work * SECOND) if cls is not None and cls.aim else ask.left
+            aim = (
+                int(cls.latency_target + cls.latency_target_stretch * work * SECOND)
+                if cls is not None and cls.latency_target
+                else ask.left
+            )
             self.open[handle] = Open(now, ask, front, work, aim, watches)
             self.capacity.reached(work)
             return None
@@ -221,7 +225,7 @@
 
     def _in_parts(self, cls: str) -> bool:
         found = self.classes.get(cls)
-        return found is not None and found.parts
+        return found is not None and found.in_parts
 
     def _work(self, ask: Ask) -> float:
         """Seconds of sending."""
@@ -260,7 +264,7 @@
         now: int,
     ) -> str:
         """Why this one must wait; "" where it need not."""
-        keyed = ask.token is not None or cls is not None and cls.effect is not api.Effect.SAFE
+        keyed = ask.token is not None or cls is not None and cls.retry_safety is not api.RetrySafety.SAFE
         promised = back is Return.KEPT
         if retry and not keyed and not promised and self.config.retry_budgets:
             empty = self.budgets.retry(client, tenant, now)
@@ -276,7 +280,7 @@
             rank = Rank.LISTENER
         else:
             rank = Rank.AGAIN if retry else Rank.FIRST
-        worth = cls.worth if cls is not None else 1.0
+        worth = cls.value if cls is not None else 1.0
         level = self.gate.level(rank, worth, work, client, now)
         if self.gate.lets_in(tenant, level, work):
             # The module is told too: the last part of each server's room is for those that go first, and for tenants
--- a/threadhill/plans/forecast.py
+++ b/threadhill/plans/forecast.py
@@ -101,13 +101,13 @@
     counted: dict[str, Counter[str]] = {name: Counter() for name in mix.classes}
     rate = mix.rate / max(1, len(crew))
     many = max(FEWEST, min(MOST, int(rate * (mix.seconds + WARM_UP))))
-    asks = mix.asks(seed, {name: cls.parts for name, cls in settings.classes.items()})
+    asks = mix.asks(seed, {name: cls.in_parts for name, cls in settings.classes.items()})
     out: list[tuple[int, api.Fetch]] = []
     for i, (cls, name, part) in enumerate(itertools.islice(asks, many)):
         now = SECOND + int(i * SECOND / rate)
         while out and out[0][0] <= now:
             at, sent = out.pop(0)
-            router.handle(at, api.AttemptEnded(sent.id, 0, sent.server, api.Outcome.SERVED, TAKES, closed=True))
+            router.handle(at, api.AttemptEnded(sent.id, 0, sent.server, api.Outcome.SERVED, TAKES, request_closed=True))
         for action in router.handle(now, api.Request(str(i), cls, name, settings.classes[cls].deadline, part=part)):
             if isinstance(action, api.Fetch):
                 out.append((now + TAKES, action))
--- a/threadhill/recovery/learned.py
+++ b/threadhill/recovery/learned.py
@@ -40,13 +40,13 @@
             rows.append(
                 [
                     server.entry.server,
-                    server.entry.since,
+                    server.entry.reported_start,
                     *(
                         round(x, 4)
                         for x in (
                             server.pace[0] if now - server.pace[1] < FADES else 1.0,
                             speed,
-                            server.room * router.crew,
+                            server.room * router.location_routers,
                             server.doubt,
                             server.hits,
                             server.busy,
@@ -105,10 +105,10 @@
     taken, keeps, health = 0, weight(age, KEEPS), weight(age, HEALTH)
     for number, since, pace, speed, room, doubt, hits, busy in known["servers"]:
         server = router.fleet.servers.get(number)
-        if server is None or server.entry.since != since or server.heard:
+        if server is None or server.entry.reported_start != since or server.heard:
             continue
         taken += 1
-        _prime_server(server, router.crew, now - age, health, pace, speed, room, doubt)
+        _prime_server(server, router.location_routers, now - age, health, pace, speed, room, doubt)
         server.hits += health * (min(1.0, hits) - server.hits)
         server.busy += health * (busy - server.busy)
     for name, (time, samples) in known["classes"].items():
@@ -121,7 +121,7 @@
     # What warm servers did bounds what cold ones are sent: an old figure counts for less, so for less credit.
     for tally, most in ((router.work, known["work"]), (router.fills, known["fills"])):
         if not tally.mean.samples:
-            tally.mean = Mean(keeps * most, math.ceil(math.sqrt(router.crew)))
+            tally.mean = Mean(keeps * most, math.ceil(math.sqrt(router.location_routers)))
             tally.most = keeps * most
     for name, rate, copies in known["objects"]:
         own = router.rates.get(name)
--- a/threadhill/recovery/numbers.py
+++ b/threadhill/recovery/numbers.py
@@ -47,7 +47,7 @@
         """Entries as they are about to be applied, screened."""
         for entry in entries:
             if entry.state is not api.State.READY:
-                remember(self.out, entry.server, max(entry.since, self.out.get(entry.server, 0)), KEPT)
+                remember(self.out, entry.server, max(entry.reported_start, self.out.get(entry.server, 0)), KEPT)
             elif not self.older:
                 self.out.pop(entry.server, None)
 
@@ -71,7 +71,11 @@
             return entries
         told = []
         for entry in entries:
-            if entry.state is api.State.READY and entry.server in self.out and entry.since <= self.out[entry.server]:
+            if (
+                entry.state is api.State.READY
+                and entry.server in self.out
+                and entry.reported_start <= self.out[entry.server]
+            ):
                 self.kept_out[entry.server] = entry
                 entry = replace(entry, state=api.State.DRAINING)
             else:
--- a/threadhill/recovery/proxy.py
+++ b/threadhill/recovery/proxy.py
@@ -91,7 +91,7 @@
         if allows.send:
             return None
         self.engine.stats.count("recovery", f"refused while {self.phases.phase.value}")
-        return int(COME_BACK * (1 - self.random.random() / 2)) * self.engine.router.set.advice
+        return int(COME_BACK * (1 - self.random.random() / 2)) * self.engine.router.set.retry_after_allowed
 
     def sends(self, now: int) -> bool:
         """Whether an attempt may be written now, as the module has just decided on it."""
@@ -243,7 +243,9 @@
             stale = [
                 e
                 for e in self.engine.cordons.listed.values()
-                if e.state is api.State.READY and e.server in self.memory.out and e.since <= self.memory.out[e.server]
+                if e.state is api.State.READY
+                and e.server in self.memory.out
+                and e.reported_start <= self.memory.out[e.server]
             ]
             if stale:
                 self.engine.listed(api.ListNews(api.ListKind.CHANGES, self.memory.screen(tuple(stale))))
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -176,8 +176,8 @@
 
         control = Control(
             settings.classes,
-            settings.flow,
-            settings.max_advice,
+            settings.client_kb_per_s,
+            settings.max_retry_after,
             config,
             self.config.seed,
             lambda text: log(f"node {node}: {text}" if node else text),
--- a/threadhill/settings.py
+++ b/threadhill/settings.py
@@ -9,9 +9,9 @@
 from threadhill.decision import interface as api
 
 EFFECTS = {
-    "read_like": api.Effect.SAFE,
-    "idempotency_key": api.Effect.KEYED,
-    "non_idempotent": api.Effect.UNSAFE,
+    "read_like": api.RetrySafety.SAFE,
+    "idempotency_key": api.RetrySafety.KEYED,
+    "non_idempotent": api.RetrySafety.UNSAFE,
 }
 LISTS = {"pushed": False, "on_request": True}
 
@@ -143,20 +143,20 @@
     scope = raw.get("dedup-scope")
     return api.RequestClass(
         name=names([raw.get("name")], f"profiles[{index}].name")[0],
-        effect=one_of(EFFECTS, raw.get("repeat"), f"profiles[{index}].repeat"),
-        scope=one_of({s.value: s for s in api.Scope}, "all" if scope is None else scope, "dedup-scope"),
-        window=whole(raw.get("repeat-window"), "repeat-window"),
-        aim=whole(raw.get("objective"), "objective"),
-        aim_stretch=number(raw.get("aim-stretch"), "aim-stretch"),
+        retry_safety=one_of(EFFECTS, raw.get("repeat"), f"profiles[{index}].repeat"),
+        dedup_scope=one_of({s.value: s for s in api.DedupScope}, "all" if scope is None else scope, "dedup-scope"),
+        dedup_window=whole(raw.get("repeat-window"), "repeat-window"),
+        latency_target=whole(raw.get("objective"), "objective"),
+        latency_target_stretch=number(raw.get("aim-stretch"), "aim-stretch"),
         deadline=whole(raw.get("deadline"), "deadline"),
-        worth=number(raw.get("value"), "value"),
-        late_worth=number(raw.get("late-worth"), "late-worth"),
+        value=number(raw.get("value"), "value"),
+        late_value=number(raw.get("late-worth"), "late-worth"),
         streamed=flag(raw.get("streamed"), "streamed"),
         write=flag(by_place("class-write"), "class-write"),
-        fresh=whole(by_place("fresh-for"), "fresh-for"),
-        grace=whole(by_place("stale-for"), "stale-for"),
-        old_worth=number(by_place("old-copy-worth"), "old-copy-worth"),
-        parts=flag(by_place("in-parts"), "in-parts"),
+        freshness_lifetime=whole(by_place("fresh-for"), "fresh-for"),
+        max_stale=whole(by_place("stale-for"), "stale-for"),
+        stale_value=number(by_place("old-copy-worth"), "old-copy-worth"),
+        in_parts=flag(by_place("in-parts"), "in-parts"),
     )
 
 
@@ -167,33 +167,33 @@
     "ask_within": "ask-within",
     "answer_slack": "grace-to-answer",
     "drain_grace": "drain-grace",
-    "cold_from": "start-capacity",
-    "cold_time": "ramp-time",
-    "fall_multiple": "fall-multiple",
-    "fall_window": "fall",
-    "parent_cold_from": "upper-cold-from",
-    "parent_cold_time": "parent-ramp",
-    "parent_fall_multiple": "parent-fall-multiple",
+    "cold_capacity": "start-capacity",
+    "warm_up_time": "ramp-time",
+    "overload_multiple": "fall-multiple",
+    "overload_window": "fall",
+    "parent_cold_capacity": "upper-cold-from",
+    "parent_warm_up_time": "parent-ramp",
+    "parent_overload_multiple": "parent-fall-multiple",
     "purge_grace": "purge-slack",
-    "purge_done": "purge-takes",
-    "max_advice": "max-retry-after",
+    "purge_drop_time": "purge-takes",
+    "max_retry_after": "max-retry-after",
     "max_attempts": "max-attempts",
     "connect_timeout": "connect-timeout",
-    "flow": "client-kb-per-s",
+    "client_kb_per_s": "client-kb-per-s",
 }
 CLASS_NOT_NEGATIVE = {
-    "window": "repeat-window",
-    "aim": "objective",
-    "aim_stretch": "aim-stretch",
+    "dedup_window": "repeat-window",
+    "latency_target": "objective",
+    "latency_target_stretch": "aim-stretch",
     "deadline": "deadline",
-    "fresh": "fresh-for",
-    "grace": "stale-for",
-    "worth": "value",
-    "late_worth": "late-worth",
-    "old_worth": "old-copy-worth",
+    "freshness_lifetime": "fresh-for",
+    "max_stale": "stale-for",
+    "value": "value",
+    "late_value": "late-worth",
+    "stale_value": "old-copy-worth",
 }
-SHARES = {"cold_from": "start-capacity", "parent_cold_from": "upper-cold-from"}  # of a whole
-CLASS_SHARES = {"late_worth": "late-worth", "old_worth": "old-copy-worth"}
+SHARES = {"cold_capacity": "start-capacity", "parent_cold_capacity": "upper-cold-from"}  # of a whole
+CLASS_SHARES = {"late_value": "late-worth", "stale_value": "old-copy-worth"}
 
 
 def check_settings(settings: api.Settings, told_routers: int) -> None:
@@ -217,7 +217,7 @@
     for zone, hub in zip(settings.zones, settings.zone_hub, strict=False):
         if not 0 <= hub < len(settings.zones):
             raise Malformed(f"hub-of has place {hub} for {zone}; zones has places 0 to {len(settings.zones) - 1}")
-    for name, told in (("hub-of", settings.zone_hub), ("zone-link-kb-per-s", settings.zone_link)):
+    for name, told in (("hub-of", settings.zone_hub), ("zone-link-kb-per-s", settings.zone_link_kb_per_s)):
         if told and len(told) != len(settings.zones):
             raise Malformed(f"{name} has {len(told)} values, zones {len(settings.zones)}: one each is needed")
     if len(settings.zone_routers) > len(settings.zones):
@@ -258,7 +258,7 @@
         zone=text(raw.get("zone") or "", "zone"),
         zones=names(raw.get("zones"), "zones"),
         zone_hub=tuple(must_whole(hub, "hub-of") for hub in sequence(extra.get("hub-of"), "hub-of")),
-        zone_link=tuple(
+        zone_link_kb_per_s=tuple(
             number(link, "zone-link-kb-per-s")
             for link in sequence(extra.get("zone-link-kb-per-s"), "zone-link-kb-per-s")
         ),
@@ -267,31 +267,31 @@
         rank=whole(raw.get("rank"), "rank"),
         parent_kind=kind("upper-kind"),
         origin_kind=kind("master-kind"),
-        flow=number(extra.get("client-kb-per-s"), "client-kb-per-s"),
+        client_kb_per_s=number(extra.get("client-kb-per-s"), "client-kb-per-s"),
         tick=whole(raw.get("tick"), "tick"),
-        direct=flag(extra.get("bypass-allowed"), "bypass-allowed"),
-        joins=flag(extra.get("shares-fills"), "shares-fills"),
+        direct_to_origin=flag(extra.get("bypass-allowed"), "bypass-allowed"),
+        coalesces_fills=flag(extra.get("shares-fills"), "shares-fills"),
         siblings=named(api.Siblings, extra, "sideways", api.Siblings.NONE),
-        tells=named(api.Tells, extra, "notes-given", api.Tells.NONE),
+        cache_status_detail=named(api.CacheStatusDetail, extra, "notes-given", api.CacheStatusDetail.NONE),
         weights=named(api.Weights, raw, "weight-source", api.Weights.NONE),
-        marks_repeats=flag(mapping(raw.get("callers"), "callers").get("marks-retry"), "marks-retry"),
+        clients_mark_retries=flag(mapping(raw.get("callers"), "callers").get("marks-retry"), "marks-retry"),
         list_on_request=one_of(LISTS, raw.get("membership-mode", "pushed"), "membership-mode"),
         ask_within=whole(rules.get("ask-within"), "ask-within"),
         answer_slack=whole(rules.get("grace-to-answer"), "grace-to-answer"),
         drain_grace=whole(rules.get("drain-grace"), "drain-grace"),
-        cold_from=number(rules.get("start-capacity", 1), "start-capacity"),
-        cold_time=whole(rules.get("ramp-time"), "ramp-time"),
-        fall_multiple=number(rules.get("fall-multiple", 1), "fall-multiple"),
-        fall_window=whole(rules.get("fall"), "fall"),
-        parent_cold_from=number(extra.get("upper-cold-from", 1), "upper-cold-from"),
-        parent_cold_time=whole(extra.get("parent-ramp"), "parent-ramp"),
-        parent_fall_multiple=number(extra.get("parent-fall-multiple", 1), "parent-fall-multiple"),
+        cold_capacity=number(rules.get("start-capacity", 1), "start-capacity"),
+        warm_up_time=whole(rules.get("ramp-time"), "ramp-time"),
+        overload_multiple=number(rules.get("fall-multiple", 1), "fall-multiple"),
+        overload_window=whole(rules.get("fall"), "fall"),
+        parent_cold_capacity=number(extra.get("upper-cold-from", 1), "upper-cold-from"),
+        parent_warm_up_time=whole(extra.get("parent-ramp"), "parent-ramp"),
+        parent_overload_multiple=number(extra.get("parent-fall-multiple", 1), "parent-fall-multiple"),
         purge_grace=whole(extra.get("purge-slack"), "purge-slack"),
-        purge_done=whole(extra.get("purge-takes"), "purge-takes"),
+        purge_drop_time=whole(extra.get("purge-takes"), "purge-takes"),
         cancel=flag(limits.get("cancel"), "cancel"),
         probes=flag(limits.get("probes"), "probes"),
-        advice=flag(limits.get("retry-after"), "retry-after"),
-        max_advice=whole(limits.get("max-retry-after"), "max-retry-after"),
+        retry_after_allowed=flag(limits.get("retry-after"), "retry-after"),
+        max_retry_after=whole(limits.get("max-retry-after"), "max-retry-after"),
         max_attempts=max(1, whole(limits.get("max-attempts"), "max-attempts")),
         second_copies=flag(limits.get("second-copies"), "second-copies"),
         connect_timeout=whole(limits.get("connect-timeout"), "connect-timeout"),
--- a/threadhill/simhost.py
+++ b/threadhill/simhost.py
@@ -44,7 +44,7 @@
     "x0": "hits",
     "x1": "link",
 }
-NOTES = {note.value: note for note in api.Note}
+NOTES = {note.value: note for note in api.CacheStatus}
 REPEAT_BIT = 2
 WRITE_BIT = 4
 
@@ -71,7 +71,7 @@
         kind=kind if isinstance(kind, str) else "",
         cell=whole(cell, "cell"),
         weight=number(units, "units"),
-        since=whole(since, "since"),
+        reported_start=whole(since, "since"),
     )
 
 
@@ -87,7 +87,7 @@
         cls=text(v[1], "grade"),
         tenant=v[2] if isinstance(v[2], str) else None,
         object="" if v[3] is None else text(v[3], "item"),
-        left=whole(v[4], "remaining"),
+        time_left=whole(v[4], "remaining"),
         size=number(v[5], "bytes-k"),
         group=None if v[6] is None else int(number(v[6], "batch-id")),
         part=int(number(v[7], "slice")),
@@ -108,10 +108,10 @@
         attempt=whole(v[1], "round-no"),
         server=must_whole(v[2], "server"),
         outcome=one_of(OUTCOMES, v[3], "status"),
-        took=whole(v[4], "took"),
-        closed=bool(v[5]),
-        note=NOTES.get(whole(v[6], "info"), api.Note.NONE),
-        waited=whole(v[7], "waited"),
+        duration=whole(v[4], "took"),
+        request_closed=bool(v[5]),
+        cache_status=NOTES.get(whole(v[6], "info"), api.CacheStatus.NONE),
+        source_wait=whole(v[7], "waited"),
         load=read_load(v[8]),
     )
 
@@ -148,9 +148,9 @@
 }
 
 WRITERS: dict[type, tuple[str, Callable[[Any], list[Any]]]] = {
-    api.Look: ("pass-on", lambda a: [a.id, a.server, a.limit]),
-    api.Fetch: ("get", lambda a: [a.id, a.limit, a.age, a.source, int(a.mode), a.keep, a.server]),
-    api.Refuse: ("push-back", lambda a: [a.id, a.come_back]),
+    api.Look: ("pass-on", lambda a: [a.id, a.server, a.timeout]),
+    api.Fetch: ("get", lambda a: [a.id, a.timeout, a.max_age, a.source, int(a.mode), a.keep_rank, a.server]),
+    api.Refuse: ("push-back", lambda a: [a.id, a.retry_after]),
     api.Fail: ("give-up", lambda a: [a.id]),
     api.CancelAttempt: ("abort-attempt", lambda a: [a.id, a.attempt]),
     api.SetTimer: ("schedule", lambda a: [a.delay, a.token]),
@@ -161,7 +161,7 @@
         lambda a: ["*" if a.peer is None else a.peer, base64.b64encode(a.data).decode("ascii")],
     ),
     api.Log: ("trace", lambda a: [a.text]),
-    api.FollowList: ("follow", lambda a: [a.on]),
+    api.FollowList: ("follow", lambda a: [a.subscribe]),
     api.AskList: ("query-all", lambda a: []),
 }
 
