--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -44,7 +44,7 @@
 TOLD_AGAIN = ("net/event_applier.py", "            self._told_again(event)\n", "")
 
 MUTANTS = (
-    Mutant("no oldest is sent", "net/upstream_codec.py", "    if order.age:\n", "    if False:\n", PURGES),
+    Mutant("no oldest is sent", "net/upstream_codec.py", "    if order.max_age:\n", "    if False:\n", PURGES),
     Mutant(
         "purges of a start are forgotten",
         "net/event_applier.py",
@@ -152,8 +152,8 @@
     Mutant(
         "a wait is not taken off max",
         "net/upstream_codec.py",
-        "left = min(order.limit, order.due - now) if order.due else order.limit",
-        "left = order.limit + 400_000",
+        "left = min(order.timeout, order.deadline - now) if order.deadline else order.timeout",
+        "left = order.timeout + 400_000",
         (Rule.MAX,),
     ),
     Mutant(
@@ -181,7 +181,7 @@
         "the client's copy is always called current",
         "net/upstream.py",
         '            word == "current",\n            read_report(',
-        '            word == "current" or bool(self.pool.caches.attempts[attempt].order.ask.seen),\n            read_report(',
+        '            word == "current" or bool(self.pool.caches.attempts[attempt].order.request.client_tag),\n            read_report(',
         (Rule.FALSE_CURRENT, Rule.SPOILT),
     ),
     Mutant(
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -12,7 +12,7 @@
 from threadhill.core.clock import Clock
 from threadhill.core.deadlines import Deadlines
 from threadhill.core.engine import Engine
-from threadhill.core.ports import Answer, Ask, Ended, Final, Order
+from threadhill.core.ports import Answer, AttemptResult, AttemptSpec, ClientRequest, FinalStatus
 from threadhill.decision import interface as api
 from threadhill.overload import budgets, comeback, sketch
 from threadhill.overload.accept import Pace
@@ -286,14 +286,14 @@
 class Quiet:
     """Servers that never answer; the engine's port."""
 
-    def send(self, attempt: int, order: Order) -> None: ...
+    def send(self, attempt: int, order: AttemptSpec) -> None: ...
 
-    def drop(self, attempt: int) -> bool:
+    def cancel(self, attempt: int) -> bool:
         return True
 
-    def listed(self, entries: list[api.Entry]) -> None: ...
+    def list_changed(self, entries: list[api.Entry]) -> None: ...
 
-    def purged(self, object: str | None, group: int | None) -> None: ...
+    def purge_received(self, object: str | None, group: int | None) -> None: ...
 
 
 class Gathers:
@@ -343,14 +343,14 @@
     )
     engine = Engine(known, 1, clock, Deadlines(lambda when: None, lambda error: None), stats, lambda text: None)
     engine.start(Quiet())
-    engine.listed(
+    engine.list_changed(
         api.ListNews(
             api.ListKind.FULL,
             tuple(api.Entry(n, api.State.READY, "z", kind) for n, kind in ((1, "std"), (2, "std"), (3, "origin"))),
         )
     )
     control = Control(CLASSES, 4_000.0, 500 * MS, config or OverloadConfig(), 5, lambda text: None)
-    engine.guard = control
+    engine.overload_control = control
     return engine, control, Gathers(), clock
 
 
@@ -377,7 +377,7 @@
         clock.at += draw.randrange(40 * MS)
         if step in ("ask", "again", "buy"):
             ref += 1
-            ask = Ask(
+            ask = ClientRequest(
                 f"{ref:016x}",
                 "buy" if step == "buy" else "clip",
                 f"o{draw.randrange(4)}",
@@ -385,9 +385,9 @@
                 part=draw.randrange(3),
                 repeat=step == "again",
                 client=f"c{draw.randrange(3)}",
-                token=f"k{draw.randrange(3)}" if step == "buy" else None,
+                idempotency_key=f"k{draw.randrange(3)}" if step == "buy" else None,
             )
-            handle = engine.ask(front, ref, ask)
+            handle = engine.submit(front, ref, ask)
             if ref not in front.answers:
                 open_handles[ref] = handle
         elif step in ("serve", "miss", "late") and engine.attempts.live():
@@ -397,19 +397,19 @@
             live = list(engine.attempts.live())
             if live:
                 end = api.Outcome.MISS if step == "miss" else api.Outcome.SERVED
-                engine.ended(draw.choice(live)[0], Ended(end))
+                engine.attempt_ended(draw.choice(live)[0], AttemptResult(end))
         elif step == "leave" and open_handles:
             gone = draw.choice(sorted(open_handles))
             if gone not in front.answers:
                 left.add(gone)
-            engine.gone(open_handles.pop(gone))
+            engine.client_gone(open_handles.pop(gone))
         elif step == "turn":
             control.turn(clock.at)
         elif step == "storm":
             storm(control)
         elif step == "calm":
             control.detector.all.state = State.NORMAL
-    engine.end_all()
+    engine.fail_all()
     assert set(front.answers) | left == set(range(1, ref + 1))
     assert all(len(answers) == 1 for answers in front.answers.values()) and not control.open
     assert not set(front.answers) & left
@@ -419,10 +419,10 @@
     engine, control, front, clock = core()
 
     def ask(n: int, cls: str = "clip", **more: object) -> Answer | None:
-        engine.ask(
+        engine.submit(
             front,
             n,
-            Ask(
+            ClientRequest(
                 f"{n:016x}",
                 cls,
                 more.pop("object", f"o{n}"),
@@ -434,7 +434,7 @@
         return front.answers.get(n, [None])[0]
 
     assert ask(1, object="song", part=4, client="listener") is None
-    engine.ended(list(engine.attempts.live())[0][0], Ended(api.Outcome.SERVED))
+    engine.attempt_ended(list(engine.attempts.live())[0][0], AttemptResult(api.Outcome.SERVED))
     storm(control)
     for n in range(100, 140):  # demand that the gate sees
         ask(n)
@@ -443,8 +443,8 @@
     control.gate.turn(clock.at)
     told = [ask(n) for n in range(200, 215)]
     refused = [answer for answer in told if answer is not None]
-    assert refused and all(a.final is Final.REFUSED and 0 < a.come_back <= 500 * MS for a in refused)
-    assert ask(300, "buy", token="k1") is None and ask(301, "buy", token="k1", repeat=True) is None
+    assert refused and all(a.status is FinalStatus.REFUSED and 0 < a.retry_after <= 500 * MS for a in refused)
+    assert ask(300, "buy", idempotency_key="k1") is None and ask(301, "buy", idempotency_key="k1", repeat=True) is None
     assert ask(302, object="song", part=5, client="listener") is None  # the next part of what it listens to
     rid = f"{next(n for n, a in zip(range(200, 215), told, strict=True) if a is not None):016x}"
     why = control.why(rid)
@@ -453,7 +453,7 @@
     control.capacity.room = control.gate.room = math.inf
     control.detector.all.state = State.NORMAL
     for handle, _ in list(engine.attempts.live()):  # the caches are not lost: they answer by and by
-        engine.ended(handle, Ended(api.Outcome.SERVED))
+        engine.attempt_ended(handle, AttemptResult(api.Outcome.SERVED))
     assert all(ask(n) is None for n in range(400, 420))  # in normal times nothing is held off
 
 
@@ -464,11 +464,13 @@
         control.gate.room = math.inf
         refs = iter(range(1, 10_000))
         for n in range(8):
-            engine.ask(front, next(refs), Ask(f"{n:016x}", "clip", f"o{n}", 60 * MS, client="c"))
+            engine.submit(front, next(refs), ClientRequest(f"{n:016x}", "clip", f"o{n}", 60 * MS, client="c"))
         clock.at += 100 * MS
         engine.deadlines.sweep(clock.at)  # none was served
         before = dict(control.counts.held)
         for n in range(8):
-            engine.ask(front, next(refs), Ask(f"{n:016x}", "clip", f"o{n}", 3 * SECOND, client="c", repeat=mark))
+            engine.submit(
+                front, next(refs), ClientRequest(f"{n:016x}", "clip", f"o{n}", 3 * SECOND, client="c", repeat=mark)
+            )
         held = sum(control.counts.held.values()) - sum(before.values())
         assert held >= 2 and list(control.counts.held) == ["retry budget of the client"]
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -10,7 +10,7 @@
 from threadhill.core.clock import Clock
 from threadhill.core.deadlines import Deadlines
 from threadhill.core.engine import Engine
-from threadhill.core.ports import Answer, Ask, Final
+from threadhill.core.ports import Answer, ClientRequest, FinalStatus
 from threadhill.decision import interface as api
 from threadhill.log import BURST, Log
 from threadhill.net.journal import Journal
@@ -51,10 +51,10 @@
     def send(self, attempt: int, order: object) -> None:
         pass
 
-    def drop(self, attempt: int) -> bool:
+    def cancel(self, attempt: int) -> bool:
         return True
 
-    def listed(self, entries: list[api.Entry]) -> None:
+    def list_changed(self, entries: list[api.Entry]) -> None:
         pass
 
 
@@ -64,7 +64,7 @@
 
     made = Engine(SETTINGS, 1, Clock(), Deadlines(lambda when: None, fault), Stats(), lambda text: None)
     made.start(Quiet())
-    made.listed(api.ListNews(api.ListKind.FULL, tuple(cache(number) for number in CACHES)))
+    made.list_changed(api.ListNews(api.ListKind.FULL, tuple(cache(number) for number in CACHES)))
     return made
 
 
@@ -72,16 +72,16 @@
     made, front = engine(), Front()
     good = made.router.handle
     monkeypatch.setattr(made.router, "handle", lambda now, event: 1 // 0 if "bad" in str(event) else good(now, event))
-    made.ask(front, 1, Ask("1", "reads", "bad", 1_000_000))
-    made.ask(front, 2, Ask("2", "reads", "good", 1_000_000))
-    assert [answer.final for answer in front.answers] == [Final.FAILED]
+    made.submit(front, 1, ClientRequest("1", "reads", "bad", 1_000_000))
+    made.submit(front, 2, ClientRequest("2", "reads", "good", 1_000_000))
+    assert [answer.status for answer in front.answers] == [FinalStatus.FAILED]
     assert len(made.requests) == 1 and len(made.router.jobs) == 1
 
 
 def test_a_request_that_is_over_leaves_no_timer_behind() -> None:
     made, front = engine(), Front()
     for i in range(100):
-        made.gone(made.ask(front, i, Ask(str(i), "reads", "thing", 5_000_000)))
+        made.client_gone(made.submit(front, i, ClientRequest(str(i), "reads", "thing", 5_000_000)))
     assert len(made.deadlines) == 0 and not made.router.jobs and not made.router.filling
 
 
@@ -103,7 +103,7 @@
     def known(self, number: int, name: str, host: str, port: int) -> None:
         pass
 
-    def listed(self, entries: list[api.Entry]) -> None:
+    def list_changed(self, entries: list[api.Entry]) -> None:
         pass
 
 
@@ -131,7 +131,7 @@
     made, at_once = (Engine(many, 1, Clock(), Deadlines(lambda when: None, print), Stats(), print) for _ in range(2))
     journal = Journal(made, Pools(), print)
     journal.catch_up(1, [read_event({"pos": 1, "hosts": {"complete": True, "members": members}})])
-    at_once.listed(
+    at_once.list_changed(
         api.ListNews(
             api.ListKind.FULL,
             tuple(read_event({"pos": 1, "hosts": {"members": [member]}}).members[0].entry for member in members),
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -13,7 +13,7 @@
 from tests.world import SETTINGS, World, until
 from threadhill.core.clock import Clock
 from threadhill.core.deadlines import Deadlines
-from threadhill.core.ports import Ask, Ended, Order
+from threadhill.core.ports import AttemptResult, AttemptSpec, ClientRequest
 from threadhill.decision import interface as api
 from threadhill.net.upstream import CacheServers, Limits
 from threadhill.stats import Stats
@@ -86,24 +86,26 @@
 
 def test_a_purge_gives_back_what_waits_for_a_connection() -> None:
     """Guards against an attempt that was decided on before the purge and is written long after it: it names no age."""
-    ends: list[tuple[int, Ended]] = []
+    ends: list[tuple[int, AttemptResult]] = []
     clock = Clock()
     engine = SimpleNamespace(
-        gate=None,
+        recovery_gate=None,
         clock=clock,
         stats=Stats(),
         deadlines=Deadlines(lambda when: None, lambda error: None),
-        ended=lambda attempt, end: ends.append((attempt, end)),
+        attempt_ended=lambda attempt, end: ends.append((attempt, end)),
     )
     caches = CacheServers(engine, Limits(), lambda text: None)
     caches.dial = lambda pool: setattr(pool, "dialling", pool.dialling + 1)  # it never comes up
     caches.known(1, "s-1", "127.0.0.1", 1)
     for attempt, (object, group) in enumerate([("aa", 1), ("bb", 1), ("cc", 2), ("dd", 3)]):
-        ask = Ask(cls="art-pages", rid=f"{attempt:016x}", object=object, group=group, left=1_000_000)
-        caches.send(attempt, Order(ask, 1, 1, 1_000_000, 0, api.FillMode.PLAIN, 1))
-    caches.purged("aa", None)
-    caches.purged(None, 2)
-    assert ends == [(0, Ended(api.Outcome.UNSENT)), (2, Ended(api.Outcome.UNSENT))]
+        ask = ClientRequest(
+            class_name="art-pages", request_id=f"{attempt:016x}", object=object, group=group, time_left=1_000_000
+        )
+        caches.send(attempt, AttemptSpec(ask, 1, 1, 1_000_000, 0, api.FillMode.PLAIN, 1))
+    caches.purge_received("aa", None)
+    caches.purge_received(None, 2)
+    assert ends == [(0, AttemptResult(api.Outcome.UNSENT)), (2, AttemptResult(api.Outcome.UNSENT))]
 
 
 def test_what_must_not_run_twice_keeps_off_connections_that_are_cut_when_idle(tmp_path: Path) -> None:
--- a/tests/test_upstream_endings.py
+++ b/tests/test_upstream_endings.py
@@ -16,7 +16,7 @@
 from tests.test_proxy import play
 from tests.upstream_stub import Below, Transport
 from tests.world import OBJECT, SETTINGS, Box, World, until
-from threadhill.core.ports import Ended
+from threadhill.core.ports import AttemptResult
 from threadhill.decision import interface as api
 from threadhill.net.upstream import UpstreamConnection
 
@@ -55,8 +55,8 @@
 def test_a_repeat_whose_window_ends_in_the_turn_in_which_its_dial_comes_up_is_not_written() -> None:
     """The turn has both, and the loop may come to the connection first: forced at the pool, as no socket shows it."""
     below = Below()
-    below.send(1, until=below.now + 100)
-    below.send(2, until=below.now + 900)
+    below.send(1, start_by=below.now + 100)
+    below.send(2, start_by=below.now + 900)
     below.now += 100
     _, there = below.up()
     assert b"%016x" % 2 in there.taken and b"%016x" % 1 not in there.taken
@@ -106,11 +106,11 @@
     wire, there = below.up()
     there.held = 17
     wire.pause_writing()
-    assert below.caches.drop(1) is False
+    assert below.caches.cancel(1) is False
     there.held = 0
     wire.resume_writing()
     below.send(2)
-    assert below.caches.drop(2) is True
+    assert below.caches.cancel(2) is True
 
 
 def test_a_request_that_meets_a_reset_connection_goes_on_the_next_one() -> None:
@@ -120,7 +120,7 @@
     wire, there = below.up()
     give(wire, b"%016x ok ver=a,born=1 0\r\n\r\n" % 1)
     there.reset = True
-    below.send(2, once=True)
+    below.send(2, at_most_once=True)
     assert below.outcomes == [(1, "served")] and below.pool.dialling == 1
     wire.connection_lost(ConnectionResetError())
     assert b"%016x" % 2 in below.up()[1].taken and len(below.ends) == 1
@@ -182,7 +182,7 @@
     below.send(1, source=2)
     below.send(2)
     state = api.State.DRAINING if phase == "DRAINING" else api.State.GONE
-    below.caches.listed([api.Entry(2, state)])
+    below.caches.list_changed([api.Entry(2, state)])
     assert below.outcomes == [(1, "unsent")]
     assert b"%016x" % 1 not in (taken := below.up()[1].taken) and b"%016x" % 2 in taken
 
@@ -192,12 +192,12 @@
     below = Below()
     below.send(1)
 
-    def ended(attempt: int, end: Ended) -> None:
+    def ended(attempt: int, end: AttemptResult) -> None:
         below.ends.append((attempt, end))
         if attempt == 1:
             below.send(2)  # the module decides on the same server again
 
-    below.caches.engine.ended = ended
+    below.caches.engine.attempt_ended = ended
     below.caches.known(1, "s-1", "127.0.0.1", 7)
     assert below.outcomes == [(1, "unsent")]
     assert below.caches.servers[1].port == 7 and list(below.caches.servers[1].waiting) == [2]
--- a/tests/upstream_stub.py
+++ b/tests/upstream_stub.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from threadhill.core.deadlines import Deadlines
-from threadhill.core.ports import Ask, Ended, Order
+from threadhill.core.ports import AttemptResult, AttemptSpec, ClientRequest
 from threadhill.core.trace import Trace
 from threadhill.net.upstream import CacheServers, Limits, Pool, UpstreamConnection
 from threadhill.stats import Stats
@@ -51,14 +51,14 @@
 
     def __init__(self) -> None:
         self.now = 1_000_000
-        self.ends: list[tuple[int, Ended]] = []
+        self.ends: list[tuple[int, AttemptResult]] = []
         engine = SimpleNamespace(
-            gate=None,
+            recovery_gate=None,
             clock=SimpleNamespace(now=lambda: self.now),
             stats=Stats(),
             trace=Trace(),
             deadlines=Deadlines(lambda when: None, lambda error: None),
-            ended=lambda attempt, end: self.ends.append((attempt, end)),
+            attempt_ended=lambda attempt, end: self.ends.append((attempt, end)),
         )
         self.deadlines = engine.deadlines
         self.caches = CacheServers(engine, Limits(), lambda text: None)
@@ -71,8 +71,10 @@
         self.caches.held += 1
 
     def send(self, attempt: int, source: int = 1, body: bytes = b"", **more: int) -> None:
-        ask = Ask(cls="license-buy", rid=f"{attempt:016x}", object=f"o{attempt}", left=1_000_000, body=body)
-        self.caches.send(attempt, Order(ask, 1, source, 1_000_000, **more))
+        ask = ClientRequest(
+            class_name="license-buy", request_id=f"{attempt:016x}", object=f"o{attempt}", time_left=1_000_000, body=body
+        )
+        self.caches.send(attempt, AttemptSpec(ask, 1, source, 1_000_000, **more))
 
     def up(self, transport: Transport | None = None) -> tuple[UpstreamConnection, Transport]:
         """A dial comes up: the connection, and its other end."""
--- a/threadhill/dns/front.py
+++ b/threadhill/dns/front.py
@@ -13,7 +13,7 @@
 
 from threadhill.core.clock import unix_seconds
 from threadhill.core.engine import Engine
-from threadhill.core.ports import Answer, Ask, Final
+from threadhill.core.ports import Answer, ClientRequest, FinalStatus
 from threadhill.core.slots import Slots
 from threadhill.dns import message as dns
 from threadhill.dns import records, transfer, tsig
@@ -128,7 +128,9 @@
         self.limits = Limits(config.responses_per_s, config.slip, config.resolver_qps, config.unproven_qps)
         self._trusted = lru_cache(4_096)(self._is_trusted)
         self._networks = [ipaddress.ip_network(network, strict=False) for network in config.trusted]
-        engine.watchers.append(lambda server, brought: self.charging.reported(server, brought, engine.clock.now()))
+        engine.load_listeners.append(
+            lambda server, brought: self.charging.reported(server, brought, engine.clock.now())
+        )
 
     # --- queries
 
@@ -222,7 +224,7 @@
         """The resolver went away."""
         pending = self.pending.free(ref)
         if pending is not None and pending.engine is not None:
-            pending.engine.gone(pending.handle)
+            pending.engine.client_gone(pending.handle)
 
     def _steers(self, query: Query, at: Place) -> bool:
         """Whether the answer names a server; where it can't, none may be charged for it."""
@@ -270,10 +272,10 @@
         weight = self.charging.weight(pending.resolver, at.cls, now, f"{at.object}/{at.part}")
         ref = self.pending.add(pending)
         # Without an id of its own: no server's line sees it.
-        handle = engine.ask(
+        handle = engine.submit(
             self,
             ref,
-            Ask(
+            ClientRequest(
                 "",
                 at.cls,
                 at.object,
@@ -295,14 +297,14 @@
         pending = self.pending.free(ref)
         if pending is None:
             return
-        where = self.where(answer.server) if answer.final is Final.SERVED else None
+        where = self.where(answer.server) if answer.status is FinalStatus.SERVED else None
         if where is not None:
             self.charging.answered(
-                pending.resolver, pending.place.cls, answer.server, self.engine.clock.now(), answer.hold
+                pending.resolver, pending.place.cls, answer.server, self.engine.clock.now(), answer.expected_time
             )
             response = self._named(pending, answer.server, where)
-        elif answer.final is Final.REFUSED:
-            wait = f"; come back in {-(-answer.come_back // 1_000)} ms" if answer.come_back else ""
+        elif answer.status is FinalStatus.REFUSED:
+            wait = f"; come back in {-(-answer.retry_after // 1_000)} ms" if answer.retry_after else ""
             text = "turned away" + wait
             response = Response(Code.SERVFAIL, error=(Extended.PROHIBITED, text))
         else:
--- a/threadhill/knowledge/proxy.py
+++ b/threadhill/knowledge/proxy.py
@@ -33,4 +33,4 @@
             return
         self.engine.stats.count("hint", "left" if hints is None else "taken")
         if hints is not None:
-            self.engine.hinted(hints)
+            self.engine.hints_received(hints)
--- a/threadhill/net/event_applier.py
+++ b/threadhill/net/event_applier.py
@@ -108,7 +108,7 @@
             )
         waited = self.caches.held_up()  # it may have come at any moment of a hold-up, before what was written in it
         purge = api.Purge(event.object, event.group, age, event.stamp if usable else 0, waited)
-        self.engine.purged(purge, event.pos, self._teller)
+        self.engine.purge_received(purge, event.pos, self._teller)
         return age
 
     def _started(self, entry: api.Entry) -> api.Entry:
@@ -217,6 +217,6 @@
         entries = [self._started(member.entry) for member in told] + gone
         kind = api.ListKind.FULL if whole_list else api.ListKind.CHANGES
         news = tuple(entries) if self.recovery is None else self.recovery.screen(tuple(entries))
-        self.engine.listed(api.ListNews(kind, news, revision))
+        self.engine.list_changed(api.ListNews(kind, news, revision))
         if self.recovery is not None:
             self.recovery.listed()
--- a/threadhill/net/journal.py
+++ b/threadhill/net/journal.py
@@ -205,7 +205,7 @@
         elif was and not missing:
             self.log("journal: up to date again: no purge is missing")
             self.engine.stats.count("journal", "up to date again")
-        self.engine.unsure(missing.age, now - missing.before if missing.before else 0)
+        self.engine.purges_uncertain(missing.age, now - missing.before if missing.before else 0)
 
     def _heartbeat(self, number: int) -> None:
         """The service's last number. It announces events, and stands for none of them."""
@@ -248,7 +248,7 @@
         """The service does not have what lies between, though it was asked for it: any object may have been purged."""
         self.log(f"journal: events {self.pos + 1} to {pos - 1} are not to be had: copies from before now will not do")
         self.engine.stats.count("journal", "events missing", pos - 1 - self.pos)
-        self.engine.purged(api.Purge(None, None))
+        self.engine.purge_received(api.Purge(None, None))
 
     def _of_recovery(self, value: dict[str, Any]) -> bool:
         """Additions of ours, told to proxies that say their phase; whether this was one."""
--- a/threadhill/net/resp.py
+++ b/threadhill/net/resp.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from threadhill.core.engine import Engine
-from threadhill.core.ports import Answer, Ask, Final
+from threadhill.core.ports import Answer, ClientRequest, FinalStatus
 from threadhill.decision import interface as api
 from threadhill.net.arrival import waited_in_queue
 from threadhill.net.door import Door, Guest
@@ -36,7 +36,7 @@
 SIZE = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 # What goes on into cache servers' lines: a space, comma, `=` or line end there would break a line that others share.
 PLAIN = re.compile(r"[!-+\--<>-~]{1,128}")
-FINALS = {Final.SERVED: b"200", Final.REFUSED: b"503", Final.FAILED: b"500"}
+FINALS = {FinalStatus.SERVED: b"200", FinalStatus.REFUSED: b"503", FinalStatus.FAILED: b"500"}
 
 
 class Malformed(Exception):
@@ -73,7 +73,7 @@
 OPTIONAL = ("shard", "token", "mine", "acct")
 
 
-def read_ask(cls: api.RequestClass, raw: bytes, body: bytes) -> Ask:
+def read_ask(cls: api.RequestClass, raw: bytes, body: bytes) -> ClientRequest:
     """A request from its fields; ValueError where one cannot be used. Nothing is passed on unchecked."""
     fields = read_fields(raw)
     rid, obj = _field(fields, "rid", HEX), _field(fields, "obj", HEX)
@@ -88,7 +88,7 @@
         raise ValueError("a keyed class needs its token")
     if body and not cls.write:
         raise ValueError("only writes bring a body")
-    return Ask(
+    return ClientRequest(
         rid,
         cls.name,
         obj,
@@ -250,7 +250,7 @@
         handle, rid = self.open.pop(tag, (-1, ""))
         self.front.rids.discard(rid)
         if handle >= 0:
-            self.front.engine.gone(handle)
+            self.front.engine.client_gone(handle)
 
     def buffer_updated(self, count: int) -> None:
         """After a hold-up of the loop requests are taken in the next turn: what discovery told meanwhile comes first,
@@ -383,29 +383,29 @@
             if cls is not None:
                 self.front.engine.stats.count("front_failed", cls.name)
             self.front.log(f"request not usable: {error!r}")
-            self._say(tag, Answer(Final.FAILED))
+            self._say(tag, Answer(FinalStatus.FAILED))
             return False
-        if ask.rid in self.front.rids:
+        if ask.request_id in self.front.rids:
             # On a cache server's line the two could not be told apart, and neither could their answers.
-            if any(rid == ask.rid for _, rid in self.open.values()):
+            if any(rid == ask.request_id for _, rid in self.open.values()):
                 raise Malformed("the id is in use")
             self.front.engine.stats.count("malformed", "id in use")
-            self.front.engine.stats.count("front_failed", ask.cls)
-            self._say(tag, Answer(Final.FAILED))
+            self.front.engine.stats.count("front_failed", ask.class_name)
+            self._say(tag, Answer(FinalStatus.FAILED))
             return False
         now = self.front.engine.clock.now()
         if self._held_since:  # its time has run since it came
-            ask.left -= now - self._held_since
-        if len(self.open) >= OPEN or self.front.refusing or self.front.sends_away(now) or ask.left <= 0:
-            self.front.engine.stats.count("front_refused", ask.cls)
-            self._say(tag, Answer(Final.REFUSED, come_back=self.front.come_back))
+            ask.time_left -= now - self._held_since
+        if len(self.open) >= OPEN or self.front.refusing or self.front.sends_away(now) or ask.time_left <= 0:
+            self.front.engine.stats.count("front_refused", ask.class_name)
+            self._say(tag, Answer(FinalStatus.REFUSED, retry_after=self.front.come_back))
             return len(self.open) < OPEN  # only a client past its own bound is at fault
         ask.client = self.label
-        self.open[tag] = -1, ask.rid
-        self.front.rids.add(ask.rid)
-        handle = self.front.engine.ask(self, tag, ask)
+        self.open[tag] = -1, ask.request_id
+        self.front.rids.add(ask.request_id)
+        handle = self.front.engine.submit(self, tag, ask)
         if tag in self.open:  # else it was answered at once
-            self.open[tag] = handle, ask.rid
+            self.open[tag] = handle, ask.request_id
         return True
 
     def answer(self, ref: int, answer: Answer) -> None:
@@ -423,14 +423,14 @@
     def _say(self, ref: int, answer: Answer) -> None:
         """An answer, in one piece: one begun would hold up those of all other tags."""
         fields = b""
-        if answer.same:
+        if answer.not_modified:
             fields = b"still=1"
-        elif answer.come_back:
-            fields = b"backoff=%d" % (answer.come_back // 1_000)
+        elif answer.retry_after:
+            fields = b"backoff=%d" % (answer.retry_after // 1_000)
         head = b"*4\r\n$%d\r\n%d\r\n$3\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n" % (
             len(str(ref)),
             ref,
-            FINALS[answer.final],
+            FINALS[answer.status],
             len(fields),
             fields,
             len(answer.body),
--- a/threadhill/net/upstream.py
+++ b/threadhill/net/upstream.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from threadhill.core.engine import Engine
-from threadhill.core.ports import Ended, Order
+from threadhill.core.ports import AttemptResult, AttemptSpec
 from threadhill.core.trace import Step
 from threadhill.decision import interface as api
 from threadhill.decision.state import remember
@@ -61,7 +61,7 @@
     """An attempt that waits for a connection or is out on one."""
 
     server: int
-    order: Order
+    order: AttemptSpec
     connection: UpstreamConnection | None = None
     at: int = 0
     upto: int = 0  # bytes of the connection with which it ends
@@ -184,13 +184,13 @@
             if self._unasked > DONE:
                 self._broken("it answers what was not asked")
             return
-        if word == "current" and self.pool.caches.attempts[attempt].order.ask.seen != fields.get("ver", ""):
+        if word == "current" and self.pool.caches.attempts[attempt].order.request.client_tag != fields.get("ver", ""):
             self._broken("it calls current what was not named to it")  # the client would take its copy for good
             return
         del self.open[id]
         self._unasked = 0
         remember(self.done, id, None, DONE)
-        ended = Ended(
+        ended = AttemptResult(
             ENDS[word],
             body,
             fields.get("ver", ""),
@@ -230,15 +230,15 @@
                 self._put_off = True
                 asyncio.get_running_loop().call_soon(self._go_on)
             return
-        gate = self.caches.engine.gate
-        if gate is not None and self.waiting and not gate.sends(self.caches.engine.clock.now()):
+        gate = self.caches.engine.recovery_gate
+        if gate is not None and self.waiting and not gate.may_send(self.caches.engine.clock.now()):
             self._give_back()
             return
         while self.waiting:
             pending = self.caches.attempts.get(self.waiting[0])
             over = self.caches.overdue(pending) if pending is not None else None
             if over is not None:  # its timer's turn has not come yet
-                self.caches.ended(self.waiting.popleft(), Ended(over))
+                self.caches.ended(self.waiting.popleft(), AttemptResult(over))
                 continue
             connection = self._pick(pending.order) if pending is not None else None
             if pending is not None and connection is None:
@@ -255,15 +255,15 @@
         self._put_off = False
         self._drain()
 
-    def _good(self, order: Order) -> list[UpstreamConnection]:
+    def _good(self, order: AttemptSpec) -> list[UpstreamConnection]:
         """Connections that this attempt may use. What must not run twice keeps off those that may be cut as it is
         written, unless there is no dialling a new one either."""
         good = [connection for connection in self.connections if connection.usable]
-        if order.once and not self.missed and self.caches.held < self.caches.limits.descriptors:
+        if order.at_most_once and not self.missed and self.caches.held < self.caches.limits.descriptors:
             return [connection for connection in good if connection.fresh()]
         return good
 
-    def _may_dial(self, order: Order) -> bool:
+    def _may_dial(self, order: AttemptSpec) -> bool:
         """Whether one more connection may be opened for this request: within this server's share and what the machine
         has, and not while sharing those there are costs less. A server that cannot be reached at all otherwise gets
         its first one in any case."""
@@ -271,16 +271,18 @@
         some = len(good) + self.dialling
         if not some:
             return True
-        if self.dialling or any(not connection.slow and not connection.carries(order.ask.rid) for connection in good):
+        if self.dialling or any(
+            not connection.slow and not connection.carries(order.request.request_id) for connection in good
+        ):
             shared = sum(len(connection.open) for connection in good) + len(self.waiting)
             if shared * HOLDS_UP < some * self.caches.limits.handshake:
                 return False
         return some < self.caches.pool_most and self.caches.held < self.caches.limits.descriptors
 
-    def _pick(self, order: Order) -> UpstreamConnection | None:
+    def _pick(self, order: AttemptSpec) -> UpstreamConnection | None:
         """An idle connection, the last used first; where no more may be dialled, the one with the fewest out."""
         good = [connection for connection in self._good(order) if not connection.slow]
-        fit = [connection for connection in good if not connection.carries(order.ask.rid)]
+        fit = [connection for connection in good if not connection.carries(order.request.request_id)]
         idle = [connection for connection in fit if not connection.open]
         if idle:
             return max(idle, key=lambda connection: connection.idle_since)
@@ -305,7 +307,7 @@
         """Whether it is written: a connection that was reset meanwhile takes nothing, which is no fault of the
         server and no proof that the attempt ran."""
         pending = self.caches.attempts[attempt]
-        body = pending.order.ask.body
+        body = pending.order.request.body
         if not connection.takes():  # the server reads nothing: what is written now would begin when its time is over
             connection.suspect = True
             return False
@@ -316,8 +318,8 @@
             return False
         pending.connection, pending.at, pending.upto = connection, self.caches.engine.clock.now(), connection.written
         self.caches.engine.deadlines.drop(pending.due)
-        connection.open[pending.order.ask.rid] = attempt
-        self.caches.engine.stats.count("relayed", pending.order.ask.cls)
+        connection.open[pending.order.request.request_id] = attempt
+        self.caches.engine.stats.count("relayed", pending.order.request.class_name)
         self.caches.engine.stats.count("bytes_out", "servers", len(body))
         return True
 
@@ -348,14 +350,14 @@
         for attempt in attempts:  # what the server cannot have whole did not run
             pending = self.caches.attempts.get(attempt)
             ran = pending is None or connection.whole(pending.upto)
-            self.caches.ended(attempt, Ended(api.Outcome.BROKEN if ran else api.Outcome.UNREACHED))
+            self.caches.ended(attempt, AttemptResult(api.Outcome.BROKEN if ran else api.Outcome.UNREACHED))
         self._drain()
 
     def short(self) -> None:
         """A dial failed for a shortage of this machine: that says nothing of the server. What waits is given back."""
         self.dialling -= 1
         while len(self.waiting) > self.dialling:
-            self.caches.ended(self.waiting.popleft(), Ended(api.Outcome.SHORTAGE))
+            self.caches.ended(self.waiting.popleft(), AttemptResult(api.Outcome.SHORTAGE))
         self._drain()
 
     def dialled(self, up: bool) -> None:
@@ -365,7 +367,7 @@
         self.down = not up and not any(connection.usable for connection in self.connections)
         no_way = not up and not any(connection.usable for connection in self.connections)
         while no_way and len(self.waiting) > self.dialling:
-            self.caches.ended(self.waiting.popleft(), Ended(api.Outcome.UNREACHED))
+            self.caches.ended(self.waiting.popleft(), AttemptResult(api.Outcome.UNREACHED))
         self._drain()
 
     def retire(self) -> None:
@@ -376,7 +378,7 @@
 
     def _give_back(self) -> None:
         while self.waiting:
-            self.caches.ended(self.waiting.popleft(), Ended(api.Outcome.UNSENT))
+            self.caches.ended(self.waiting.popleft(), AttemptResult(api.Outcome.UNSENT))
 
     def close_idle(self, before: int) -> None:
         for connection in [w for w in self.connections if not w.open and w.idle_since < before]:
@@ -384,7 +386,7 @@
 
 
 class CacheServers:
-    """The core's `Caches` port on sockets."""
+    """The core's `CacheTransport` port on sockets."""
 
     def __init__(self, engine: Engine, limits: Limits, log: Callable[[str], None]) -> None:
         self.engine, self.log = engine, log
@@ -434,23 +436,25 @@
 
     # --- the port
 
-    def send(self, attempt: int, order: Order) -> None:
+    def send(self, attempt: int, order: AttemptSpec) -> None:
         server = self.servers.get(order.server)
         source = self.servers.get(order.source)
         if server is None or source is None or not server.ready:
-            self.engine.ended(attempt, Ended(api.Outcome.UNSENT))
+            self.engine.attempt_ended(attempt, AttemptResult(api.Outcome.UNSENT))
             return
         pending = self.attempts[attempt] = PendingAttempt(order.server, order)
         server.send(attempt)
-        if order.until and pending.connection is None and attempt in self.attempts:
-            pending.due = self.engine.deadlines.add(order.until, lambda: self.ended(attempt, Ended(api.Outcome.UNSENT)))
+        if order.start_by and pending.connection is None and attempt in self.attempts:
+            pending.due = self.engine.deadlines.add(
+                order.start_by, lambda: self.ended(attempt, AttemptResult(api.Outcome.UNSENT))
+            )
 
     def overdue(self, pending: PendingAttempt) -> api.Outcome | None:
         """How one that still waits ends, if it must not begin any more; None: it may."""
         now, order = self.engine.clock.now(), pending.order
-        if 0 < order.until <= now:
+        if 0 < order.start_by <= now:
             return api.Outcome.UNSENT
-        return api.Outcome.UNREACHED if 0 < order.due <= now else None
+        return api.Outcome.UNREACHED if 0 < order.deadline <= now else None
 
     def _leave(self, attempt: int) -> PendingAttempt | None:
         """The one way out of the table: what it held is given back once."""
@@ -459,11 +463,11 @@
             self.engine.deadlines.drop(pending.due)
         return pending
 
-    def drop(self, attempt: int) -> bool:
+    def cancel(self, attempt: int) -> bool:
         pending = self._leave(attempt)
         if pending is None or pending.connection is None:
             return False
-        connection, id = pending.connection, pending.order.ask.rid
+        connection, id = pending.connection, pending.order.request.request_id
         ran = connection.whole(pending.upto)
         if connection.open.pop(id, None) is None or connection.transport is None:
             return ran
@@ -484,7 +488,7 @@
         connection.pool.done(connection)
         return ran
 
-    def listed(self, entries: list[api.Entry]) -> None:
+    def list_changed(self, entries: list[api.Entry]) -> None:
         self._families = None
         for entry in entries:
             pool = self.servers.get(entry.server)
@@ -497,17 +501,17 @@
             pool.retire()
             for attempt, pending in list(self.attempts.items()):
                 if pending.connection is None and pending.order.source == entry.server:
-                    self.ended(attempt, Ended(api.Outcome.UNSENT))
+                    self.ended(attempt, AttemptResult(api.Outcome.UNSENT))
             if entry.state is api.State.GONE:
                 del self.servers[entry.server]
 
-    def purged(self, object: str | None, group: int | None) -> None:
+    def purge_received(self, object: str | None, group: int | None) -> None:
         """What still waits for a connection was decided on before the purge, and says nothing of its age."""
         for attempt, pending in list(self.attempts.items()):
-            ask = pending.order.ask
+            ask = pending.order.request
             touched = object == ask.object if object is not None else group is None or ask.group == group
             if pending.connection is None and touched:
-                self.ended(attempt, Ended(api.Outcome.UNSENT))
+                self.ended(attempt, AttemptResult(api.Outcome.UNSENT))
 
     # --- what the list tells of addresses
 
@@ -539,9 +543,9 @@
 
     # --- what the pools call
 
-    def ended(self, attempt: int, end: Ended) -> None:
+    def ended(self, attempt: int, end: AttemptResult) -> None:
         if self._leave(attempt) is not None:
-            self.engine.ended(attempt, end)
+            self.engine.attempt_ended(attempt, end)
 
     def dial(self, pool: Pool) -> None:
         pool.dialling += 1
--- a/threadhill/net/upstream_codec.py
+++ b/threadhill/net/upstream_codec.py
@@ -8,7 +8,7 @@
 import re
 from dataclasses import dataclass
 
-from threadhill.core.ports import Order
+from threadhill.core.ports import AttemptSpec
 from threadhill.core.stamps import EARLIEST, LATEST
 from threadhill.decision import interface as api
 
@@ -101,28 +101,28 @@
     return AnswerLine(id, word, fields, int(size))
 
 
-def write_request(order: Order, source: str | None, now: int) -> bytes:
+def write_request(order: AttemptSpec, source: str | None, now: int) -> bytes:
     """The line of an attempt that is written at this local time; `source` is the id of where a miss is filled from.
     What it waited for meanwhile is off the time that the server is told it has."""
-    ask = order.ask
-    fields = [f"profile={ask.cls}", f"thing={ask.object}", f"nth={ask.part}"]
-    if order.limit:
-        left = min(order.limit, order.due - now) if order.due else order.limit
+    ask = order.request
+    fields = [f"profile={ask.class_name}", f"thing={ask.object}", f"nth={ask.part}"]
+    if order.timeout:
+        left = min(order.timeout, order.deadline - now) if order.deadline else order.timeout
         fields.append(f"max={max(1, -(-left // 1_000))}")
-    if ask.token is not None:
-        fields.append(f"replay={ask.token}")
+    if ask.idempotency_key is not None:
+        fields.append(f"replay={ask.idempotency_key}")
     if source is not None:
         fields.append(f"from={source}")
-    if order.keep:
-        fields.append(f"rank={order.keep}")
-    if order.age:
-        fields.append(f"oldest={max(1, order.age // 1_000)}")
+    if order.keep_rank:
+        fields.append(f"rank={order.keep_rank}")
+    if order.max_age:
+        fields.append(f"oldest={max(1, order.max_age // 1_000)}")
     words = [word for bit, word in MODES if bit & order.mode]
     if words:
         fields.append("mode=" + "+".join(words))
-    if ask.seen:
-        fields.append(f"seen={ask.seen}")
-    return f"do {ask.rid} {','.join(fields)} {len(ask.body)}\r\n".encode()
+    if ask.client_tag:
+        fields.append(f"seen={ask.client_tag}")
+    return f"do {ask.request_id} {','.join(fields)} {len(ask.body)}\r\n".encode()
 
 
 def write_cancel(id: str) -> bytes:
--- a/threadhill/overload/control.py
+++ b/threadhill/overload/control.py
@@ -1,5 +1,5 @@
-"""The core's `Guard`: hears of each request and how it ends, holds off under strain what there is no room for, and
-plans when those who are refused, here or by the module, are to come back.
+"""The core's `OverloadControl`: hears of each request and how it ends, holds off under strain what there is no room
+for, and plans when those who are refused, here or by the module, are to come back.
 
 In normal times it only counts: every request reaches the module, and what the module refuses is told the module's own
 time. What the module decides stays its own; this decides how much reaches it, whose goes first, and when to return.
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from threadhill.core.ports import Ask, Final
+from threadhill.core.ports import ClientRequest, FinalStatus
 from threadhill.decision import interface as api
 from threadhill.overload.admission import Gate, Rank
 from threadhill.overload.budgets import Budgets
@@ -50,7 +50,7 @@
     """A request that went to the module."""
 
     at: int
-    ask: Ask
+    ask: ClientRequest
     front: str
     work: float
     aim: int
@@ -123,9 +123,9 @@
 
     # --- what the core calls
 
-    def arrives(self, handle: int, ask: Ask, front: str, now: int) -> int | None:
+    def admit(self, handle: int, ask: ClientRequest, front: str, now: int) -> int | None:
         """None: to the module with it. Else it is refused at once, to come back after so many microseconds."""
-        cls = self.classes.get(ask.cls)
+        cls = self.classes.get(ask.class_name)
         key = self._key(ask)
         retry = self._retry(ask, key, now)
         own = self._own(ask, key)
@@ -149,7 +149,7 @@
             aim = (
                 int(cls.latency_target + cls.latency_target_stretch * work * SECOND)
                 if cls is not None and cls.latency_target
-                else ask.left
+                else ask.time_left
             )
             self.open[handle] = Open(now, ask, front, work, aim, watches)
             self.capacity.reached(work)
@@ -162,7 +162,7 @@
             self.counts.refused_again += 1
         return self._refuse(ask, own, front, why, back is Return.EARLY, retry is not None, now)
 
-    def refused(self, handle: int, come_back: int, now: int) -> int:
+    def request_refused(self, handle: int, come_back: int, now: int) -> int:
         """The module refuses this request, with its own time to return: the time that is told."""
         one = self.open.get(handle)
         if one is None or not come_back or not self.config.comebacks or self._all.state is State.NORMAL:
@@ -170,26 +170,30 @@
         own = self._own(one.ask, self._key(one.ask))
         return self._refuse(one.ask, own, one.front, "the module had no room", False, False, now)
 
-    def ended(self, handle: int, final: Final, now: int) -> None:
+    def request_finished(self, handle: int, final: FinalStatus, now: int) -> None:
         """The one final answer of a request that went to the module; `gone` where its client left before."""
         one = self.open.pop(handle, None)
         if one is None:
             return
         ask = one.ask
-        late = final is Final.SERVED and now - one.at > one.aim
-        event = {Final.SERVED: Event.SERVED, Final.REFUSED: Event.REFUSED, Final.FAILED: Event.FAILED}[final]
+        late = final is FinalStatus.SERVED and now - one.at > one.aim
+        event = {
+            FinalStatus.SERVED: Event.SERVED,
+            FinalStatus.REFUSED: Event.REFUSED,
+            FinalStatus.FAILED: Event.FAILED,
+        }[final]
         for watch in one.watches:
             watch.counts[event] += 1
             if late:
                 watch.counts[Event.LATE] += 1
-        self.capacity.ended(one.work, final is Final.SERVED and not late)
-        if final is Final.SERVED:
-            if ask.part or self._in_parts(ask.cls):
+        self.capacity.ended(one.work, final is FinalStatus.SERVED and not late)
+        if final is FinalStatus.SERVED:
+            if ask.part or self._in_parts(ask.class_name):
                 self.gate.claims.note(ask.client or one.front, ask.object, ask.part, now)
-        elif ask.token is None:
+        elif ask.idempotency_key is None:
             self.unserved.add(self._key(ask), now)
 
-    def left(self, handle: int, now: int) -> None:
+    def client_gone(self, handle: int, now: int) -> None:
         """The client of a request stopped waiting: it will come again, or not."""
         one = self.open.pop(handle, None)
         if one is not None:
@@ -214,36 +218,36 @@
 
     # --- how it comes to that
 
-    def _key(self, ask: Ask) -> str:
+    def _key(self, ask: ClientRequest) -> str:
         """What a request that comes again has in common with the first one, from whatever connection."""
-        return ask.token or f"{ask.cls} {ask.object} {ask.part} {ask.tenant or ''}"
+        return ask.idempotency_key or f"{ask.class_name} {ask.object} {ask.part} {ask.tenant or ''}"
 
     @staticmethod
-    def _own(ask: Ask, key: str) -> str:
+    def _own(ask: ClientRequest, key: str) -> str:
         """A promise is one client's: by the object alone anybody who asks for a popular one would use it up."""
-        return ask.token or f"{ask.client} {key}"
+        return ask.idempotency_key or f"{ask.client} {key}"
 
     def _in_parts(self, cls: str) -> bool:
         found = self.classes.get(cls)
         return found is not None and found.in_parts
 
-    def _work(self, ask: Ask) -> float:
+    def _work(self, ask: ClientRequest) -> float:
         """Seconds of sending."""
         return (ask.size / self.flow if ask.size and self.flow else USUAL / SECOND) * ask.weight
 
-    def _watches(self, ask: Ask, front: str) -> list[Watch]:
+    def _watches(self, ask: ClientRequest, front: str) -> list[Watch]:
         watch = self.detector.watch
-        watches = [self._all, watch("class", ask.cls), watch("front", front)]
+        watches = [self._all, watch("class", ask.class_name), watch("front", front)]
         if ask.tenant:
             watches.append(watch("tenant", ask.tenant))
         return watches
 
-    def _retry(self, ask: Ask, key: str, now: int) -> Event | None:
+    def _retry(self, ask: ClientRequest, key: str, now: int) -> Event | None:
         """Whether this is a retry, and what says so."""
-        guessed = ask.token is None and self.unserved.take(key, now)
-        if ask.token is not None:
-            last = self.tokens.pop(ask.token, None)
-            self.tokens[ask.token] = now
+        guessed = ask.idempotency_key is None and self.unserved.take(key, now)
+        if ask.idempotency_key is not None:
+            last = self.tokens.pop(ask.idempotency_key, None)
+            self.tokens[ask.idempotency_key] = now
             if len(self.tokens) > TOKENS:
                 self.tokens.popitem(last=False)
             if last is not None and now - last <= TOKEN_LIFE:
@@ -254,7 +258,7 @@
 
     def _held_off(
         self,
-        ask: Ask,
+        ask: ClientRequest,
         cls: api.RequestClass | None,
         retry: bool,
         back: Return,
@@ -264,7 +268,7 @@
         now: int,
     ) -> str:
         """Why this one must wait; "" where it need not."""
-        keyed = ask.token is not None or cls is not None and cls.retry_safety is not api.RetrySafety.SAFE
+        keyed = ask.idempotency_key is not None or cls is not None and cls.retry_safety is not api.RetrySafety.SAFE
         promised = back is Return.KEPT
         if retry and not keyed and not promised and self.config.retry_budgets:
             empty = self.budgets.retry(client, tenant, now)
@@ -285,7 +289,7 @@
         if self.gate.lets_in(tenant, level, work):
             # The module is told too: the last part of each server's room is for those that go first, and for tenants
             # that ask for no more than their share.
-            ask.share = 1.0 if rank <= Rank.LISTENER or self.gate.within(tenant) else SHARE
+            ask.inflight_share = 1.0 if rank <= Rank.LISTENER or self.gate.within(tenant) else SHARE
             return ""
         return f"no room for {rank.name.lower().replace('_', ' ')} asks"
 
@@ -296,17 +300,17 @@
             return max(LEAST_ROOM, self._all.figures.first)
         return max(LEAST_ROOM, RETURNS * self.capacity.room / OVER / max(self.capacity.each, 1e-4))
 
-    def _refuse(self, ask: Ask, key: str, front: str, why: str, early: bool, retry: bool, now: int) -> int:
+    def _refuse(self, ask: ClientRequest, key: str, front: str, why: str, early: bool, retry: bool, now: int) -> int:
         """When it is to come back: planned, and none later than the client waits at all."""
-        most = min(self.planner.horizon, max(20_000, ask.left - LEAVE))
+        most = min(self.planner.horizon, max(20_000, ask.time_left - LEAVE))
         if self.config.comebacks:
-            useful = min(most, ask.left - min(ask.left // 2, SERVICE))  # later it could not be served in time
+            useful = min(most, ask.time_left - min(ask.time_left // 2, SERVICE))  # later it could not be served in time
             wait = self.planner.book(key, now, useful, self.planner.put_back(useful) if early else 0, most)
             self.counts.planned += 1
         else:
             wait = most
-        self.told[ask.rid or f"dns-{len(self.told)}"] = Told(
-            now, ask.cls, ask.tenant or "", front, why, self._all.state.value, wait, retry
+        self.told[ask.request_id or f"dns-{len(self.told)}"] = Told(
+            now, ask.class_name, ask.tenant or "", front, why, self._all.state.value, wait, retry
         )
         while len(self.told) > TOLD:
             self.told.popitem(last=False)
--- a/threadhill/recovery/proxy.py
+++ b/threadhill/recovery/proxy.py
@@ -75,15 +75,15 @@
         self._until = 0  # until when all may be sent without another look: each request asks three times
         self._primed = self._left = False  # it took what others learned; it left the journal after it was stopped
         self._reports = self.random.randrange(LEARNED_EVERY)
-        engine.gate = self
-        engine.outcomes = self.ended
+        engine.recovery_gate = self
+        engine.on_attempt_outcome = self.ended
         engine.deadlines.add(engine.clock.now() + TURN, self._turn)
         if self.file is not None:
             engine.deadlines.add(engine.clock.now() + config.every, self._keep)
 
     # --- the engine's gate
 
-    def holds(self, now: int) -> int | None:
+    def retry_after(self, now: int) -> int | None:
         """None: requests go on. Else all are refused, to come back after so many microseconds."""
         if now < self._until:
             return None
@@ -93,7 +93,7 @@
         self.engine.stats.count("recovery", f"refused while {self.phases.phase.value}")
         return int(COME_BACK * (1 - self.random.random() / 2)) * self.engine.router.set.retry_after_allowed
 
-    def sends(self, now: int) -> bool:
+    def may_send(self, now: int) -> bool:
         """Whether an attempt may be written now, as the module has just decided on it."""
         if now < self._until:
             return True
@@ -105,7 +105,7 @@
         allows = self.phases.allows(now)
         if allows.oldest != self._oldest:
             self._oldest = allows.oldest
-            self.engine.unsure(allows.oldest)
+            self.engine.purges_uncertain(allows.oldest)
         free = allows.send and not allows.oldest and self.phases.phase is not Phase.CATCHING_UP
         self._until = now + 2 * TURN if free else 0
         return allows
@@ -180,7 +180,7 @@
         if verdict is Verdict.SAME:
             back = self.memory.reached(applied)
             if back:
-                self.engine.listed(api.ListNews(api.ListKind.CHANGES, back))
+                self.engine.list_changed(api.ListNews(api.ListKind.CHANGES, back))
                 self.listed()
             if self.memory.kept_out and self.phases.phase is Phase.CATCHING_UP:
                 self.log(
@@ -234,7 +234,9 @@
         if kept is None:
             return
         now, unix = self.engine.clock.now(), self.engine.clock.unix_now()
-        cordons = [name for name in kept.cordons if self.engine.cordon(self.journal.number(name), name, told=True)]
+        cordons = [
+            name for name in kept.cordons if self.engine.cordon(self.journal.number(name), name, allow_unlisted=True)
+        ]
         taken, older = saved.restore(kept, self.engine.router, self.memory, pos, now)
         self._primed = taken > 0
         self.fence.admits(kept.term)
@@ -248,7 +250,7 @@
                 and e.reported_start <= self.memory.out[e.server]
             ]
             if stale:
-                self.engine.listed(api.ListNews(api.ListKind.CHANGES, self.memory.screen(tuple(stale))))
+                self.engine.list_changed(api.ListNews(api.ListKind.CHANGES, self.memory.screen(tuple(stale))))
         late = f"; it knows number {kept.pos}, the configuration {pos}: nothing is sent before the journal is heard"
         self.log(
             f"state: {self.file.path}: {(unix - kept.at) / 1e6:.1f} s old: {taken} servers, {len(kept.purges)} "
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -184,7 +184,7 @@
             signs,
             links,
         )
-        engine.guard = control
+        engine.overload_control = control
 
         def turn() -> None:
             control.turn(self.clock.now())
@@ -208,7 +208,7 @@
             nodes[node].start(None)
             if self.operator.overload is not None:
                 self.node_guards[node] = self._control(self.operator.overload, nodes[node], node=node)
-            self.engine.follow(nodes[node])
+            self.engine.add_follower(nodes[node])
         signer = self._signer(config) if config.keys is not None else None
         front = DnsFront(
             self.engine,
@@ -334,9 +334,9 @@
                         at = saved.back.get(name)
                         self.engine.uncordon(number, None if at is None else self.clock.local(at))
                 for name in saved.out:
-                    self.engine.cordon(server_number(name), name, told=True)
+                    self.engine.cordon(server_number(name), name, allow_unlisted=True)
                 for name, at in saved.back.items():
-                    self.engine.put_back(server_number(name), name, self.clock.local(at))
+                    self.engine.uncordoned_elsewhere(server_number(name), name, self.clock.local(at))
         self.deadlines.add(self.clock.now() + CORDONS_LOOK, self._take_cordons)
 
     def _keep_cordons(self) -> None:
@@ -345,13 +345,15 @@
     # --- what the operators' address asks
 
     def healthy(self) -> bool:
-        blind = self.recovery is not None and not self.recovery.sends(self.clock.now())
+        blind = self.recovery is not None and not self.recovery.may_send(self.clock.now())
         return self.front.door.listening and not self._leaving and not blind
 
     def figures(self) -> dict[str, int]:
         from threadhill.core.figures import figures
 
-        return figures(self.stats, self.config.settings.classes, len(self.engine.requests), *self.engine.rotation())
+        return figures(
+            self.stats, self.config.settings.classes, len(self.engine.requests), *self.engine.rotation_counts()
+        )
 
     def cordon(self, name: str) -> bool:
         done = self.engine.cordon(server_number(name), name)
@@ -431,7 +433,7 @@
                 f"leaving: {len(self.engine.requests)} requests still open are failed, "
                 f"{len(door.guests)} client connections still open, {after}"
             )
-            self.engine.end_all()
+            self.engine.fail_all()
             self.front.let_go(now, all_of_them=True)
         elif since >= serve_on:
             if not self.front.refusing and self.config.listen_fd is None:
