--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -144,7 +144,7 @@
         (
             (
                 "core/engine.py",
-                '        request = self.requests.free(handle)\n        if request is None:\n            return\n        self.deadlines.drop(request.timer)\n        self.stats.count("client_gone"',
+                '        request = self.requests.free(handle)\n        if request is None:\n            return\n        self.deadlines.cancel(request.timer)\n        self.stats.count("client_gone"',
                 '        request = self.requests.get(handle)\n        if request is None:\n            return\n        self.stats.count("client_gone"',
             ),
         ),
--- a/tests/faults/test_stamps.py
+++ b/tests/faults/test_stamps.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from threadhill.core.stamps import EARLIEST, FAR_AHEAD, LATEST, StampAges
+from threadhill.core.stamps import EARLIEST, LATEST, MAX_AHEAD, StampAges
 
 TRUE_START = 1_764_576_000_000_000  # Unix microseconds at which local time is 0 here
 HOUR = 3_600_000_000
@@ -43,7 +43,7 @@
         clocks.local += wait
         clocks.off = off
         stamp = clocks.true - delay
-        ages.hear(stamp)
+        ages.observe(stamp)
         assert 0 <= ages.age(stamp) <= delay
         clocks.local += later
         assert ages.age(stamp) <= delay + later
@@ -59,7 +59,7 @@
     least = min(delay for _, delay in events)
     for wait, delay in events:
         clocks.local += wait
-        ages.hear(clocks.true - delay)
+        ages.observe(clocks.true - delay)
     assert ages.age(clocks.true - 10 * SECOND) >= 10 * SECOND - least
 
 
@@ -67,8 +67,8 @@
 def test_a_stamp_that_is_no_time_is_taken_for_one_of_now_and_proves_nothing(stamp: int) -> None:
     clocks = Clocks()
     ages = clocks.ages()
-    ages.hear(clocks.true)
-    ages.hear(stamp)
+    ages.observe(clocks.true)
+    ages.observe(stamp)
     clocks.local += SECOND
     assert ages.age(stamp) == 0 and ages.age(clocks.true - SECOND) == SECOND
 
@@ -76,8 +76,8 @@
 def test_a_stamp_from_the_far_future_does_not_make_others_older() -> None:
     clocks = Clocks()
     ages = clocks.ages()
-    ages.hear(clocks.true)
-    ages.hear(clocks.true + FAR_AHEAD + SECOND)
+    ages.observe(clocks.true)
+    ages.observe(clocks.true + MAX_AHEAD + SECOND)
     assert ages.age(clocks.true - SECOND) == SECOND
-    ages.hear(clocks.true + FAR_AHEAD - SECOND)  # it might be, for all that is known: the wall clock bounds it
+    ages.observe(clocks.true + MAX_AHEAD - SECOND)  # it might be, for all that is known: the wall clock bounds it
     assert ages.age(clocks.true - SECOND) == SECOND
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -288,7 +288,7 @@
     for _ in range(3):  # it reads a little in each bound
         now[0] += LINGER
         one.outbound.skip(500)
-        deadlines.sweep(now[0])
+        deadlines.run_due(now[0])
         assert "abort" not in transport.ends and "write_eof" not in transport.ends
     one.resume_writing()
     assert transport.ends.count("write_eof") == 1
@@ -296,7 +296,7 @@
     one.buffer_updated(3)  # it goes on sending: that is thrown away
     assert not len(one.inbound)
     now[0] += LINGER
-    deadlines.sweep(now[0])
+    deadlines.run_due(now[0])
     assert transport.ends[-1] == "abort" and len(deadlines) == 0
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -393,7 +393,7 @@
         elif step in ("serve", "miss", "late") and engine.attempts.live():
             if step == "late":  # past the wanted time, or past everything
                 clock.at += draw.choice([SECOND, 4 * SECOND])
-                engine.deadlines.sweep(clock.at)
+                engine.deadlines.run_due(clock.at)
             live = list(engine.attempts.live())
             if live:
                 end = api.Outcome.MISS if step == "miss" else api.Outcome.SERVED
@@ -466,7 +466,7 @@
         for n in range(8):
             engine.submit(front, next(refs), ClientRequest(f"{n:016x}", "clip", f"o{n}", 60 * MS, client="c"))
         clock.at += 100 * MS
-        engine.deadlines.sweep(clock.at)  # none was served
+        engine.deadlines.run_due(clock.at)  # none was served
         before = dict(control.counts.held)
         for n in range(8):
             engine.submit(
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -33,7 +33,7 @@
     deadlines.add(1, lambda: 1 // 0)
     deadlines.add(2, lambda: done.append(2))
     deadlines.add(9, lambda: done.append(9))
-    deadlines.sweep(5)
+    deadlines.run_due(5)
     assert done == [2] and len(faults) == 1 and armed[-1] == 9
 
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -9,7 +9,7 @@
 from tests.faults.test_purges import purge
 from tests.faults.world import PURGE_SLACK_MS, FaultWorld, hold, play, unix_ms
 from tests.world import OBJECT, until
-from threadhill.core.trace import KEPT, TOLD, Step, Trace
+from threadhill.core.trace import MAX_ENTRIES, MAX_REPORTED, Step, Trace
 
 
 def entries(log: str) -> list[dict[str, object]]:
@@ -48,7 +48,7 @@
 
 def test_the_trace_is_bounded() -> None:
     trace = Trace()
-    for n in range(3 * KEPT):
+    for n in range(3 * MAX_ENTRIES):
         trace.add(n, Step.ANSWER, f"r{n}", "served")
-    assert len(json.loads(trace.lately(3 * KEPT))) == TOLD
-    assert json.loads(trace.about("r1")) == [] and len(json.loads(trace.about(f"r{3 * KEPT - 1}"))) == 1
+    assert len(json.loads(trace.recent(3 * MAX_ENTRIES))) == MAX_REPORTED
+    assert json.loads(trace.matching("r1")) == [] and len(json.loads(trace.matching(f"r{3 * MAX_ENTRIES - 1}"))) == 1
--- a/tests/test_upstream_endings.py
+++ b/tests/test_upstream_endings.py
@@ -61,7 +61,7 @@
     _, there = below.up()
     assert b"%016x" % 2 in there.taken and b"%016x" % 1 not in there.taken
     assert below.outcomes == [(1, "unsent")]
-    below.deadlines.sweep(below.now + 1_000)  # nothing is ended twice, and nothing that was written is
+    below.deadlines.run_due(below.now + 1_000)  # nothing is ended twice, and nothing that was written is
     assert len(below.ends) == 1
 
 
--- a/threadhill/admin/api.py
+++ b/threadhill/admin/api.py
@@ -20,7 +20,7 @@
 
 from threadhill.admin.explain import Explain
 from threadhill.admin.http import Call, Problem
-from threadhill.core.tenants import Conflict, Tenant, Tenants
+from threadhill.core.tenants import Tenant, Tenants, VersionConflict
 from threadhill.documents import Invalid, difference, read_tenant, read_tenants, write_tenant
 from threadhill.stats import Stats
 
@@ -85,7 +85,7 @@
             return methods[call.method](call, *path[2:])
         except Invalid as error:
             raise Problem(422, "invalid", str(error), faults=error.faults) from None
-        except Conflict as error:
+        except VersionConflict as error:
             raise Problem(409, "conflict", str(error), version=self.tenants.version) from None
 
     def _permit(self, call: Call, path: list[str]) -> None:
--- a/threadhill/admin/cordon_file.py
+++ b/threadhill/admin/cordon_file.py
@@ -15,7 +15,7 @@
 
 import orjson
 
-from threadhill.files import Stamp, replace_whole, stamp
+from threadhill.files import FileVersion, file_version, replace_atomically
 
 NAME = "threadhill-cordons.json"
 MOST = 1 << 20  # bytes that the file may have: far more than any list of names
@@ -45,17 +45,17 @@
 
     def __init__(self, folder: Path, log: Callable[[str], None]) -> None:
         self.path, self.log = folder / NAME, log
-        self._seen: Stamp | None = None  # of the version last read or written
+        self._seen: FileVersion | None = None  # of the version last read or written
         self._unwritten: bytes | None = None  # what the folder did not take yet
         self._told = False  # its failure was logged
 
     def changed(self) -> bool:
         """Whether another process wrote it since it was last read or written here."""
-        return stamp(self.path) != self._seen
+        return file_version(self.path) != self._seen
 
     def read(self) -> Saved | None:
         """What it holds; None where there is none, or it cannot be read (then it is set aside and logged)."""
-        self._seen = stamp(self.path)
+        self._seen = file_version(self.path)
         if self._seen is None:
             return None
         try:
@@ -72,7 +72,7 @@
                 f"cordons: {self.path}: cannot be read: {error}; it is kept as {aside}, and no server is out by "
                 "hand: cordon again those that are to stay out"
             )
-            self._seen = stamp(self.path)
+            self._seen = file_version(self.path)
             return None
 
     def write(self, saved: dict[str, Any], monotonic: Callable[[int], int]) -> None:
@@ -93,7 +93,7 @@
         if self._unwritten is None:
             return
         try:
-            replace_whole(self.path, self._unwritten)
+            replace_atomically(self.path, self._unwritten)
         except OSError as error:
             if not self._told:
                 self.log(
@@ -105,4 +105,4 @@
         if self._told:
             self.log(f"cordons: {self.path}: written again")
         self._unwritten, self._told = None, False
-        self._seen = stamp(self.path)
+        self._seen = file_version(self.path)
--- a/threadhill/admin/management.py
+++ b/threadhill/admin/management.py
@@ -16,7 +16,7 @@
 from typing import Any, Protocol
 
 from threadhill.admin.http import Call, HttpConnection, Problem
-from threadhill.core.figures import as_text
+from threadhill.core.figures import format_metrics
 from threadhill.net.door import Door
 
 BODY = 4_096  # bytes of a call's body at most
@@ -84,7 +84,7 @@
         return 200, {"status": "serving"}
 
     def _stats(self, call: Call) -> tuple[int, Any]:
-        return 200, as_text(self.controls.figures())
+        return 200, format_metrics(self.controls.figures())
 
     def _cordon(self, call: Call) -> tuple[int, Any]:
         name = _name(call)
--- a/threadhill/config.py
+++ b/threadhill/config.py
@@ -12,20 +12,20 @@
 from threadhill.decision import interface as api
 from threadhill.net.journal_events import Event, read_event
 from threadhill.net.upstream import CONNECTION_BYTES, Limits
-from threadhill.settings import Malformed, address, mapping, number, read_settings, sequence, text, whole
+from threadhill.settings import Malformed, address, integer, mapping, number, read_settings, sequence, text
 
-PROGRAM = 26  # MB that the program takes by itself
-LEAST_SPARE = 6  # MB beside it that are counted on, whatever the limit
+PROGRAM_MB = 26  # MB that the program takes by itself
+MIN_SPARE_MB = 6  # MB beside it that are counted on, whatever the limit
 OUTBOUND_SHARE = 0.3  # part of what is left for answers that wait for clients
 INBOUND_SHARE = 0.4  # the same for answers that come from cache servers
-LEFT_FREE = 48  # descriptors for the journal, listeners, dials under way and the like
+RESERVED_DESCRIPTORS = 48  # descriptors for the journal, listeners, dials under way and the like
 
 
 class BadConfig(Exception):
     """The configuration cannot be used; the text says why."""
 
 
-class Unreadable(BadConfig):
+class UnreadableConfig(BadConfig):
     """The file cannot be read now, which may pass; the text says why."""
 
 
@@ -37,12 +37,12 @@
     listen: tuple[str, int]
     seed: int
     settings: api.Settings
-    known: tuple[int, list[Event]]  # the last event's number, and the events
+    known_events: tuple[int, list[Event]]  # the last event's number, and the events
     journal: tuple[str, int] | None
     limits: Limits
-    clients: int  # connections that clients may hold
-    outbound: int  # bytes that may wait for all of them together
-    line: int = 1 << 20  # bytes that one event of the journal may have
+    max_clients: int  # connections that clients may hold
+    max_outbound_bytes: int  # bytes that may wait for all of them together
+    max_event_bytes: int = 1 << 20  # bytes that one event of the journal may have
     report: str | None = None  # which configuration this is, where the journal service is to be told
     management: tuple[str, int] | None = None  # the operators' address, where the platform gives one
     journals: tuple[tuple[str, int], ...] = ()  # several that tell the same, in place of the one
@@ -55,8 +55,8 @@
     options = mapping(raw.get("settings"), "settings")
     site = mapping(options.get("limits"), "limits")
     machine = mapping(raw.get("limits"), "limits")
-    sockets = whole(machine.get("sockets"), "sockets") or 1_024
-    spare = max(LEAST_SPARE, (whole(machine.get("memory_mb"), "memory_mb") or 192) - PROGRAM) << 20
+    sockets = integer(machine.get("sockets"), "sockets") or 1_024
+    spare = max(MIN_SPARE_MB, (integer(machine.get("memory_mb"), "memory_mb") or 192) - PROGRAM_MB) << 20
     clients = sockets // 2  # usual clients hold a third at most, and caches need few: the rest is for a crowd
     known = mapping(raw.get("known"), "known")
     seed = raw.get("seed") or "0"
@@ -64,31 +64,33 @@
     return Config(
         name=environ.get("LB_NAME") or raw.get("name") or "threadhill",
         listen=address(environ.get("LB_LISTEN") or raw.get("listen"), "listen"),
-        seed=int(seed, 16) if isinstance(seed, str) else whole(seed, "seed"),
+        seed=int(seed, 16) if isinstance(seed, str) else integer(seed, "seed"),
         settings=read_settings(options),
-        known=(
-            whole(known.get("pos"), "known.pos"),
+        known_events=(
+            integer(known.get("pos"), "known.pos"),
             [read_event(event) for event in sequence(known.get("entries"), "known.entries")],
         ),
         journal=address(raw["journal"], "journal") if raw.get("journal") else None,
         limits=Limits(
-            descriptors=max(16, min(sockets - clients - LEFT_FREE, int(spare * INBOUND_SHARE) // CONNECTION_BYTES)),
-            streams=whole(site.get("max-streams"), "max-streams") or 32,
-            idle=whole(site.get("conn-idle"), "conn-idle") or 30_000_000,
-            connect_timeout=whole(site.get("connect-timeout"), "connect-timeout") or 400_000,
+            descriptors=max(
+                16, min(sockets - clients - RESERVED_DESCRIPTORS, int(spare * INBOUND_SHARE) // CONNECTION_BYTES)
+            ),
+            streams=integer(site.get("max-streams"), "max-streams") or 32,
+            idle=integer(site.get("conn-idle"), "conn-idle") or 30_000_000,
+            connect_timeout=integer(site.get("connect-timeout"), "connect-timeout") or 400_000,
             handshake=max(0.0, number(mapping(options.get("costs"), "costs").get("handshake"), "costs.handshake")),
         ),
-        clients=clients,
-        outbound=int(spare * OUTBOUND_SHARE),
-        line=min(16 << 20, max(1 << 20, spare // 16)),
+        max_clients=clients,
+        max_outbound_bytes=int(spare * OUTBOUND_SHARE),
+        max_event_bytes=min(16 << 20, max(1 << 20, spare // 16)),
         report=text(raw["report"], "report") if raw.get("report") else None,
         management=address(management, "management") if management else None,
         journals=tuple(address(one, "journals") for one in sequence(raw.get("journals"), "journals")),
-        listen_fd=descriptor(environ.get("LB_LISTEN_FD")),
+        listen_fd=read_descriptor(environ.get("LB_LISTEN_FD")),
     )
 
 
-def descriptor(value: str | None) -> int | None:
+def read_descriptor(value: str | None) -> int | None:
     """`LB_LISTEN_FD`: the number of an open descriptor past standard input, output and error."""
     if value is None or value == "":
         return None
@@ -108,7 +110,7 @@
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
-        raise Unreadable(f"{path}: {error}") from error
+        raise UnreadableConfig(f"{path}: {error}") from error
     try:
         return read_config(orjson.loads(raw), environ)
     except (ValueError, Malformed) as error:
--- a/threadhill/control/clock_file.py
+++ b/threadhill/control/clock_file.py
@@ -14,7 +14,7 @@
 import orjson
 
 from threadhill.core.clock import Clock
-from threadhill.files import replace_whole
+from threadhill.files import replace_atomically
 
 NAME = "clock.json"
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")  # of this start of the machine, as Linux tells it
@@ -29,7 +29,7 @@
         return Clock(anchor=known[1])
     clock = Clock()
     try:
-        replace_whole(path, orjson.dumps({"boot": boot, "anchor": clock.anchor}))
+        replace_atomically(path, orjson.dumps({"boot": boot, "anchor": clock.anchor}))
     except OSError as error:
         log(f"clock: {path}: not written: {error}; after a restart the time goes on by the wall clock")
     return clock
--- a/threadhill/core/clock.py
+++ b/threadhill/core/clock.py
@@ -8,7 +8,7 @@
 
 import time
 
-STEP = 100_000  # microseconds between two looks by which the wall clock is off its course, to count as stepped
+MIN_STEP = 100_000  # microseconds between two looks by which the wall clock is off its course, to count as stepped
 
 
 def unix_now() -> int:
@@ -45,21 +45,21 @@
         """The wall clock; see the function of this name."""
         return unix_now()
 
-    def monotonic(self, local: int) -> int:
+    def to_monotonic(self, local: int) -> int:
         """A local time as the machine's monotonic clock has it, which all processes of one machine share."""
         return local - self._anchor
 
-    def local(self, monotonic: int) -> int:
+    def from_monotonic(self, monotonic: int) -> int:
         """A time of the machine's monotonic clock as a local one; what would be in the future is now."""
         return min(monotonic + self._anchor, self.now())
 
-    def age(self, unix: int) -> int:
+    def wall_clock_age(self, unix: int) -> int:
         """How long ago that Unix microsecond was by the wall clock, for what binds nothing; never below 0."""
         return max(0, unix_now() - unix)
 
-    def step(self) -> int:
+    def wall_clock_step(self) -> int:
         """Microseconds by which the wall clock was stepped since the last call; 0: it was not."""
         offset = unix_now() - time.monotonic_ns() // 1_000
         stepped = offset - self._wall_offset
         self._wall_offset = offset
-        return stepped if abs(stepped) >= STEP else 0
+        return stepped if abs(stepped) >= MIN_STEP else 0
--- a/threadhill/core/deadlines.py
+++ b/threadhill/core/deadlines.py
@@ -6,7 +6,7 @@
 
 from sortedcontainers import SortedDict
 
-Due = Callable[[], None]
+Callback = Callable[[], None]
 
 
 class Deadlines:
@@ -19,12 +19,12 @@
         self._keys = self._entries.keys()
         self._number = 0
         self._armed: int | None = None
-        self._sweeping = False
+        self._running = False
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def add(self, when: int, due: Due) -> tuple[int, int]:
+    def add(self, when: int, due: Callback) -> tuple[int, int]:
         """Remember what is due then; the key returned takes it back."""
         self._number += 1
         key = (when, self._number)
@@ -33,29 +33,29 @@
             self._set(when)
         return key
 
-    def drop(self, key: tuple[int, int] | None) -> None:
+    def cancel(self, key: tuple[int, int] | None) -> None:
         """Take one back; one that is done already is no matter. The timer may then wake for nothing."""
         if key is not None:
             self._entries.pop(key, None)
 
-    def woken(self) -> None:
+    def timer_fired(self) -> None:
         """The timer has gone off: whatever the head is now, it must be armed anew."""
         self._armed = None
 
-    def sweep(self, now: int) -> None:
+    def run_due(self, now: int) -> None:
         """Do all that is due, in order; what that adds for now or earlier is done in the same sweep."""
-        if self._sweeping or not self._entries or self._keys[0][0] > now and self._armed is not None:
+        if self._running or not self._entries or self._keys[0][0] > now and self._armed is not None:
             return  # nothing is due, and the timer stands
-        self._sweeping = True
+        self._running = True
         try:
-            self._sweep(now)
+            self._run_due(now)
         finally:
-            self._sweeping = False
+            self._running = False
         head = self._keys[0][0] if self._entries else None
         if head != self._armed:
             self._set(head)
 
-    def _sweep(self, now: int) -> None:
+    def _run_due(self, now: int) -> None:
         while self._entries:
             key = self._keys[0]
             if key[0] > now:
--- a/threadhill/core/engine.py
+++ b/threadhill/core/engine.py
@@ -99,20 +99,20 @@
         now on, and of the list as it stands."""
         other.tenants = self.tenants
         self.followers.append(other)
-        other.list_changed(api.ListNews(api.ListKind.FULL, tuple(self.cordons.seen())))
+        other.list_changed(api.ListNews(api.ListKind.FULL, tuple(self.cordons.visible_entries())))
 
     # --- what fronts call
 
     def submit(self, front: Front, ref: int, ask: ClientRequest) -> int:
         """Take a request; its one answer goes to `front` under `ref`, maybe before this returns."""
-        self.deadlines.sweep(self.clock.now())
+        self.deadlines.run_due(self.clock.now())
         handle = self.requests.add(Request(front, ref, ask))
         self.stats.count("taken", ask.class_name)
-        if not self.tenants.knows(ask.tenant):
+        if not self.tenants.accepts(ask.tenant):
             self.stats.count("no_such_tenant")
             self._finish(handle, Answer(FinalStatus.FAILED))
             return handle
-        wait = self.tenants.wait(ask.tenant, self.clock.now())
+        wait = self.tenants.quota_wait(ask.tenant, self.clock.now())
         if wait:  # over its tenant's quota: nothing of it reaches the module, or what others are given
             self.stats.count("over_quota", ask.tenant or "")
             self._finish(handle, Answer(FinalStatus.REFUSED, retry_after=wait))
@@ -151,7 +151,7 @@
         request = self.requests.free(handle)
         if request is None:
             return
-        self.deadlines.drop(request.timer)
+        self.deadlines.cancel(request.timer)
         self.stats.count("client_gone", request.ask.class_name)
         if self.overload_control is not None:
             self.overload_control.client_gone(handle, self.clock.now())
@@ -171,7 +171,7 @@
         attempt = self.attempts.free(handle)
         if attempt is None:
             return
-        self.deadlines.drop(attempt.timer)
+        self.deadlines.cancel(attempt.timer)
         request = self.requests.get(attempt.request)
         now = self.clock.now()
         closed = request is None
@@ -227,7 +227,7 @@
             f"request {request.ask.request_id}: server {attempt.server:08x} gave a copy of {request.ask.object} born "
             f"at {end.created_at // 1_000} ms, which was purged: it is not passed on"
         )
-        self._log(f"trace: {self.trace.about(request.ask.request_id, request.ask.object, request.ask.group)}")
+        self._log(f"trace: {self.trace.matching(request.ask.request_id, request.ask.object, request.ask.group)}")
         cls = self.router.set.classes.get(request.ask.class_name)
         harmless = cls is not None and cls.retry_safety is api.RetrySafety.SAFE
         return AttemptResult(
@@ -236,7 +236,7 @@
 
     def list_changed(self, news: api.ListNews) -> None:
         """The list changed. The module knows before anything that waits is sent on, or given back to it."""
-        self._listed(self.cordons.screen(news))
+        self._listed(self.cordons.filter_news(news))
 
     # --- what operators call
 
@@ -264,7 +264,7 @@
 
     def uncordoned_elsewhere(self, number: int, name: str, at: int) -> None:
         """Another process put this server back at that local time, after it had been out by hand."""
-        news = self.cordons.started(number, name, at)
+        news = self.cordons.uncordoned_elsewhere(number, name, at)
         if news is not None:
             self._listed(news)
 
@@ -280,12 +280,12 @@
         for what it learnt of them."""
         fleet, now = self.router.fleet, self.clock.now()
         above = (fleet.parent_kind, fleet.origin_kind)
-        listed = [entry for entry in self.cordons.listed.values() if entry.kind not in above]
+        listed = [entry for entry in self.cordons.entries.values() if entry.kind not in above]
         out = 0
         for entry in listed:
             server = fleet.servers.get(entry.server)
             out += (
-                entry.server in self.cordons.out
+                entry.server in self.cordons.cordoned
                 or entry.state is not api.State.READY
                 or server is None
                 or server.ejected_until > now
@@ -461,7 +461,7 @@
         request = self.requests.free(handle)
         if request is None:
             return
-        self.deadlines.drop(request.timer)
+        self.deadlines.cancel(request.timer)
         self.trace.add(self.clock.now(), Step.ANSWER, request.ask.request_id, answer.status.value)
         self.stats.count(answer.status.value, request.ask.class_name)
         if self.overload_control is not None:
--- a/threadhill/core/figures.py
+++ b/threadhill/core/figures.py
@@ -8,16 +8,18 @@
 from threadhill.stats import Stats
 
 # The operators' word for each final answer, and the counter that the core keeps of it.
-ENDS = (("fulfilled", "served"), ("throttled", "refused"), ("faulted", "failed"))
+FINAL_COUNTERS = (("fulfilled", "served"), ("throttled", "refused"), ("faulted", "failed"))
 
 
-def figures(stats: Stats, classes: Iterable[str], open_requests: int, registry: int, out: int) -> dict[str, int]:
+def operator_metrics(
+    stats: Stats, classes: Iterable[str], open_requests: int, registry: int, out: int
+) -> dict[str, int]:
     """By name, as the operators' page has them: per class, then what holds now."""
     counts = stats.counts
     told: dict[str, int] = {}
     relayed = 0
     for cls in sorted(classes):
-        for word, counter in ENDS:
+        for word, counter in FINAL_COUNTERS:
             told[f"operations.{cls}.{word}"] = counts[counter, cls] + counts["front_" + counter, cls]
         told[f"operations.{cls}.relayed"] = counts["relayed", cls]
         relayed += counts["relayed", cls]
@@ -28,6 +30,6 @@
     return told
 
 
-def as_text(figures: dict[str, int]) -> bytes:
+def format_metrics(metrics: dict[str, int]) -> bytes:
     """`name=value`, a line each."""
-    return "".join(f"{name}={value}\n" for name, value in figures.items()).encode()
+    return "".join(f"{name}={value}\n" for name, value in metrics.items()).encode()
--- a/threadhill/core/stamps.py
+++ b/threadhill/core/stamps.py
@@ -15,7 +15,7 @@
 
 EARLIEST = 946_684_800_000_000  # Unix microseconds of 2000-01-01: what is before it was never a time
 LATEST = 4_102_444_800_000_000  # of 2100-01-01
-FAR_AHEAD = 86_400_000_000  # microseconds ahead of all that is known at which a stamp is not believed
+MAX_AHEAD = 86_400_000_000  # microseconds ahead of all that is known at which a stamp is not believed
 
 
 class StampAges:
@@ -26,24 +26,24 @@
         self._now, self._unix_now = now, unix_now
         self._unix_less_local: int | None = None  # at least; None: no stamp was heard yet
 
-    def hear(self, stamp: int) -> None:
+    def observe(self, stamp: int) -> None:
         """Take a stamp for proof that it is at least so late; one that cannot be believed proves nothing."""
-        if self.believes(stamp):
+        if self.is_plausible(stamp):
             ahead = stamp - self._now()
             self._unix_less_local = ahead if self._unix_less_local is None else max(self._unix_less_local, ahead)
 
-    def believes(self, stamp: int) -> bool:
+    def is_plausible(self, stamp: int) -> bool:
         """Whether this can be a time that has been."""
         if not EARLIEST <= stamp <= LATEST:
             return False
         latest = self._unix_now()
         if self._unix_less_local is not None:
             latest = max(latest, self._now() + self._unix_less_local)
-        return stamp <= latest + FAR_AHEAD
+        return stamp <= latest + MAX_AHEAD
 
     def age(self, stamp: int) -> int:
         """Microseconds that have passed since the stamp, at least; 0 for one that cannot be believed."""
-        if self._unix_less_local is None or not self.believes(stamp):
+        if self._unix_less_local is None or not self.is_plausible(stamp):
             return 0
         least = min(self._now() + self._unix_less_local, self._unix_now())
         return max(0, least - stamp)
--- a/threadhill/core/trace.py
+++ b/threadhill/core/trace.py
@@ -11,9 +11,9 @@
 
 import orjson
 
-KEPT = 2_048  # entries
-TOLD = 100  # entries of a report
-LATELY = 5_000_000  # microseconds that a report goes back
+MAX_ENTRIES = 2_048  # entries
+MAX_REPORTED = 100  # entries of a report
+RECENT_WINDOW = 5_000_000  # microseconds that a report goes back
 
 
 class Step(StrEnum):
@@ -23,7 +23,7 @@
     ATTEMPT = "attempt"
     ENDED = "ended"
     ANSWER = "answer"
-    LOST = "connection lost"
+    CONNECTION_LOST = "connection lost"
 
 
 FIELDS = {
@@ -31,7 +31,7 @@
     Step.ATTEMPT: ("request", "object", "server", "source", "oldest_us", "mode"),
     Step.ENDED: ("request", "server", "outcome", "born_ms", "took_us"),
     Step.ANSWER: ("request", "answer"),
-    Step.LOST: ("server", "attempts"),
+    Step.CONNECTION_LOST: ("server", "attempts"),
 }
 Entry = tuple[int, Step, tuple[object, ...]]
 
@@ -40,25 +40,25 @@
     """The ring. Times are local microseconds."""
 
     def __init__(self) -> None:
-        self._entries: deque[Entry] = deque(maxlen=KEPT)
+        self._entries: deque[Entry] = deque(maxlen=MAX_ENTRIES)
 
     def add(self, at: int, step: Step, *fields: object) -> None:
         """Note one step with its fields, in the order of `FIELDS`."""
         self._entries.append((at, step, fields))
 
-    def about(self, *keys: object) -> str:
+    def matching(self, *keys: object) -> str:
         """The entries of a request, an object or a group, as one line of JSON."""
         wanted = set(keys)
         return self._told([entry for entry in self._entries if not wanted.isdisjoint(entry[2][:2])])
 
-    def lately(self, now: int) -> str:
+    def recent(self, now: int) -> str:
         """The newest entries, as one line of JSON."""
-        return self._told([entry for entry in self._entries if now - entry[0] <= LATELY])
+        return self._told([entry for entry in self._entries if now - entry[0] <= RECENT_WINDOW])
 
     @staticmethod
     def _told(entries: list[Entry]) -> str:
         told = [
             {"at_us": at, "step": step.value} | dict(zip(FIELDS[step], fields, strict=True))
-            for at, step, fields in entries[-TOLD:]
+            for at, step, fields in entries[-MAX_REPORTED:]
         ]
         return orjson.dumps(told).decode()
--- a/threadhill/dns/keys.py
+++ b/threadhill/dns/keys.py
@@ -21,7 +21,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 
 from threadhill.dns.message import pack_name
-from threadhill.files import Stamp, check_private, stamp
+from threadhill.files import FileVersion, check_private, file_version
 from threadhill.hostnames import labels_of
 from threadhill.settings import Malformed
 
@@ -218,8 +218,8 @@
         self._seen = self._stamps()
         self.zones: Mapping[str, list[Key]] = read_folder(folder)
 
-    def _stamps(self) -> list[tuple[str, Stamp | None]]:
-        return [(path.name, stamp(path)) for path in sorted(self.folder.glob("K*.json"))]
+    def _stamps(self) -> list[tuple[str, FileVersion | None]]:
+        return [(path.name, file_version(path)) for path in sorted(self.folder.glob("K*.json"))]
 
     def look(self) -> bool:
         """Whether other keys were taken. A set that cannot be used is told once and changes nothing."""
--- a/threadhill/dns/operator_file.py
+++ b/threadhill/dns/operator_file.py
@@ -12,7 +12,7 @@
 from threadhill.dns.views import View, Views
 from threadhill.files import check_private
 from threadhill.hostnames import labels_of
-from threadhill.settings import Malformed, address, known_table, mapping, number, sequence, text, whole
+from threadhill.settings import Malformed, address, integer, mapping, number, optional_table, sequence, text
 
 SIGNATURE_LIFE = 3_600  # seconds
 
@@ -21,8 +21,8 @@
     names = tuple(text(name, "dns.nameservers") for name in sequence(raw.get("nameservers"), "dns.nameservers"))
     for name in names:
         labels_of(name)
-    deadline = whole(raw.get("deadline_ms"), "dns.deadline_ms") or 1_000
-    connections = whole(raw.get("connections"), "dns.connections") or 64
+    deadline = integer(raw.get("deadline_ms"), "dns.deadline_ms") or 1_000
+    connections = integer(raw.get("connections"), "dns.connections") or 64
     nsid = text(raw.get("nsid", ""), "dns.nsid").encode()
     if len(nsid) > 128:
         raise Malformed("dns.nsid: has over 128 bytes")
@@ -69,12 +69,12 @@
         _read_tls(raw, base),
         _read_transfer(raw, base),
         *_read_signing(raw, base),
-        whole(raw.get("per_network", 32), "dns.per_network"),
+        integer(raw.get("per_network", 32), "dns.per_network"),
     )
 
 
 def _read_transfer(raw: dict[str, Any], base: Path) -> TransferConfig:
-    table = known_table(raw, "transfer", {"to", "keys"})
+    table = optional_table(raw, "transfer", {"to", "keys"})
     if table is None:
         return TransferConfig()
     networks = []
@@ -104,17 +104,17 @@
 
 
 def _read_signing(raw: dict[str, Any], base: Path) -> tuple[Path | None, int]:
-    table = known_table(raw, "signing", {"keys", "life_s"})
+    table = optional_table(raw, "signing", {"keys", "life_s"})
     if table is None:
         return None, SIGNATURE_LIFE
-    life = whole(table.get("life_s"), "dns.signing.life_s") or SIGNATURE_LIFE
+    life = integer(table.get("life_s"), "dns.signing.life_s") or SIGNATURE_LIFE
     if not 300 <= life <= 14 * 86_400:
         raise Malformed("dns.signing.life_s: is from 300 to 1209600 seconds")
     return base / text(table.get("keys"), "dns.signing.keys"), life
 
 
 def _read_tls(raw: dict[str, Any], base: Path) -> TlsConfig | None:
-    table = known_table(raw, "tls", {"listen", "certificate", "key"})
+    table = optional_table(raw, "tls", {"listen", "certificate", "key"})
     if table is None:
         return None
     paths = {key: text(table.get(key), f"dns.tls.{key}") for key in ("certificate", "key")}
--- a/threadhill/dns/tls.py
+++ b/threadhill/dns/tls.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from threadhill.files import Stamp, check_private, stamp
+from threadhill.files import FileVersion, check_private, file_version
 from threadhill.settings import Malformed
 
 ALPN = "dot"  # RFC 7858, section 10 (IANA)
@@ -48,8 +48,8 @@
         self.context = make_context(certificate, key)
         self.loaded = 1  # pairs taken so far
 
-    def _stamps(self) -> list[Stamp | None]:
-        return [stamp(self.certificate), stamp(self.key)]
+    def _stamps(self) -> list[FileVersion | None]:
+        return [file_version(self.certificate), file_version(self.key)]
 
     def look(self) -> bool:
         """Whether a new pair was taken. Half of a pair that is being replaced does not fit: it is tried again at the
--- a/threadhill/documents.py
+++ b/threadhill/documents.py
@@ -10,10 +10,10 @@
 from threadhill.hostnames import BOXES, labels_of
 
 NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")  # it stands as a label in DNS names
-MOST_TENANTS = 10_000
-MOST_ZONES = 64
-MOST_OF_ALL = 20_000  # static records of all tenants together: some 10 MB in a proxy
-MOST_QUOTA = 1e6
+MAX_TENANTS = 10_000
+MAX_ZONES = 64
+MAX_TOTAL_RECORDS = 20_000  # static records of all tenants together: some 10 MB in a proxy
+MAX_QUOTA = 1e6
 
 
 class Invalid(Exception):
@@ -43,8 +43,8 @@
     elif name is not None and told != name:
         fault(".name", f"must be {name!r}, as in the path")
     zones = raw.get("zones", [])
-    if not isinstance(zones, list) or len(zones) > MOST_ZONES:
-        fault(".zones", f"must be a list of {MOST_ZONES} at most")
+    if not isinstance(zones, list) or len(zones) > MAX_ZONES:
+        fault(".zones", f"must be a list of {MAX_ZONES} at most")
         zones = []
     clean = set()
     for i, zone in enumerate(zones):
@@ -53,8 +53,8 @@
         except (ValueError, AttributeError):
             fault(f".zones[{i}]", "must be a domain name")
     quota = raw.get("quota", 0)
-    if isinstance(quota, bool) or not isinstance(quota, int | float) or not 0 <= quota <= MOST_QUOTA:
-        fault(".quota", f"must be a number from 0, no limit, to {MOST_QUOTA:.0f} requests a second")
+    if isinstance(quota, bool) or not isinstance(quota, int | float) or not 0 <= quota <= MAX_QUOTA:
+        fault(".quota", f"must be a number from 0, no limit, to {MAX_QUOTA:.0f} requests a second")
     records = _read_records(raw["records"], clean, str(told), fault) if raw.get("records") else ()
     if faults:
         raise Invalid(faults)
@@ -82,8 +82,8 @@
 
 def read_tenants(raw: Any, at: str = "tenants") -> list[Tenant]:
     """All tenants of a document, checked as a whole before any is used."""
-    if not isinstance(raw, list) or len(raw) > MOST_TENANTS:
-        raise Invalid([{"at": at, "fault": f"must be a list of {MOST_TENANTS} at most"}])
+    if not isinstance(raw, list) or len(raw) > MAX_TENANTS:
+        raise Invalid([{"at": at, "fault": f"must be a list of {MAX_TENANTS} at most"}])
     tenants: dict[str, Tenant] = {}
     faults: list[dict[str, str]] = []
     for i, item in enumerate(raw):
@@ -95,8 +95,8 @@
         if tenant.name in tenants:
             faults.append({"at": f"{at}[{i}].name", "fault": f"{tenant.name!r} stands twice"})
         tenants[tenant.name] = tenant
-    if sum(len(tenant.records) for tenant in tenants.values()) > MOST_OF_ALL:
-        faults.append({"at": at, "fault": f"have over {MOST_OF_ALL} static records together"})
+    if sum(len(tenant.records) for tenant in tenants.values()) > MAX_TOTAL_RECORDS:
+        faults.append({"at": at, "fault": f"have over {MAX_TOTAL_RECORDS} static records together"})
     if faults:
         raise Invalid(faults)
     return [tenants[name] for name in sorted(tenants)]
--- a/threadhill/files.py
+++ b/threadhill/files.py
@@ -9,11 +9,11 @@
 
 from threadhill.settings import Malformed
 
-Stamp = tuple[int, int, int]
-MOST = 1 << 20  # bytes of a file with a secret in it
+FileVersion = tuple[int, int, int]
+MAX_SECRET_BYTES = 1 << 20  # bytes of a file with a secret in it
 
 
-def stamp(path: Path) -> Stamp | None:
+def file_version(path: Path) -> FileVersion | None:
     """What tells one version of a file from the next: inode, size and time of its last change; None where it is not."""
     try:
         found = os.stat(path)
@@ -22,7 +22,7 @@
     return found.st_ino, found.st_size, found.st_mtime_ns
 
 
-def replace_whole(path: Path, raw: bytes) -> None:
+def replace_atomically(path: Path, raw: bytes) -> None:
     """Write a file beside this one and rename it over it, so that a reader never sees half of one. OSError where the
     folder does not take it: then the old file stands, and nothing half written is left."""
     beside = path.with_name(f".{path.name}.{os.getpid()}")
@@ -35,7 +35,7 @@
         raise
 
 
-def check_private(path: Path, most: int = MOST) -> None:
+def check_private(path: Path, most: int = MAX_SECRET_BYTES) -> None:
     """A secret that others may read is none: Malformed says what to do."""
     found = os.stat(path)
     if found.st_mode & (stat.S_IRWXG | stat.S_IRWXO):
--- a/threadhill/knowledge/hints.py
+++ b/threadhill/knowledge/hints.py
@@ -11,7 +11,7 @@
 
 from threadhill.decision import interface as api
 from threadhill.knowledge.merge import CACHES, MOST_OPEN, MOST_RATE, NAME, OBJECTS
-from threadhill.settings import Malformed, figure, mapping, must_whole, sequence
+from threadhill.settings import Malformed, bounded_number, mapping, required_integer, sequence
 
 OLD = 8_000  # milliseconds after which a hint says nothing
 
@@ -27,8 +27,8 @@
         """One hint, whose stamp is `age` microseconds old by this proxy's clock; None where it is of no use.
         Raises Malformed where it can't be read: then all of it is left."""
         raw = mapping(raw, "a hint")
-        number = must_whole(raw.get("n"), "a hint's number")
-        own = age // 1_000 + int(figure(raw.get("age"), 1e9, "a hint's age"))
+        number = required_integer(raw.get("n"), "a hint's number")
+        own = age // 1_000 + int(bounded_number(raw.get("age"), 1e9, "a hint's age"))
         objects, caches = sequence(raw.get("objects"), "objects"), sequence(raw.get("caches"), "caches")
         if len(objects) > OBJECTS or len(caches) > CACHES:
             raise Malformed(f"a hint names {len(objects)} objects and {len(caches)} caches: too many")
@@ -37,12 +37,12 @@
             name, rate = self._pair(item, 2)
             if not isinstance(name, str) or not 0 < len(name) <= NAME:
                 raise Malformed("a hint's object has no name")
-            rates[name] = figure(rate, MOST_RATE, "a hint's rate")
+            rates[name] = bounded_number(rate, MOST_RATE, "a hint's rate")
         for item in caches:
             server, held, part = self._pair(item, 3)
-            server = must_whole(server, "a hint's server")
-            out[server] = figure(held, MOST_OPEN, "a hint's load")
-            ill[server] = figure(part, 1.0, "a hint's part of the proxies")
+            server = required_integer(server, "a hint's server")
+            out[server] = bounded_number(held, MOST_OPEN, "a hint's load")
+            ill[server] = bounded_number(part, 1.0, "a hint's part of the proxies")
         if number <= self.number or own > OLD:
             self.left += 1
             return None
@@ -64,4 +64,4 @@
 
 def stamp_of(raw: Any) -> int:
     """When a hint was made, Unix microseconds."""
-    return must_whole(raw.get("at") if isinstance(raw, Mapping) else None, "a hint's time") * 1_000
+    return required_integer(raw.get("at") if isinstance(raw, Mapping) else None, "a hint's time") * 1_000
--- a/threadhill/knowledge/proxy.py
+++ b/threadhill/knowledge/proxy.py
@@ -26,7 +26,7 @@
 
     def take(self, raw: Any) -> None:
         try:
-            hints = self.hints.read(raw, self.engine.clock.age(stamp_of(raw)))
+            hints = self.hints.read(raw, self.engine.clock.wall_clock_age(stamp_of(raw)))
         except Malformed as error:
             self.engine.stats.count("malformed", "hint")
             self.log(f"journal: {error}")
--- a/threadhill/log.py
+++ b/threadhill/log.py
@@ -7,7 +7,7 @@
 
 RATE = 10.0  # lines a second, over time
 BURST = 50.0  # lines at once
-LONGEST = 4_000  # characters of a line at most
+MAX_LINE = 4_000  # characters of a line at most
 
 
 class Log:
@@ -30,13 +30,13 @@
         if self._left_out:
             self.event(f"{self._left_out} lines left out")
             self._left_out = 0
-        self.event(text[:LONGEST])
+        self.event(text[:MAX_LINE])
 
     def event(self, text: str) -> None:
         """A line that is always written, behind the seconds since the start: few enough, and a timeline needs them."""
-        self.say(f"{self._now() - self._began:+.3f} {text}")
+        self.write(f"{self._now() - self._began:+.3f} {text}")
 
     @staticmethod
-    def say(text: str) -> None:
+    def write(text: str) -> None:
         """A line that is always written as it is, for whoever reads it by its form."""
         print(text, file=sys.stderr, flush=True)
--- a/threadhill/net/event_applier.py
+++ b/threadhill/net/event_applier.py
@@ -73,17 +73,17 @@
             yield from self._host_steps(event, first=not self._members)
         age = self._purge(event) if event.stamp is not None else None
         if event.tenants is not None:
-            self.engine.tenants.change(list(event.tenants), set(event.tenants_gone), event.complete)
+            self.engine.tenants.update(list(event.tenants), set(event.tenants_gone), event.complete)
         if self.recovery is not None:
             self.recovery.applied(age)
 
     def hear_stamps(self, event: Event) -> None:
         """Let the event's times prove how late it is at least."""
         if event.stamp is not None:
-            self._stamps.hear(event.stamp)
+            self._stamps.observe(event.stamp)
         for member in event.members or ():
             if member.entry.reported_start:
-                self._stamps.hear(member.entry.reported_start)
+                self._stamps.observe(member.entry.reported_start)
 
     def _purge(self, event: Event) -> int:
         """Tell the module of a purge; the age that it is taken for, in microseconds."""
@@ -91,7 +91,7 @@
             self.log(f"journal: event {event.pos} purges neither an object nor a group: it is passed over")
             self.engine.stats.count("malformed", "purge")
             return 0
-        age, usable = self._stamps.age(event.stamp), self._stamps.believes(event.stamp)
+        age, usable = self._stamps.age(event.stamp), self._stamps.is_plausible(event.stamp)
         by_wall = self._stamps.age_by_wall_clock(event.stamp)
         what = event.object if event.object is not None else f"group {event.group}"
         if not usable:
@@ -118,7 +118,7 @@
             return entry
         since, started = self._starts.get(entry.server, (0, 0))
         if since != entry.reported_start:
-            if not self._stamps.believes(entry.reported_start):
+            if not self._stamps.is_plausible(entry.reported_start):
                 self.engine.stats.count("malformed", "up_since_ms")
                 self.log(
                     f"journal: server {entry.server:08x}: up_since_ms is no time that has been "
--- a/threadhill/net/journal.py
+++ b/threadhill/net/journal.py
@@ -16,7 +16,7 @@
 from threadhill.net.news_monitor import Missing, NewsMonitor
 from threadhill.net.upstream import CacheServers
 from threadhill.net.watch_connection import WatchConnection
-from threadhill.settings import Malformed, must_whole
+from threadhill.settings import Malformed, required_integer
 
 if TYPE_CHECKING:
     from threadhill.knowledge.proxy import Knowledge
@@ -107,7 +107,7 @@
         self.address = where
         if self._task is not None:
             self._task.cancel()
-        self.engine.deadlines.drop(self._redial)
+        self.engine.deadlines.cancel(self._redial)
         feed, self.feed, self.dialling, self._wait = self.feed, None, None, AGAIN
         if feed is not None:
             feed.abort()
@@ -150,7 +150,7 @@
         return wait
 
     def _again(self, wait: int) -> None:
-        self.engine.deadlines.drop(self._redial)
+        self.engine.deadlines.cancel(self._redial)
         self._redial = self.engine.deadlines.add(self.engine.clock.now() + wait, self._connect)
 
     def say(self) -> None:
@@ -253,13 +253,13 @@
     def _of_recovery(self, value: dict[str, Any]) -> bool:
         """Additions of ours, told to proxies that say their phase; whether this was one."""
         if "term" in value:
-            if not self.recovery.fence.admits(must_whole(value["term"], "term")):
+            if not self.recovery.fence.admits(required_integer(value["term"], "term")):
                 self.engine.stats.count("journal", "older term")
                 raise Malformed(f"term {value['term']} is over: {self.recovery.fence.term} was told")
         elif "learned" in value:
             self.recovery.taught(value["learned"])
         elif "later" in value:  # the service has more to carry than it can: it says when to come
-            self._later = min(LATER_MOST, max(AGAIN, must_whole(value["later"], "later") * 1_000))
+            self._later = min(LATER_MOST, max(AGAIN, required_integer(value["later"], "later") * 1_000))
             self.engine.stats.count("journal", "told to come later")
             self.feed.abort()
         elif value.get("ask") == "holds":
@@ -272,7 +272,7 @@
     def holds(self) -> list[dict[str, Any]]:
         """The world as it was told here, in parts, for a control plane that lost its own."""
         members = []
-        for number_, entry in sorted(self.engine.cordons.listed.items()):
+        for number_, entry in sorted(self.engine.cordons.entries.items()):
             pool = self.caches.servers.get(number_)
             if pool is not None:
                 members.append(
--- a/threadhill/net/journal_events.py
+++ b/threadhill/net/journal_events.py
@@ -10,7 +10,7 @@
 from threadhill.decision import interface as api
 from threadhill.decision.hashing import number_of
 from threadhill.documents import Invalid, read_tenants
-from threadhill.settings import Malformed, address, mapping, must_whole, number, sequence, text, whole
+from threadhill.settings import Malformed, address, integer, mapping, number, required_integer, sequence, text
 
 UNUSABLE_START = 1  # Unix microsecond that stands for a start that is not told in a usable form
 SLICE = 100  # members that are read or applied before other work gets its turn
@@ -65,7 +65,7 @@
         state,
         raw.get("locality") or "",
         raw.get("flavor") or "",
-        whole(raw.get("cell"), "cell"),
+        integer(raw.get("cell"), "cell"),
         number(raw.get("size"), "size"),
         read_start(raw.get("up_since_ms")),
     )
@@ -76,7 +76,7 @@
     """`up_since_ms` as Unix microseconds. What is no time is read as a start at a time that cannot be, so that the
     server is taken for one that has just started."""
     try:
-        return max(UNUSABLE_START, whole(raw, "up_since_ms") * 1_000) if raw else 0
+        return max(UNUSABLE_START, integer(raw, "up_since_ms") * 1_000) if raw else 0
     except Malformed:
         return UNUSABLE_START
 
@@ -84,7 +84,7 @@
 def read_stamp(raw: Any) -> int:
     """A purge's `stamp` as Unix microseconds; 0 for what is no time, so that it is taken for one of now."""
     try:
-        return max(0, whole(raw, "stamp") * 1_000)
+        return max(0, integer(raw, "stamp") * 1_000)
     except Malformed:
         return 0
 
@@ -93,7 +93,7 @@
     """The last number of the service, where the line holds nothing else: a number alone, or an object with only `pos`.
     None for a line that is something else."""
     if isinstance(raw, dict) and [key for key, value in raw.items() if value is not None] == ["pos"]:
-        raw = must_whole(raw["pos"], "pos")
+        raw = required_integer(raw["pos"], "pos")
     return raw if isinstance(raw, int) and not isinstance(raw, bool) else None
 
 
@@ -134,7 +134,7 @@
 def read_event_steps(raw: Any, known: KnownMembers) -> Generator[None, None, Event]:
     """An event, read a slice of its members at a time; its value is what the iteration returns."""
     raw = mapping(raw, "an event")
-    pos, hosts, expire = must_whole(raw.get("pos"), "pos"), raw.get("hosts"), raw.get("expire")
+    pos, hosts, expire = required_integer(raw.get("pos"), "pos"), raw.get("hosts"), raw.get("expire")
     members, complete, revision = None, False, 0
     if hosts is not None:
         hosts = mapping(hosts, "hosts")
@@ -144,7 +144,7 @@
             if count % SLICE == 0:
                 yield
         members = tuple(found)
-        complete, revision = bool(hosts.get("complete")), whole(hosts.get("revision"), "revision")
+        complete, revision = bool(hosts.get("complete")), integer(hosts.get("revision"), "revision")
     tenants, gone = None, frozenset()
     if raw.get("tenants") is not None:
         told = mapping(raw["tenants"], "tenants")
@@ -164,6 +164,6 @@
         complete,
         revision,
         name if isinstance(name, str) else None,
-        None if group is None else whole(group, "set"),
+        None if group is None else integer(group, "set"),
         read_stamp(expire.get("stamp")),
     )
--- a/threadhill/net/stream.py
+++ b/threadhill/net/stream.py
@@ -47,7 +47,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         self.transport = None
-        self.host.deadlines.drop(self._bound)
+        self.host.deadlines.cancel(self._bound)
         self.ended()
 
     def get_buffer(self, hint: int) -> memoryview:
--- a/threadhill/net/turns.py
+++ b/threadhill/net/turns.py
@@ -48,5 +48,5 @@
 
     def _sweep(self) -> None:
         self._timer = None
-        self.deadlines.woken()
-        self.deadlines.sweep(self.clock.now())
+        self.deadlines.timer_fired()
+        self.deadlines.run_due(self.clock.now())
--- a/threadhill/net/upstream.py
+++ b/threadhill/net/upstream.py
@@ -317,7 +317,7 @@
             connection.suspect = True
             return False
         pending.connection, pending.at, pending.upto = connection, self.caches.engine.clock.now(), connection.written
-        self.caches.engine.deadlines.drop(pending.due)
+        self.caches.engine.deadlines.cancel(pending.due)
         connection.open[pending.order.request.request_id] = attempt
         self.caches.engine.stats.count("relayed", pending.order.request.class_name)
         self.caches.engine.stats.count("bytes_out", "servers", len(body))
@@ -344,7 +344,7 @@
             self.caches.held -= 1
         self.caches.engine.stats.count("connection", "closed")
         attempts, connection.open = list(connection.open.values()), {}
-        self.caches.engine.trace.add(self.caches.engine.clock.now(), Step.LOST, self.name, len(attempts))
+        self.caches.engine.trace.add(self.caches.engine.clock.now(), Step.CONNECTION_LOST, self.name, len(attempts))
         if len(attempts) == 1 and attempts[0] in self.caches.attempts:
             self.caches.cut(self.caches.attempts[attempts[0]].at, connection.heard)
         for attempt in attempts:  # what the server cannot have whole did not run
@@ -460,7 +460,7 @@
         """The one way out of the table: what it held is given back once."""
         pending = self.attempts.pop(attempt, None)
         if pending is not None:
-            self.engine.deadlines.drop(pending.due)
+            self.engine.deadlines.cancel(pending.due)
         return pending
 
     def cancel(self, attempt: int) -> bool:
--- a/threadhill/operators.py
+++ b/threadhill/operators.py
@@ -12,7 +12,7 @@
 from threadhill.config import BadConfig
 from threadhill.core.tenants import Tenant
 from threadhill.documents import Invalid, read_tenants
-from threadhill.settings import Malformed, address, known_table, text, whole
+from threadhill.settings import Malformed, address, integer, optional_table, text
 
 if TYPE_CHECKING:
     from threadhill.dns.front import DnsConfig
@@ -26,12 +26,12 @@
 
     listen: tuple[str, int]
     token: str = ""  # one for all callers; or:
-    keys: Path | None = None  # the file of callers' own keys
-    audit: Path | None = None  # the log of what they change
+    keys_file: Path | None = None  # the file of callers' own keys
+    audit_file: Path | None = None  # the log of what they change
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
+class OperatorConfig:
     """What is on besides the platform's front. Without the file, nothing is."""
 
     dns: DnsConfig | None = None
@@ -42,11 +42,11 @@
     recovery: RecoveryConfig | None = None
 
 
-def read_operator(raw: dict[str, Any], environ: Mapping[str, str], base: Path) -> Operator:
+def read_operator(raw: dict[str, Any], environ: Mapping[str, str], base: Path) -> OperatorConfig:
     """The operator's file; a key that is not known is a fault, as it would else be silently without effect."""
     for unknown in sorted(set(raw) - {"dns", "admin", "tenants", "overload", "knowledge", "recovery"}):
         raise Malformed(f"{unknown}: no such key")
-    dns = known_table(
+    dns = optional_table(
         raw,
         "dns",
         {
@@ -68,13 +68,13 @@
             "transfer",
         },
     )
-    admin = known_table(raw, "admin", {"listen", "token_file", "token_env", "keys_file", "audit_file"})
+    admin = optional_table(raw, "admin", {"listen", "token_file", "token_env", "keys_file", "audit_file"})
     try:
         tenants = tuple(read_tenants(raw.get("tenants", [])))
     except Invalid as error:
         raise Malformed(str(error)) from None
-    overload = known_table(raw, "overload", {"retry_budgets", "admission", "comebacks", "horizon_ms", "leave_ms"})
-    return Operator(
+    overload = optional_table(raw, "overload", {"retry_budgets", "admission", "comebacks", "horizon_ms", "leave_ms"})
+    return OperatorConfig(
         _read_dns(dns, base) if dns is not None else None,
         _read_admin(admin, environ, base) if admin is not None else None,
         tenants,
@@ -85,7 +85,7 @@
 
 
 def _read_knowledge(raw: dict[str, Any]) -> bool:
-    table = known_table(raw, "knowledge", {"share"})
+    table = optional_table(raw, "knowledge", {"share"})
     on = table.get("share", True) if table is not None else False
     if not isinstance(on, bool):
         raise Malformed("knowledge.share: is true or false")
@@ -93,7 +93,7 @@
 
 
 def _read_recovery(raw: dict[str, Any], base: Path) -> RecoveryConfig | None:
-    table = known_table(raw, "recovery", {"trust_ms", "blind", "state_folder", "every_ms", "learn"})
+    table = optional_table(raw, "recovery", {"trust_ms", "blind", "state_folder", "every_ms", "learn"})
     if table is None:
         return None
     from threadhill.recovery.phases import Blind
@@ -106,7 +106,7 @@
         raise Malformed("recovery.learn: is true or false")
     times = {}
     for key, usual, least, most in (("trust_ms", 7_000, 1_500, 600_000), ("every_ms", 5_000, 200, 600_000)):
-        times[key] = whole(table[key], f"recovery.{key}") if key in table else usual
+        times[key] = integer(table[key], f"recovery.{key}") if key in table else usual
         if not least <= times[key] <= most:
             raise Malformed(f"recovery.{key}: is from {least} to {most}")
     folder = text(table["state_folder"], "recovery.state_folder") if "state_folder" in table else ""
@@ -129,7 +129,7 @@
         on[key] = raw.get(key, True)
         if not isinstance(on[key], bool):
             raise Malformed(f"overload.{key}: is true or false")
-    times = {key: whole(raw.get(key), f"overload.{key}") for key in ("horizon_ms", "leave_ms")}
+    times = {key: integer(raw.get(key), f"overload.{key}") for key in ("horizon_ms", "leave_ms")}
     if not 0 <= times["horizon_ms"] <= 60_000 or not 0 <= times["leave_ms"] <= 2_500:
         raise Malformed("overload: horizon_ms is from 0 (as far as the site allows) to 60000, leave_ms from 0 to 2500")
     return OverloadConfig(**on, horizon=times["horizon_ms"] * 1_000, leave=times["leave_ms"] * 1_000)
@@ -154,7 +154,7 @@
     return AdminConfig(listen, token, keys, audit)
 
 
-def load_operator(path: Path, environ: Mapping[str, str] = os.environ) -> Operator:
+def load_operator(path: Path, environ: Mapping[str, str] = os.environ) -> OperatorConfig:
     """Read the operator's file."""
     try:
         return read_operator(tomllib.loads(path.read_text()), environ, path.parent)
--- a/threadhill/plans/configuration.py
+++ b/threadhill/plans/configuration.py
@@ -10,7 +10,7 @@
 
 from threadhill import zonefile
 from threadhill.decision.hashing import number_of
-from threadhill.documents import MOST_OF_ALL
+from threadhill.documents import MAX_TOTAL_RECORDS
 from threadhill.plans.expr import EvalError, Ref, Scope, is_number, kind_of
 from threadhill.plans.faults import Fault, Invalid
 from threadhill.plans.model import KINDS, MODELS, NAME, RESERVED, RequestClass
@@ -366,12 +366,12 @@
             read = [zonefile.read(text) for text in attrs["records"]]
             for _, told in zonefile.check(read, attrs["zones"], resource.name):
                 fault(id, "records", told)
-    if sum(len(resource.attrs.get("records", ())) for resource in resources.values()) > MOST_OF_ALL:
+    if sum(len(resource.attrs.get("records", ())) for resource in resources.values()) > MAX_TOTAL_RECORDS:
         id = max(
             (id for id, r in resources.items() if "records" in r.attrs),
             key=lambda id: len(resources[id].attrs["records"]),
         )
-        fault(id, "records", f"all tenants have over {MOST_OF_ALL} static records together, this one the most")
+        fault(id, "records", f"all tenants have over {MAX_TOTAL_RECORDS} static records together, this one the most")
     if any(resource.kind in (*SERVERS, "proxy", "node") for resource in resources.values()):
         for kind, text in (
             ("settings", "there must be a block of settings"),
--- a/threadhill/plans/model.py
+++ b/threadhill/plans/model.py
@@ -8,7 +8,7 @@
 from pydantic import AfterValidator, BaseModel, BeforeValidator, ConfigDict, Field
 
 from threadhill import zonefile
-from threadhill.documents import MOST_QUOTA, MOST_ZONES
+from threadhill.documents import MAX_QUOTA, MAX_ZONES
 from threadhill.hostnames import BOXES, labels_of
 from threadhill.plans.expr import Ref
 from threadhill.zonefile import MOST_RECORDS
@@ -131,8 +131,8 @@
 class Tenant(Model):
     """A tenant: zones in which DNS serves it, a quota of requests a second (0: none), and static records."""
 
-    zones: Annotated[list[Zone], AfterValidator(_unique), Field(max_length=MOST_ZONES)] = []
-    quota: float = Field(0, ge=0, le=MOST_QUOTA)
+    zones: Annotated[list[Zone], AfterValidator(_unique), Field(max_length=MAX_ZONES)] = []
+    quota: float = Field(0, ge=0, le=MAX_QUOTA)
     records: Annotated[list[Annotated[str, AfterValidator(_record)]], Field(max_length=MOST_RECORDS)] = []
 
 
--- a/threadhill/recovery/adopt.py
+++ b/threadhill/recovery/adopt.py
@@ -23,7 +23,7 @@
 
 import orjson
 
-from threadhill.settings import Malformed, address, mapping, must_whole, number, sequence, text, whole
+from threadhill.settings import Malformed, address, integer, mapping, number, required_integer, sequence, text
 
 MEMBERS = 10_000  # servers of one proxy's world
 KINDS = ("box", "parent", "library")
@@ -86,8 +86,8 @@
     """One part of what a proxy holds, added to what it said before. Raises Malformed where it can't be read."""
     raw = mapping(raw, "what a proxy holds")
     told = mapping(raw.get("holds"), "holds")
-    name, pos = text(raw.get("proxy"), "proxy"), must_whole(told.get("pos"), "pos")
-    part, of = whole(told.get("part"), "part"), max(1, whole(told.get("of"), "of"))
+    name, pos = text(raw.get("proxy"), "proxy"), required_integer(told.get("pos"), "pos")
+    part, of = integer(told.get("part"), "part"), max(1, integer(told.get("of"), "of"))
     if not name or not 0 <= part < of or of > MEMBERS:
         raise Malformed("a part of what a proxy holds has no name, or no place")
     members = [_member(member) for member in sequence(told.get("members"), "members")]
@@ -118,10 +118,10 @@
         "host_port": f"{host}:{port}",
         "locality": text(raw.get("locality"), "locality"),
         "flavor": flavor,
-        "cell": whole(raw.get("cell"), "cell"),
+        "cell": integer(raw.get("cell"), "cell"),
         "size": number(raw.get("size"), "size"),
         "phase": phase,
-        "up_since_ms": whole(raw.get("up_since_ms"), "up_since_ms"),
+        "up_since_ms": integer(raw.get("up_since_ms"), "up_since_ms"),
     }
 
 
--- a/threadhill/recovery/learned.py
+++ b/threadhill/recovery/learned.py
@@ -15,7 +15,7 @@
 
 from threadhill.decision.choice import DOUBT_MOST, FADES, INTERVAL, ROOM_FIRST, Router
 from threadhill.decision.state import Mean, Rate, Server
-from threadhill.settings import Malformed, figure, mapping, must_whole, sequence
+from threadhill.settings import Malformed, bounded_number, mapping, required_integer, sequence
 
 SERVERS, OBJECTS, CLASSES = 400, 500, 64  # of one document: 40 KB at most
 LOOKED = 5_000  # newest entries of the table of objects that are looked at
@@ -81,19 +81,19 @@
     for row in servers:
         if not isinstance(row, list) or len(row) != 2 + FIGURES:
             raise Malformed("a server has a number, a start and six figures")
-        must_whole(row[0], "a server's number"), must_whole(row[1], "a server's start")
+        required_integer(row[0], "a server's number"), required_integer(row[1], "a server's start")
         for value in row[2:]:
-            figure(value, MOST_ROOM, "a server's figure")
+            bounded_number(value, MOST_ROOM, "a server's figure")
     for row in objects:
         if not isinstance(row, list) or len(row) != 3 or not isinstance(row[0], str) or not 0 < len(row[0]) <= 64:
             raise Malformed("an object has a name, a rate and a number of copies")
-        figure(row[1], MOST_RATE, "an object's rate"), must_whole(row[2], "an object's copies")
+        bounded_number(row[1], MOST_RATE, "an object's rate"), required_integer(row[2], "an object's copies")
     for name, row in classes.items():
         if not isinstance(name, str) or not isinstance(row, list) or len(row) != 2:
             raise Malformed("a class has a time and a count")
-        figure(row[0], MOST_TIME, "a class's time"), must_whole(row[1], "a class's count")
+        bounded_number(row[0], MOST_TIME, "a class's time"), required_integer(row[1], "a class's count")
     for key, most in (("took", MOST_TIME), ("send", MOST_TIME), ("work", MOST_ROOM), ("fills", MOST_ROOM)):
-        figure(raw.get(key), most, key)
+        bounded_number(raw.get(key), most, key)
     return raw
 
 
--- a/threadhill/recovery/proxy.py
+++ b/threadhill/recovery/proxy.py
@@ -15,7 +15,7 @@
 from threadhill.recovery.numbers import Memory, Verdict, judge
 from threadhill.recovery.phases import Allows, Blind, Phase, Phases, Policy
 from threadhill.recovery.statefile import StateFile
-from threadhill.settings import Malformed, mapping, must_whole
+from threadhill.settings import Malformed, mapping, required_integer
 
 TURN = 100_000  # microseconds between looks at the phases
 COME_BACK = 250_000  # microseconds for which a refused client is sent away while this proxy catches up, by chance half
@@ -215,7 +215,7 @@
         """What running proxies learned, over the feed. Only one that is not warm takes it, and once."""
         try:
             raw = mapping(raw, "what was learned")
-            known, age = learned.check(raw.get("known")), must_whole(raw.get("age"), "its age") * 1_000
+            known, age = learned.check(raw.get("known")), required_integer(raw.get("age"), "its age") * 1_000
         except Malformed as error:
             self.engine.stats.count("malformed", "learned")
             self.log(f"journal: {error}")
@@ -244,7 +244,7 @@
             self.phases.news_at = None
             stale = [
                 e
-                for e in self.engine.cordons.listed.values()
+                for e in self.engine.cordons.entries.values()
                 if e.state is api.State.READY
                 and e.server in self.memory.out
                 and e.reported_start <= self.memory.out[e.server]
@@ -265,7 +265,7 @@
         """Write the state file now, unless what is known is less than what it holds."""
         if self.file is None or self.phases.phase in (Phase.BLANK, Phase.CATCHING_UP):
             return
-        cordons = sorted(self.engine.cordons.out.values())
+        cordons = sorted(self.engine.cordons.cordoned.values())
         unix = self.engine.clock.unix_now()
         body = saved.content(
             self.engine.router, self.memory, self.journal.pos, cordons, self.engine.clock.now(), self.fence.term, unix
--- a/threadhill/recovery/saved.py
+++ b/threadhill/recovery/saved.py
@@ -21,7 +21,7 @@
 from threadhill.decision.freshness import PurgeRecord
 from threadhill.recovery import learned
 from threadhill.recovery.numbers import Memory
-from threadhill.settings import Malformed, mapping, must_whole, sequence, whole
+from threadhill.settings import Malformed, integer, mapping, required_integer, sequence
 
 VERSION = 1
 MOST = 1 << 20  # bytes of a file
@@ -93,26 +93,29 @@
         raise Malformed(f"it is cut off: {len(body)} bytes of {told.get('size')}")
     if zlib.crc32(body) != told.get("crc"):
         raise Malformed("it is damaged: its checksum is another")
-    at = must_whole(told.get("at"), "its time")
+    at = required_integer(told.get("at"), "its time")
     if at > now + AHEAD:
         raise Malformed(f"it is {(at - now) / 1e6:.0f} s in the future: the clock was set back, or it is of elsewhere")
     try:
         raw = mapping(orjson.loads(body), "its content")
         cordons = [name for name in sequence(raw.get("cordons"), "cordons") if isinstance(name, str)][:NAMES]
-        out = {must_whole(n, "a server"): must_whole(s, "its start") for n, s in sequence(raw.get("out"), "out")}
+        out = {
+            required_integer(n, "a server"): required_integer(s, "its start")
+            for n, s in sequence(raw.get("out"), "out")
+        }
         purges = [
-            (key, must_whole(when, "a purge's time"))
+            (key, required_integer(when, "a purge's time"))
             for key, when in sequence(raw.get("purges"), "purges")
             if isinstance(key, str | int)
         ]
         return Saved(
             at,
-            must_whole(raw.get("pos"), "pos"),
+            required_integer(raw.get("pos"), "pos"),
             learned.check(raw.get("learned")),
             out,
             purges,
             cordons,
-            whole(raw.get("term"), "term"),
+            integer(raw.get("term"), "term"),
         )
     except (ValueError, TypeError, Malformed) as error:
         raise Malformed(f"its content can't be read: {error}") from None
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -16,7 +16,7 @@
 import orjson
 
 from threadhill.cli_codes import CHANGES, DONE
-from threadhill.config import BadConfig, Config, Unreadable, load
+from threadhill.config import BadConfig, Config, UnreadableConfig, load
 from threadhill.core.engine import Engine
 from threadhill.log import Log
 from threadhill.net.door import Door
@@ -34,7 +34,7 @@
     from threadhill.admin.explain import Explain
     from threadhill.dns.front import DnsConfig, DnsFront
     from threadhill.dns.signing import Signer
-    from threadhill.operators import AdminConfig, Operator
+    from threadhill.operators import AdminConfig, OperatorConfig
     from threadhill.overload.control import Control, OverloadConfig
     from threadhill.recovery.proxy import Recovery, RecoveryConfig
 
@@ -58,15 +58,20 @@
 class Proxy:
     """One steering proxy on the running loop."""
 
-    def __init__(self, config: Config, operator: Operator | None) -> None:
+    def __init__(self, config: Config, operator: OperatorConfig | None) -> None:
         self.config, self.operator = config, operator
         turns = Turns(log)
         self.loop, self.clock, self.stats, self.deadlines = turns.loop, turns.clock, turns.stats, turns.deadlines
         self.engine = Engine(config.settings, config.seed, self.clock, self.deadlines, self.stats, log)
         self.caches = CacheServers(self.engine, self._limits(config), log)
-        self.journal = Journal(self.engine, self.caches, log, config.name, config.report, config.line)
+        self.journal = Journal(self.engine, self.caches, log, config.name, config.report, config.max_event_bytes)
         self.front = Platform(
-            self.engine, config.settings.classes, config.clients, config.outbound, self.loop.call_soon, log
+            self.engine,
+            config.settings.classes,
+            config.max_clients,
+            config.max_outbound_bytes,
+            self.loop.call_soon,
+            log,
         )
         self.caches.held_up = self.front.held_up = LoopLag(self.loop, self.clock).held_up
         self.front.news_waits = self.journal.news_waits
@@ -83,7 +88,7 @@
     def _watch_clock(self) -> None:
         """Log each step of the wall clock. Nothing here goes by it, but what others tell in Unix time must be read
         with that in mind."""
-        step = self.clock.step()
+        step = self.clock.wall_clock_step()
         if step:
             self.stats.count("clock", "stepped")
             log(f"clock: the wall clock was stepped by {step / 1e6:+.3f} s")
@@ -118,7 +123,7 @@
                 self.journal.knowledge = Knowledge(self.engine, log)
             if self.operator.recovery is not None and self.config.journal is not None:
                 self._recover(self.operator.recovery)
-        self.journal.catch_up(*self.config.known)
+        self.journal.catch_up(*self.config.known_events)
         if self.recovery is not None:
             self.recovery.restore(self.journal.pos)
         self.journal.follow(self.config.journal, self.config.journals)
@@ -135,7 +140,7 @@
             if self.operator.admin is not None:
                 await self._serve_admin(self.operator.admin)
         self.front.ready = not self._leaving
-        log.say(f"{self.config.name}: serving on {host}:{port}")
+        log.write(f"{self.config.name}: serving on {host}:{port}")
         await self.done.wait()
         self.front.door.shut()
         if self.recovery is not None:
@@ -147,7 +152,7 @@
         from threadhill.recovery.proxy import Recovery
 
         written = int(os.stat(os.environ["LB_CONFIG"]).st_mtime_ns // 1_000)
-        known_at = self.clock.now() - self.clock.age(written) if self.config.known[1] else None
+        known_at = self.clock.now() - self.clock.wall_clock_age(written) if self.config.known_events[1] else None
         self.recovery = self.journal.recovery = Recovery(
             self.engine, config, self.config.name, self.config.seed, known_at, log, self.journal
         )
@@ -224,9 +229,9 @@
             server = DnsServer(front, log)
         except Malformed as error:
             raise BadConfig(f"dns.tls: {error}") from None
-        log.say(f"dns: serving on {await server.listen()}")
+        log.write(f"dns: serving on {await server.listen()}")
         if config.tls is not None:
-            log.say(f"dns tls: serving on {await server.listen_tls()}")
+            log.write(f"dns tls: serving on {await server.listen_tls()}")
 
     def _signer(self, config: DnsConfig) -> Signer:
         """Signs for the zones whose keys are in the operator's folder, and takes new keys as they are put there."""
@@ -265,11 +270,11 @@
         )
         door = Door(self.engine, "admin client", ADMINS, lambda door: HttpConnection(token, api, door), log)
         host = config.listen[0]
-        log.say(f"admin: serving on {host}:{await door.listen(*config.listen)}")
+        log.write(f"admin: serving on {host}:{await door.listen(*config.listen)}")
 
     def _access(self, config: AdminConfig) -> tuple[str | Access, Callable[[str, str, Any, int], None] | None]:
         """How callers are known, and where what they change is noted."""
-        if config.keys is None and config.audit is None:
+        if config.keys_file is None and config.audit_file is None:
             return config.token, None
         from threadhill.admin.access import Access
         from threadhill.tenancy.audit import Broken
@@ -278,10 +283,12 @@
         from threadhill.tenancy.keys import Gate
 
         try:
-            audit = AuditLog(config.audit, log.say) if config.audit is not None else None
-            file = KeyFile(config.keys, log.say) if config.keys is not None else None
+            audit = AuditLog(config.audit_file, log.write) if config.audit_file is not None else None
+            file = KeyFile(config.keys_file, log.write) if config.keys_file is not None else None
         except Broken as error:
-            raise BadConfig(f"admin.audit_file: {config.audit}: {error}; keep it aside and begin a new one") from None
+            raise BadConfig(
+                f"admin.audit_file: {config.audit_file}: {error}; keep it aside and begin a new one"
+            ) from None
         except (Malformed, OSError) as error:
             raise BadConfig(f"admin: {error}") from None
         # Unix time: what the audit log says is read by people, and keys expire at a date.
@@ -320,7 +327,7 @@
         self.cordon_file = CordonFile(Path(tempfile.gettempdir()), log)
         self._take_cordons()
         door = management_door(self.engine, self, log, CALLERS)
-        log.say(f"management: serving on {where[0]}:{await door.listen(*where)}")
+        log.write(f"management: serving on {where[0]}:{await door.listen(*where)}")
 
     def _take_cordons(self) -> None:
         """What another process of this proxy was told: those out by hand, and those put back lately."""
@@ -329,18 +336,18 @@
             saved = self.cordon_file.read()
             if saved is not None:
                 cordons = self.engine.cordons
-                for number, name in list(cordons.out.items()):
+                for number, name in list(cordons.cordoned.items()):
                     if name not in saved.out:
                         at = saved.back.get(name)
-                        self.engine.uncordon(number, None if at is None else self.clock.local(at))
+                        self.engine.uncordon(number, None if at is None else self.clock.from_monotonic(at))
                 for name in saved.out:
                     self.engine.cordon(server_number(name), name, allow_unlisted=True)
                 for name, at in saved.back.items():
-                    self.engine.uncordoned_elsewhere(server_number(name), name, self.clock.local(at))
+                    self.engine.uncordoned_elsewhere(server_number(name), name, self.clock.from_monotonic(at))
         self.deadlines.add(self.clock.now() + CORDONS_LOOK, self._take_cordons)
 
     def _keep_cordons(self) -> None:
-        self.cordon_file.write(self.engine.cordons.saved(self.clock.now(), CORDONS_KEEP), self.clock.monotonic)
+        self.cordon_file.write(self.engine.cordons.saved_state(self.clock.now(), CORDONS_KEEP), self.clock.to_monotonic)
 
     # --- what the operators' address asks
 
@@ -349,9 +356,9 @@
         return self.front.door.listening and not self._leaving and not blind
 
     def figures(self) -> dict[str, int]:
-        from threadhill.core.figures import figures
+        from threadhill.core.figures import operator_metrics
 
-        return figures(
+        return operator_metrics(
             self.stats, self.config.settings.classes, len(self.engine.requests), *self.engine.rotation_counts()
         )
 
@@ -379,10 +386,10 @@
     def reload(self, environ: Mapping[str, str] = os.environ) -> None:
         """SIGHUP: the file is read and checked whole before anything changes; a bad one changes nothing. Journal
         and limits move at once; what stands for the process itself, or shapes the module, takes a restart."""
-        self.deadlines.drop(self._reload_again)
+        self.deadlines.cancel(self._reload_again)
         try:
             new = load(environ)
-        except Unreadable as error:  # a full table of descriptors, a disk that errs: it may pass
+        except UnreadableConfig as error:  # a full table of descriptors, a disk that errs: it may pass
             self.stats.count("reload", "put off")
             if self._reload_again is None:
                 log.event(f"reload: {error}; everything stays as it is, it is tried again until it can be read")
@@ -396,8 +403,8 @@
         old, self.config = self.config, new
         later = [key for key in ("name", "listen", "settings") if getattr(old, key) != getattr(new, key)]
         self.caches.limit(self._limits(new))
-        self.front.door.most, self.front.all_outbound = new.clients, new.outbound
-        self.journal.catch_up(*new.known)
+        self.front.door.most, self.front.all_outbound = new.max_clients, new.max_outbound_bytes
+        self.journal.catch_up(*new.known_events)
         self.journal.follow(new.journal, new.journals)
         self.stats.count("reload", "done")
         log.event("reload: done" + (f"; {', '.join(later)} take a restart" if later else ""))
@@ -448,11 +455,11 @@
 
     def report(self) -> None:
         """The counters, one line of JSON, behind what was done lately."""
-        log.say(f"trace: {self.engine.trace.lately(self.clock.now())}")
-        log.say(orjson.dumps(self.stats.table()).decode())
+        log.write(f"trace: {self.engine.trace.recent(self.clock.now())}")
+        log.write(orjson.dumps(self.stats.table()).decode())
 
 
-def serve(config: Config, operator: Operator | None) -> None:
+def serve(config: Config, operator: OperatorConfig | None) -> None:
     async def main() -> None:
         await Proxy(config, operator).run()
 
@@ -473,7 +480,7 @@
     while True:
         try:
             return load(environ)
-        except Unreadable as error:
+        except UnreadableConfig as error:
             passing = isinstance(error.__cause__, OSError) and error.__cause__.errno in READ_AGAIN
             if not passing or time.monotonic() > end:
                 raise
@@ -492,6 +499,6 @@
 
             serve(loaded, load_operator(operator))
     except BadConfig as error:
-        log.say(f"threadhill: {error}")
+        log.write(f"threadhill: {error}")
         return CHANGES
     return DONE
--- a/threadhill/settings.py
+++ b/threadhill/settings.py
@@ -20,7 +20,7 @@
     """A line that is not the wire's."""
 
 
-def whole(value: Any, what: str) -> int:
+def integer(value: Any, what: str) -> int:
     """A whole number, absent counting as 0."""
     if value is None:
         return 0
@@ -29,14 +29,14 @@
     return value
 
 
-def must_whole(value: Any, what: str) -> int:
+def required_integer(value: Any, what: str) -> int:
     """A whole number that may not be absent."""
     if value is None:
         raise Malformed(f"{what} is missing")
-    return whole(value, what)
+    return integer(value, what)
 
 
-def known_table(raw: dict[str, Any], key: str, keys: set[str]) -> dict[str, Any] | None:
+def optional_table(raw: dict[str, Any], key: str, keys: set[str]) -> dict[str, Any] | None:
     """A table of a file, None where it is absent; a key that is not known is a fault: it would be without effect."""
     if key not in raw:
         return None
@@ -46,7 +46,7 @@
     return table
 
 
-def figure(value: Any, most: float, what: str) -> float:
+def bounded_number(value: Any, most: float, what: str) -> float:
     """One figure from 0 to so much, of what others tell: neither a flag nor without end."""
     if (
         isinstance(value, bool)
@@ -145,16 +145,16 @@
         name=names([raw.get("name")], f"profiles[{index}].name")[0],
         retry_safety=one_of(EFFECTS, raw.get("repeat"), f"profiles[{index}].repeat"),
         dedup_scope=one_of({s.value: s for s in api.DedupScope}, "all" if scope is None else scope, "dedup-scope"),
-        dedup_window=whole(raw.get("repeat-window"), "repeat-window"),
-        latency_target=whole(raw.get("objective"), "objective"),
+        dedup_window=integer(raw.get("repeat-window"), "repeat-window"),
+        latency_target=integer(raw.get("objective"), "objective"),
         latency_target_stretch=number(raw.get("aim-stretch"), "aim-stretch"),
-        deadline=whole(raw.get("deadline"), "deadline"),
+        deadline=integer(raw.get("deadline"), "deadline"),
         value=number(raw.get("value"), "value"),
         late_value=number(raw.get("late-worth"), "late-worth"),
         streamed=flag(raw.get("streamed"), "streamed"),
         write=flag(by_place("class-write"), "class-write"),
-        freshness_lifetime=whole(by_place("fresh-for"), "fresh-for"),
-        max_stale=whole(by_place("stale-for"), "stale-for"),
+        freshness_lifetime=integer(by_place("fresh-for"), "fresh-for"),
+        max_stale=integer(by_place("stale-for"), "stale-for"),
         stale_value=number(by_place("old-copy-worth"), "old-copy-worth"),
         in_parts=flag(by_place("in-parts"), "in-parts"),
     )
@@ -244,7 +244,7 @@
 
     def kind(key: str) -> str | None:
         place = extra.get(key)
-        place = -1 if place is None else whole(place, key)
+        place = -1 if place is None else integer(place, key)
         if not -1 <= place < len(kinds):
             raise Malformed(f"{key} is {place}; machine-types has {len(kinds)} names, and -1 stands for none")
         return kinds[place] if place >= 0 else None
@@ -252,23 +252,23 @@
     def named(enum: Any, where: dict[str, Any], key: str, absent: Any) -> Any:
         return absent if where.get(key) is None else one_of({e.value: e for e in enum}, where[key], key)
 
-    told_routers = whole(raw.get("n-instances"), "n-instances")
+    told_routers = integer(raw.get("n-instances"), "n-instances")
     settings = api.Settings(
         classes={cls.name: cls for cls in classes},
         zone=text(raw.get("zone") or "", "zone"),
         zones=names(raw.get("zones"), "zones"),
-        zone_hub=tuple(must_whole(hub, "hub-of") for hub in sequence(extra.get("hub-of"), "hub-of")),
+        zone_hub=tuple(required_integer(hub, "hub-of") for hub in sequence(extra.get("hub-of"), "hub-of")),
         zone_link_kb_per_s=tuple(
             number(link, "zone-link-kb-per-s")
             for link in sequence(extra.get("zone-link-kb-per-s"), "zone-link-kb-per-s")
         ),
         zone_routers=tuple(sequence(extra.get("crew-by-zone"), "crew-by-zone")),
         routers=max(1, told_routers) if told_routers >= 0 else told_routers,
-        rank=whole(raw.get("rank"), "rank"),
+        rank=integer(raw.get("rank"), "rank"),
         parent_kind=kind("upper-kind"),
         origin_kind=kind("master-kind"),
         client_kb_per_s=number(extra.get("client-kb-per-s"), "client-kb-per-s"),
-        tick=whole(raw.get("tick"), "tick"),
+        tick=integer(raw.get("tick"), "tick"),
         direct_to_origin=flag(extra.get("bypass-allowed"), "bypass-allowed"),
         coalesces_fills=flag(extra.get("shares-fills"), "shares-fills"),
         siblings=named(api.Siblings, extra, "sideways", api.Siblings.NONE),
@@ -276,25 +276,25 @@
         weights=named(api.Weights, raw, "weight-source", api.Weights.NONE),
         clients_mark_retries=flag(mapping(raw.get("callers"), "callers").get("marks-retry"), "marks-retry"),
         list_on_request=one_of(LISTS, raw.get("membership-mode", "pushed"), "membership-mode"),
-        ask_within=whole(rules.get("ask-within"), "ask-within"),
-        answer_slack=whole(rules.get("grace-to-answer"), "grace-to-answer"),
-        drain_grace=whole(rules.get("drain-grace"), "drain-grace"),
+        ask_within=integer(rules.get("ask-within"), "ask-within"),
+        answer_slack=integer(rules.get("grace-to-answer"), "grace-to-answer"),
+        drain_grace=integer(rules.get("drain-grace"), "drain-grace"),
         cold_capacity=number(rules.get("start-capacity", 1), "start-capacity"),
-        warm_up_time=whole(rules.get("ramp-time"), "ramp-time"),
+        warm_up_time=integer(rules.get("ramp-time"), "ramp-time"),
         overload_multiple=number(rules.get("fall-multiple", 1), "fall-multiple"),
-        overload_window=whole(rules.get("fall"), "fall"),
+        overload_window=integer(rules.get("fall"), "fall"),
         parent_cold_capacity=number(extra.get("upper-cold-from", 1), "upper-cold-from"),
-        parent_warm_up_time=whole(extra.get("parent-ramp"), "parent-ramp"),
+        parent_warm_up_time=integer(extra.get("parent-ramp"), "parent-ramp"),
         parent_overload_multiple=number(extra.get("parent-fall-multiple", 1), "parent-fall-multiple"),
-        purge_grace=whole(extra.get("purge-slack"), "purge-slack"),
-        purge_drop_time=whole(extra.get("purge-takes"), "purge-takes"),
+        purge_grace=integer(extra.get("purge-slack"), "purge-slack"),
+        purge_drop_time=integer(extra.get("purge-takes"), "purge-takes"),
         cancel=flag(limits.get("cancel"), "cancel"),
         probes=flag(limits.get("probes"), "probes"),
         retry_after_allowed=flag(limits.get("retry-after"), "retry-after"),
-        max_retry_after=whole(limits.get("max-retry-after"), "max-retry-after"),
-        max_attempts=max(1, whole(limits.get("max-attempts"), "max-attempts")),
+        max_retry_after=integer(limits.get("max-retry-after"), "max-retry-after"),
+        max_attempts=max(1, integer(limits.get("max-attempts"), "max-attempts")),
         second_copies=flag(limits.get("second-copies"), "second-copies"),
-        connect_timeout=whole(limits.get("connect-timeout"), "connect-timeout"),
+        connect_timeout=integer(limits.get("connect-timeout"), "connect-timeout"),
     )
     check_settings(settings, told_routers)
     return settings
--- a/threadhill/simhost.py
+++ b/threadhill/simhost.py
@@ -14,7 +14,17 @@
 
 from threadhill.decision import interface as api
 from threadhill.decision.choice import Router
-from threadhill.settings import Malformed, mapping, must_whole, number, one_of, read_settings, sequence, text, whole
+from threadhill.settings import (
+    Malformed,
+    integer,
+    mapping,
+    number,
+    one_of,
+    read_settings,
+    required_integer,
+    sequence,
+    text,
+)
 
 OUTCOMES = {
     "delivered": api.Outcome.SERVED,
@@ -65,29 +75,29 @@
         raise Malformed(f"a list line has {len(values)} values, not 7")
     since, cell, units, status, kind, zone, server = values[:7]
     return api.Entry(
-        server=must_whole(server, "server"),
+        server=required_integer(server, "server"),
         state=one_of(STATES, status, "status"),
         zone=zone if isinstance(zone, str) else "",
         kind=kind if isinstance(kind, str) else "",
-        cell=whole(cell, "cell"),
+        cell=integer(cell, "cell"),
         weight=number(units, "units"),
-        reported_start=whole(since, "since"),
+        reported_start=integer(since, "since"),
     )
 
 
 def read_members(v: list[Any]) -> api.ListNews:
     entries = tuple(read_entry(line) for line in sequence(v[2], "lines"))
-    return api.ListNews(one_of(LIST_KINDS, v[0], "how"), entries, whole(v[1], "generation"))
+    return api.ListNews(one_of(LIST_KINDS, v[0], "how"), entries, integer(v[1], "generation"))
 
 
 def read_request(v: list[Any]) -> api.Request:
-    flags = whole(v[8], "attrs")
+    flags = integer(v[8], "attrs")
     return api.Request(
         id=text(v[0], "msg-id"),
         cls=text(v[1], "grade"),
         tenant=v[2] if isinstance(v[2], str) else None,
         object="" if v[3] is None else text(v[3], "item"),
-        time_left=whole(v[4], "remaining"),
+        time_left=integer(v[4], "remaining"),
         size=number(v[5], "bytes-k"),
         group=None if v[6] is None else int(number(v[6], "batch-id")),
         part=int(number(v[7], "slice")),
@@ -98,27 +108,27 @@
 
 def read_started(v: list[Any]) -> api.AnswerStarted:
     return api.AnswerStarted(
-        text(v[0], "msg-id"), whole(v[1], "round-no"), must_whole(v[3], "server"), whole(v[2], "took")
+        text(v[0], "msg-id"), integer(v[1], "round-no"), required_integer(v[3], "server"), integer(v[2], "took")
     )
 
 
 def read_ended(v: list[Any]) -> api.AttemptEnded:
     return api.AttemptEnded(
         id=text(v[0], "msg-id"),
-        attempt=whole(v[1], "round-no"),
-        server=must_whole(v[2], "server"),
+        attempt=integer(v[1], "round-no"),
+        server=required_integer(v[2], "server"),
         outcome=one_of(OUTCOMES, v[3], "status"),
-        duration=whole(v[4], "took"),
+        duration=integer(v[4], "took"),
         request_closed=bool(v[5]),
-        cache_status=NOTES.get(whole(v[6], "info"), api.CacheStatus.NONE),
-        source_wait=whole(v[7], "waited"),
+        cache_status=NOTES.get(integer(v[6], "info"), api.CacheStatus.NONE),
+        source_wait=integer(v[7], "waited"),
         load=read_load(v[8]),
     )
 
 
 def read_probe(v: list[Any]) -> api.ProbeEnded:
     return api.ProbeEnded(
-        must_whole(v[0], "server"), one_of(OUTCOMES, v[1], "status"), whole(v[2], "took"), read_load(v[3])
+        required_integer(v[0], "server"), one_of(OUTCOMES, v[1], "status"), integer(v[2], "took"), read_load(v[3])
     )
 
 
@@ -127,12 +137,12 @@
         data = base64.b64decode(text(v[1], "contents"), validate=True)
     except ValueError as error:
         raise Malformed(f"contents is not base64: {error}") from None
-    return api.PeerSays(whole(v[0], "neighbour"), data)
+    return api.PeerSays(integer(v[0], "neighbour"), data)
 
 
 def read_purge(v: list[Any]) -> api.Purge:
     group = None if v[1] is None else int(number(v[1], "bucket"))
-    return api.Purge(None if v[0] is None else text(v[0], "item"), group, whole(v[2], "age"))
+    return api.Purge(None if v[0] is None else text(v[0], "item"), group, integer(v[2], "age"))
 
 
 READERS: dict[str, tuple[int, Callable[[list[Any]], api.Event]]] = {
@@ -194,8 +204,8 @@
             if self.batch is not None:
                 raise Malformed("begin-batch inside a batch")
             values += [None] * (2 - len(values))
-            self.now = must_whole(values[0], "the clock")
-            self.batch = must_whole(values[1], "the batch number")
+            self.now = required_integer(values[0], "the clock")
+            self.batch = required_integer(values[1], "the batch number")
         elif self.batch is None:
             raise Malformed(f"{name} outside a batch")
         elif name == "go":
@@ -208,7 +218,7 @@
 
     def event(self, name: str, values: list[Any]) -> None:
         """One event of a batch, for one instance."""
-        router = must_whole(values[0] if values else None, f"{name}: router")
+        router = required_integer(values[0] if values else None, f"{name}: router")
         if name == "killed":
             self.routers.pop(router, None)
             return
@@ -216,7 +226,7 @@
         try:
             if name == "open-instance":
                 values += [None] * (3 - len(values))
-                seed, settings = whole(values[1], "entropy"), read_settings(values[2])
+                seed, settings = integer(values[1], "entropy"), read_settings(values[2])
             elif name in READERS:
                 count, read = READERS[name]
                 event = read(values[1:] + [None] * (count + 1 - len(values)))
--- a/threadhill/tenancy/keyfile.py
+++ b/threadhill/tenancy/keyfile.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from threadhill.files import check_private, stamp
+from threadhill.files import check_private, file_version
 from threadhill.settings import Malformed
 from threadhill.tenancy.keys import MOST_KEYS, Key, read_key
 
@@ -47,12 +47,12 @@
 
     def __init__(self, path: Path, log: Callable[[str], None]) -> None:
         self.path, self.log = path, log
-        self._seen = stamp(path)
+        self._seen = file_version(path)
         self.keys = read(path)
 
     def look(self) -> bool:
         """Whether other keys were taken."""
-        seen = stamp(self.path)
+        seen = file_version(self.path)
         if seen == self._seen:
             return False
         self._seen = seen
