--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -55,7 +55,7 @@
     Mutant(
         "the check at the answer is left out",
         "core/engine.py",
-        "if end.outcome is api.Outcome.SERVED and self.router.turns_down(",
+        "if result.outcome is api.Outcome.SERVED and self.router.turns_down(",
         "if False and self.router.turns_down(",
         PURGES,
     ),
@@ -138,14 +138,14 @@
     Mutant(
         "attempts go on for who has left",
         "core/engine.py",
-        "        self._events.append(api.ClientGone(str(handle)))\n        self._undo_all(request)\n        self._pump()\n",
+        "        self._events.append(api.ClientGone(str(handle)))\n        self._abort_attempts(pending)\n        self._process_events()\n",
         "",
         (Rule.LEFT,),
         (
             (
                 "core/engine.py",
-                '        request = self.requests.free(handle)\n        if request is None:\n            return\n        self.deadlines.cancel(request.timer)\n        self.stats.count("client_gone"',
-                '        request = self.requests.get(handle)\n        if request is None:\n            return\n        self.stats.count("client_gone"',
+                '        pending = self.requests.free(handle)\n        if pending is None:\n            return\n        self.deadlines.cancel(pending.timer)\n        self.stats.count("client_gone"',
+                '        pending = self.requests.get(handle)\n        if pending is None:\n            return\n        self.stats.count("client_gone"',
             ),
         ),
     ),
--- a/threadhill/core/ports.py
+++ b/threadhill/core/ports.py
@@ -1,4 +1,7 @@
-"""The narrow ports between the core and what plugs into it. Nothing here knows a wire."""
+"""The interfaces between the core and what is attached to it: fronts, cache connections, overload control, recovery.
+
+Nothing here depends on a wire protocol.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 
 class FinalStatus(Enum):
-    """The final answer of a request."""
+    """The status of the final answer to a request."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -19,55 +22,55 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """What a front has taken from a client."""
+    """A request as a front received it from a client."""
 
     request_id: str
     class_name: str
     object: str
-    time_left: int  # microseconds that the client still waits
+    time_left: int  # microseconds until the client gives up
     part: int = 0
     group: int | None = None
     size: float = 0.0
-    repeat: bool = False
+    repeat: bool = False  # the client marked it as a repeat of an earlier request
     tenant: str | None = None
-    idempotency_key: str | None = None  # the idempotency key
-    client_tag: str | None = None  # the tag of the client's own copy
+    idempotency_key: str | None = None
+    client_tag: str | None = None  # tag of the copy that the client already has
     body: bytes = b""
-    hand_over: bool = False  # the client is to be told a server, and goes there itself
-    weight: float = 1.0  # of one handed over: how many requests the answer is likely to bring
-    inflight_share: float = 1.0  # of a server's room that it may fill, as overload control says
-    client: str = ""  # who asks, as far as the front can tell: a connection, a resolver
+    hand_over: bool = False  # answer with the address of a server, which the client then contacts itself
+    weight: float = 1.0  # of a hand-over: how many requests the answer is expected to bring
+    inflight_share: float = 1.0  # share of a server's capacity that this request may use; set by overload control
+    client: str = ""  # the client as far as the front can identify it: a connection, a resolver
 
 
 @dataclass(slots=True)
 class Answer:
-    """What a front is given for the client; `not_modified` says that the client's own copy is the one."""
+    """The answer that a front passes to the client. With `not_modified` the client's own copy is still valid."""
 
     status: FinalStatus
     body: bytes = b""
     tag: str = ""
     not_modified: bool = False
-    retry_after: int = 0  # microseconds that a refused client is to stay away
-    server: int = -1  # of a request that is handed over: the server to go to
-    expected_time: int = 0  # and the microseconds that a request takes there, as the module reckons
+    retry_after: int = 0  # microseconds that a refused client should wait before a retry
+    server: int = -1  # for a hand-over: the server to contact
+    expected_time: int = 0  # for a hand-over: the decision module's estimate of a request's microseconds there
 
 
 @dataclass(slots=True)
 class AttemptSpec:
-    """One attempt, as it is to be sent to one server."""
+    """One attempt, to be sent to one server."""
 
     request: ClientRequest
     server: int
-    source: int  # the server itself: nothing is filled
-    timeout: int  # microseconds; 0 until the client gives up
-    max_age: int = 0  # microseconds; 0 as the class has it
+    source: int  # where the server fills its copy from; equal to `server`: it does not fill
+    timeout: int  # microseconds; 0: until the client gives up
+    max_age: int = 0  # microseconds; 0: as the class says
     mode: api.FillMode = api.FillMode.PLAIN
     keep_rank: int = 0
-    at_most_once: bool = False  # it must never run twice, so what may have run can't be sent again
+    at_most_once: bool = False  # it must never run twice, so it is not sent again once it may have run
     deadline: int = (
-        0  # when `timeout` is over, in local time: how long the server is told it has is reckoned as it is written
+        0  # local time at which `timeout` ends; the time left is computed from it when the request is written
     )
-    start_by: int = 0  # the moment from which on it must not begin any more; 0: none
+    start_by: int = 0  # local time from which on the attempt must not be started any more; 0: no limit
 
 
 @dataclass(slots=True)
@@ -79,43 +82,47 @@
     tag: str = ""
     not_modified: bool = False
     load: dict[str, float] = field(default_factory=dict)
-    cache_status: api.CacheStatus = api.CacheStatus.NONE  # what it tells of the fill behind it, where the site tells
-    source_wait: int = 0  # microseconds of it spent on the source
-    created_at: int = 0  # Unix microseconds at which the origin gave out the copy; 0: not told
+    cache_status: api.CacheStatus = (
+        api.CacheStatus.NONE
+    )  # what the server reported about its fill, on sites that report it
+    source_wait: int = 0  # microseconds that the server waited for the source
+    created_at: int = 0  # Unix microseconds at which the origin gave out the copy; 0: not reported
 
 
 class OverloadControl(Protocol):
-    """Overload control: hears of each request and its end, and may hold one off the module."""
+    """Sees every request and its end, and can refuse a request before it reaches the decision module."""
 
     def admit(self, handle: int, request: ClientRequest, front: str, now: int) -> int | None:
-        """None: to the module with it. Else it is refused at once, to come back after so many microseconds."""
+        """None if the request may go to the decision module; else it is refused and may return after the microseconds
+        returned."""
         ...
 
     def request_refused(self, handle: int, retry_after: int, now: int) -> int:
-        """The module refuses it, with this time to come back: the time that is told."""
+        """The decision module refused the request with this retry time; returns the retry time to tell the client."""
         ...
 
     def request_finished(self, handle: int, status: FinalStatus, now: int) -> None: ...
 
     def client_gone(self, handle: int, now: int) -> None:
-        """Its client stopped waiting."""
+        """The client stopped waiting for the answer."""
         ...
 
 
 class RecoveryGate(Protocol):
-    """Recovery: whether anything may be sent to servers at all, as what is known of them may be out of date."""
+    """Decides whether anything may be sent to servers, while what is known about them may be out of date."""
 
     def retry_after(self, now: int) -> int | None:
-        """None: requests go on to the module. Else each is refused at once, to come back after so many microseconds."""
+        """None if requests may go to the decision module; else each is refused and may return after the microseconds
+        returned."""
         ...
 
     def may_send(self, now: int) -> bool:
-        """Whether an attempt that was decided on may go out now; else it comes back to the module as never sent."""
+        """Whether an attempt may be sent now. If not, it is reported to the decision module as never sent."""
         ...
 
 
 class Front(Protocol):
-    """Takes the one final answer for what it asked under `ref`; `name` is what it is called in figures."""
+    """Receives exactly one final answer for each request it submitted under `ref`. `name` is its name in metrics."""
 
     name: str
 
@@ -123,18 +130,18 @@
 
 
 class CacheTransport(Protocol):
-    """Carries attempts; tells the core of each one's end, once, unless it was dropped before."""
+    """Sends attempts to servers and reports the end of each to the core exactly once, unless it was cancelled."""
 
     def send(self, attempt: int, spec: AttemptSpec) -> None: ...
 
     def cancel(self, attempt: int) -> bool:
-        """Give one up; tells whether any of it had been written, so that it may have run."""
+        """Give up an attempt. Returns whether any of it was written, in which case it may have run."""
         ...
 
     def list_changed(self, entries: list[api.Entry]) -> None:
-        """The list changed: what waits to be sent to one that is not ready must not go any more."""
+        """The server list changed: attempts not yet written to servers that are no longer ready must not be sent."""
         ...
 
     def purge_received(self, object: str | None, group: int | None) -> None:
-        """Copies of these became void: what waits to be sent for them must be decided anew."""
+        """Copies were invalidated: attempts for them that are not yet written go back to be decided again."""
         ...
