--- a/threadhill/core/__init__.py
+++ b/threadhill/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: requests, attempts and deadlines round one Router. It knows no wire; fronts and caches plug in."""
+"""The core: requests, attempts and deadlines around one Router. Fronts and cache connections attach through ports."""
--- a/threadhill/core/cordons.py
+++ b/threadhill/core/cordons.py
@@ -1,9 +1,9 @@
-"""Cache servers that operators took out by hand. The module is told of them as draining, whatever the journal says,
-and is told of them again, as newly started, when they are put back: operators restart them meanwhile, so they come
-back cold and the module's cold rule must hold for them.
+"""Cordons: cache servers that operators took out of rotation by hand.
 
-Why here and not in the module: the module decides what a draining or cold server gets, and that stays its decision;
-what is rewritten here is only what the list says, which is the operators' to say. Nothing here does I/O.
+The decision module sees a cordoned server as draining, whatever the journal says. When it is uncordoned, the module
+sees it as newly started: operators restart servers meanwhile, so they come back cold and slow start must apply.
+
+The decision module still decides what a draining or cold server gets. Only the list is rewritten here. No I/O.
 """
 
 from __future__ import annotations
@@ -12,20 +12,21 @@
 
 from threadhill.decision import interface as api
 
-MAX_CORDONED = 4_096  # names that may be out by hand at once: more than any list holds, so that the table stays bounded
+MAX_CORDONED = 4_096  # bound of the table of cordons; longer than any list of servers
 
 
 class Cordons:
-    """The true list as the journal told it, and which of its servers are out by hand."""
+    """The server list as the journal reports it, and the cordons on top of it."""
 
     def __init__(self) -> None:
-        self.entries: dict[int, api.Entry] = {}  # the journal's own word on each server
-        self.cordoned: dict[int, str] = {}  # number -> name, of those out by hand
-        # Of those put back: the journal's start, the one told instead and the name, until the journal tells another.
+        self.entries: dict[int, api.Entry] = {}  # as the journal reports them
+        self.cordoned: dict[int, str] = {}  # number -> name
+        # Uncordoned servers: the start that the journal reports, the start passed on instead, and the name. An entry
+        # is dropped when the journal reports another start.
         self.restarted: dict[int, tuple[int, int, str]] = {}
 
     def filter_news(self, news: api.ListNews) -> api.ListNews:
-        """List news as the module is to see it: who is out by hand drains. The true list is kept."""
+        """Record the journal's list and return the news as the decision module should see it."""
         if news.kind is api.ListKind.FAILED:
             return news
         if news.kind is not api.ListKind.CHANGES:
@@ -41,26 +42,26 @@
         return replace(news, entries=tuple(self._visible(entry) for entry in news.entries))
 
     def _visible(self, entry: api.Entry) -> api.Entry:
-        told, instead, _ = self.restarted.get(entry.server, (-1, 0, ""))
-        if told == entry.reported_start:
-            entry = replace(entry, reported_start=instead, local_start=instead)
-        elif told >= 0:  # the journal knows of a start of its own now
+        reported, replacement, _ = self.restarted.get(entry.server, (-1, 0, ""))
+        if reported == entry.reported_start:
+            entry = replace(entry, reported_start=replacement, local_start=replacement)
+        elif reported >= 0:  # the journal now reports a start of its own
             del self.restarted[entry.server]
         if entry.server in self.cordoned and entry.state is api.State.READY:
             return replace(entry, state=api.State.DRAINING)
         return entry
 
     def visible_entries(self) -> list[api.Entry]:
-        """The whole list as the module is to see it now."""
+        """The whole list as the decision module should see it now."""
         return [self._visible(entry) for entry in self.entries.values()]
 
     def known(self, number: int) -> bool:
-        """Whether anybody has this server: listed now, or out by hand."""
+        """Whether this server is listed or cordoned."""
         return number in self.entries or number in self.cordoned
 
     def cordon(self, number: int, name: str) -> api.ListNews | None:
-        """Take one out; the news for the module, or None where nothing changes for it. A second call changes
-        nothing: one call back undoes both."""
+        """Cordon a server; returns the news for the decision module, or None if nothing changes for it. A second call
+        has no effect: one `uncordon` undoes both."""
         if number in self.cordoned or len(self.cordoned) >= MAX_CORDONED:
             return None
         self.cordoned[number] = name
@@ -70,7 +71,7 @@
         return api.ListNews(api.ListKind.CHANGES, (replace(entry, state=api.State.DRAINING),))
 
     def uncordon(self, number: int, now: int) -> api.ListNews | None:
-        """Put one back: it is told as started now, so that the module takes it for cold."""
+        """Uncordon a server; the news reports it as started now, so that the decision module treats it as cold."""
         name = self.cordoned.pop(number, None)
         if name is None:
             return None
@@ -81,7 +82,7 @@
         return api.ListNews(api.ListKind.CHANGES, (replace(entry, reported_start=now, local_start=now),))
 
     def uncordoned_elsewhere(self, number: int, name: str, at: int) -> api.ListNews | None:
-        """Another process put this one back at a local time: it is as cold as it was then. None where it is known."""
+        """Another process uncordoned this server at a local time: treat it as started then. None if that is known."""
         entry = self.entries.get(number)
         if (
             entry is None
@@ -95,7 +96,7 @@
         return api.ListNews(api.ListKind.CHANGES, (replace(entry, reported_start=at, local_start=at),))
 
     def saved_state(self, now: int, keep: int) -> dict[str, object]:
-        """What another process on this machine needs to go on from here: who is out, and who was put back less than
-        `keep` ago and so is still cold. Those put back earlier are forgotten: their start is past any ramp."""
-        self.restarted = {n: back for n, back in self.restarted.items() if now - back[1] < keep}
+        """The state that another process on this machine continues from: cordoned servers, and servers uncordoned less
+        than `keep` microseconds ago, which are still cold. Earlier ones are dropped: they are past any warm-up."""
+        self.restarted = {n: restart for n, restart in self.restarted.items() if now - restart[1] < keep}
         return {"out": sorted(self.cordoned.values()), "back": {name: at for _, at, name in self.restarted.values()}}
--- a/threadhill/core/deadlines.py
+++ b/threadhill/core/deadlines.py
@@ -1,4 +1,4 @@
-"""All deadlines in one sorted structure, swept each turn; one timer stands for its head."""
+"""All deadlines in one sorted map, run at each turn of the loop. One timer is armed for the earliest."""
 
 from __future__ import annotations
 
@@ -10,62 +10,62 @@
 
 
 class Deadlines:
-    """What is to happen when; `arm` is called with the time of a new head, None when nothing is left. An exception
-    goes to `fault`: one thing that fails must not keep the others from being done, nor the timer from being armed."""
+    """Callbacks by due time. `arm` is called with the earliest due time when it changes, or None when nothing is left.
+    Exceptions of callbacks go to `fault`, so that the other callbacks still run and the timer is armed."""
 
     def __init__(self, arm: Callable[[int | None], None], fault: Callable[[Exception], None]) -> None:
         self._arm, self._fault = arm, fault
-        self._entries: SortedDict = SortedDict()  # (when, number) -> what to do
+        self._entries: SortedDict = SortedDict()  # (when, number) -> callback
         self._keys = self._entries.keys()
-        self._number = 0
+        self._last_number = 0
         self._armed: int | None = None
         self._running = False
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def add(self, when: int, due: Callback) -> tuple[int, int]:
-        """Remember what is due then; the key returned takes it back."""
-        self._number += 1
-        key = (when, self._number)
-        self._entries[key] = due
+    def add(self, when: int, callback: Callback) -> tuple[int, int]:
+        """Schedule a callback; the key returned cancels it."""
+        self._last_number += 1
+        key = (when, self._last_number)
+        self._entries[key] = callback
         if self._armed is None or when < self._armed:
-            self._set(when)
+            self._arm_for(when)
         return key
 
     def cancel(self, key: tuple[int, int] | None) -> None:
-        """Take one back; one that is done already is no matter. The timer may then wake for nothing."""
+        """Cancel a callback; no effect if it has run. The timer may then fire with nothing due."""
         if key is not None:
             self._entries.pop(key, None)
 
     def timer_fired(self) -> None:
-        """The timer has gone off: whatever the head is now, it must be armed anew."""
+        """The timer has fired and must be armed again for whatever is earliest."""
         self._armed = None
 
     def run_due(self, now: int) -> None:
-        """Do all that is due, in order; what that adds for now or earlier is done in the same sweep."""
+        """Run all callbacks that are due, in order, including those that they add for `now` or earlier."""
         if self._running or not self._entries or self._keys[0][0] > now and self._armed is not None:
-            return  # nothing is due, and the timer stands
+            return  # nothing is due and the timer is armed
         self._running = True
         try:
             self._run_due(now)
         finally:
             self._running = False
-        head = self._keys[0][0] if self._entries else None
-        if head != self._armed:
-            self._set(head)
+        earliest = self._keys[0][0] if self._entries else None
+        if earliest != self._armed:
+            self._arm_for(earliest)
 
     def _run_due(self, now: int) -> None:
         while self._entries:
             key = self._keys[0]
             if key[0] > now:
                 break
-            due = self._entries.pop(key)
+            callback = self._entries.pop(key)
             try:
-                due()
+                callback()
             except Exception as error:
                 self._fault(error)
 
-    def _set(self, when: int | None) -> None:
+    def _arm_for(self, when: int | None) -> None:
         self._armed = when
         self._arm(when)
--- a/threadhill/core/slots.py
+++ b/threadhill/core/slots.py
@@ -1,4 +1,4 @@
-"""A table of numbered slots: a number is used again, a generation tells its holders apart."""
+"""A table of reusable slots. A handle holds a slot number and a generation, so that a stale handle finds nothing."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 T = TypeVar("T")
 
-GENERATION = 1 << 20  # a handle is generation * GENERATION + slot: more slots than any limit lets exist
+MAX_SLOTS = 1 << 20  # a handle is generation * MAX_SLOTS + slot; no limit allows that many slots
 
 
 class Slots(Generic[T]):
-    """Handles to live entries; one whose entry has been freed finds nothing, however often its slot is reused."""
+    """Entries by handle. The handle of a freed entry finds nothing, however often its slot is reused."""
 
     def __init__(self) -> None:
         self._entries: list[T | None] = []
@@ -28,23 +28,23 @@
             slot = len(self._entries)
             self._entries.append(entry)
             self._generations.append(0)
-        return self._generations[slot] * GENERATION + slot
+        return self._generations[slot] * MAX_SLOTS + slot
 
     def get(self, handle: int) -> T | None:
-        generation, slot = divmod(handle, GENERATION)
+        generation, slot = divmod(handle, MAX_SLOTS)
         if slot >= len(self._entries) or self._generations[slot] != generation:
             return None
         return self._entries[slot]
 
     def free(self, handle: int) -> T | None:
-        """Free the slot and give back what it held; None where the handle is no longer its holder's."""
+        """Free the slot and return its entry; None if the handle is stale."""
         entry = self.get(handle)
         if entry is not None:
-            slot = handle % GENERATION
+            slot = handle % MAX_SLOTS
             self._entries[slot] = None
             self._generations[slot] += 1
             self._free.append(slot)
         return entry
 
     def live(self) -> list[tuple[int, T]]:
-        return [(self._generations[i] * GENERATION + i, e) for i, e in enumerate(self._entries) if e is not None]
+        return [(self._generations[i] * MAX_SLOTS + i, e) for i, e in enumerate(self._entries) if e is not None]
--- a/threadhill/core/stamps.py
+++ b/threadhill/core/stamps.py
@@ -1,53 +1,53 @@
-"""Ages of Unix stamps that others tell, such as a purge's time or a server's start.
-
-A stamp and this process's wall clock are of two different clocks, and either may be stepped: the wall clock at any
-moment, also between two starts of a process. So an age is never simply the wall clock less the stamp. Every stamp that
-was heard proves that the true time is at least so late, and the monotonic clock tells how much later it is by now.
-This lower bound of the true time gives a lower bound of each age: a purge is never taken for older than it is, nor a
-server that warms up for warmer. The wall clock may only make an age smaller still, which bounds what a stamp from the
-far future can do. An age that is too small by the delay of the news costs some copies or some of a server's capacity
-for as long; one that is too great would break the rules.
+"""Ages of Unix timestamps from other processes, such as the time of a purge or the start of a server.
+
+A timestamp and this process's wall clock come from two different clocks, and either may be stepped, the wall clock also
+between two starts of the process. So the wall clock minus the timestamp is not a safe age. Instead, every timestamp
+received proves that the true time is at least that late, and the monotonic clock measures the time since then. This
+lower bound of the true time gives a lower bound of each age: a purge is never taken for older than it is, nor a server
+for warmer. The wall clock can only reduce an age further, which limits the effect of a timestamp from the far future.
+An age that is too small by the delay of the message costs some copies, or some of a server's capacity, for that long.
+An age that is too large would violate the rules on purges and cold servers.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-EARLIEST = 946_684_800_000_000  # Unix microseconds of 2000-01-01: what is before it was never a time
+EARLIEST = 946_684_800_000_000  # Unix microseconds of 2000-01-01; earlier values are not valid times
 LATEST = 4_102_444_800_000_000  # of 2100-01-01
-MAX_AHEAD = 86_400_000_000  # microseconds ahead of all that is known at which a stamp is not believed
+MAX_AHEAD = 86_400_000_000  # microseconds; a timestamp further ahead of the latest known time is ignored
 
 
 class StampAges:
-    """The lower bound of the true time, as one source of stamps has proved it."""
+    """The lower bound of the true time that one source of timestamps has proved."""
 
     def __init__(self, now: Callable[[], int], unix_now: Callable[[], int]) -> None:
-        """`now` tells local microseconds, which run forward evenly; `unix_now` the wall clock's."""
+        """`now` returns local (monotonic) microseconds, `unix_now` those of the wall clock."""
         self._now, self._unix_now = now, unix_now
-        self._unix_less_local: int | None = None  # at least; None: no stamp was heard yet
+        self._min_unix_offset: int | None = None  # lower bound; None until a timestamp is received
 
     def observe(self, stamp: int) -> None:
-        """Take a stamp for proof that it is at least so late; one that cannot be believed proves nothing."""
+        """Raise the lower bound of the true time to this timestamp, unless it is implausible."""
         if self.is_plausible(stamp):
-            ahead = stamp - self._now()
-            self._unix_less_local = ahead if self._unix_less_local is None else max(self._unix_less_local, ahead)
+            offset = stamp - self._now()
+            self._min_unix_offset = offset if self._min_unix_offset is None else max(self._min_unix_offset, offset)
 
     def is_plausible(self, stamp: int) -> bool:
-        """Whether this can be a time that has been."""
+        """Whether this can be a time in the past."""
         if not EARLIEST <= stamp <= LATEST:
             return False
         latest = self._unix_now()
-        if self._unix_less_local is not None:
-            latest = max(latest, self._now() + self._unix_less_local)
+        if self._min_unix_offset is not None:
+            latest = max(latest, self._now() + self._min_unix_offset)
         return stamp <= latest + MAX_AHEAD
 
     def age(self, stamp: int) -> int:
-        """Microseconds that have passed since the stamp, at least; 0 for one that cannot be believed."""
-        if self._unix_less_local is None or not self.is_plausible(stamp):
+        """Lower bound of the microseconds since the timestamp; 0 if it is implausible."""
+        if self._min_unix_offset is None or not self.is_plausible(stamp):
             return 0
-        least = min(self._now() + self._unix_less_local, self._unix_now())
-        return max(0, least - stamp)
+        min_now = min(self._now() + self._min_unix_offset, self._unix_now())
+        return max(0, min_now - stamp)
 
     def age_by_wall_clock(self, stamp: int) -> int:
-        """What the wall clock alone would say: for logs, to show a clock that is off."""
+        """The age by the wall clock alone; for logs, to show a clock that is wrong."""
         return self._unix_now() - stamp
--- a/threadhill/core/tenants.py
+++ b/threadhill/core/tenants.py
@@ -1,39 +1,39 @@
-"""The tenants of a hosted proxy: their names, zones and quotas, as one numbered state."""
+"""The tenants of a hosted proxy: names, zones, quotas and records, as one versioned state."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 SECOND = 1_000_000
-BURST_SECONDS = 1.0  # seconds of a tenant's quota that it may use at once
+BURST_SECONDS = 1.0  # a tenant may use the quota of this many seconds at once
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant; a quota of 0 is no limit."""
+    """One tenant. A quota of 0 means no limit."""
 
     name: str
     zones: tuple[str, ...] = ()
-    quota: float = 0.0  # requests a second, all fronts together
-    records: tuple[str, ...] = ()  # static records beside the steered names, in the canonical form of zone files
+    quota: float = 0.0  # requests per second over all fronts
+    records: tuple[str, ...] = ()  # static DNS records besides the steered names, in canonical zone file form
 
 
 class VersionConflict(Exception):
-    """The state is not at the version that a change was planned on."""
+    """The state is not at the version that a change is based on."""
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A token bucket: what one tenant may still ask for. Nobody else's requests touch it."""
+    """The token bucket of one tenant's quota."""
 
     tokens: float
-    at: int
+    updated_at: int
 
     def take(self, now: int, rate: float) -> int:
-        """Take one token; 0, or the microseconds until there will be one."""
-        most = max(1.0, rate * BURST_SECONDS)
-        self.tokens = min(most, self.tokens + rate * max(0, now - self.at) / SECOND)
-        self.at = now
+        """Take one token and return 0, or return the microseconds until one is available."""
+        capacity = max(1.0, rate * BURST_SECONDS)
+        self.tokens = min(capacity, self.tokens + rate * max(0, now - self.updated_at) / SECOND)
+        self.updated_at = now
         if self.tokens >= 1:
             self.tokens -= 1
             return 0
@@ -41,7 +41,7 @@
 
 
 class Tenants:
-    """All tenants, replaced as a whole; every change of any of them makes a new version."""
+    """All tenants. They are replaced as a whole, and every change makes a new version."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -50,13 +50,13 @@
         self._zones: frozenset[str] = frozenset()
 
     def zones(self) -> frozenset[str]:
-        """All tenants' zones; made anew with each version only, since every DNS query asks."""
+        """The zones of all tenants. Computed once per version, as every DNS query needs them."""
         return self._zones
 
-    def replace(self, tenants: list[Tenant], on: int | None = None) -> bool:
-        """Make these the tenants, if the state is still at version `on`; tells whether anything changed."""
-        if on is not None and on != self.version:
-            raise VersionConflict(f"the state is at version {self.version}, the change was planned on {on}")
+    def replace(self, tenants: list[Tenant], base_version: int | None = None) -> bool:
+        """Replace all tenants if the state is still at `base_version`. Returns whether anything changed."""
+        if base_version is not None and base_version != self.version:
+            raise VersionConflict(f"the state is at version {self.version}, the change was planned on {base_version}")
         new = {tenant.name: tenant for tenant in tenants}
         if new == self.by_name:
             return False
@@ -66,18 +66,18 @@
         self._zones = frozenset(zone for tenant in tenants for zone in tenant.zones)
         return True
 
-    def update(self, tenants: list[Tenant], gone: set[str], whole: bool) -> None:
-        """Make these so and drop those that are gone; with `whole` there are no others."""
-        kept = {} if whole else self.by_name
+    def update(self, tenants: list[Tenant], gone: set[str], complete: bool) -> None:
+        """Add or replace these tenants and remove those in `gone`. With `complete`, remove all others too."""
+        kept = {} if complete else self.by_name
         new = {name: tenant for name, tenant in kept.items() if name not in gone}
         self.replace(list((new | {tenant.name: tenant for tenant in tenants}).values()))
 
     def accepts(self, name: str | None) -> bool:
-        """Whether requests under this name are taken. Where no tenant was ever set up, names mean nothing."""
+        """Whether requests of this tenant are accepted. If no tenant was ever configured, all are."""
         return name is None or not self.version or name in self.by_name
 
     def quota_wait(self, name: str | None, now: int) -> int:
-        """0 where a request of this tenant is within its quota, else how long until one would be."""
+        """0 if a request of this tenant is within its quota, else the microseconds until one would be."""
         tenant = self.by_name.get(name) if name is not None else None
         if tenant is None or not tenant.quota:
             return 0
--- a/threadhill/core/trace.py
+++ b/threadhill/core/trace.py
@@ -1,7 +1,8 @@
-"""The last seconds of a proxy in memory: purges, attempts, answers and lost connections, to be told when they matter.
+"""An in-memory trace of a proxy's latest purges, attempts, answers and lost connections.
 
-Entries are tuples in a ring, which costs next to nothing while nobody asks. They are written to the log when an answer
-is turned down (those of its request and its object), at SIGUSR1 and at the end of the process (the newest of all).
+Entries are tuples in a ring buffer, which costs little while they are not read. They are written to the log when an
+answer from a purged copy is rejected (entries of its request, object and group), at SIGUSR1 and when the process ends
+(the newest entries).
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 
 import orjson
 
-MAX_ENTRIES = 2_048  # entries
-MAX_REPORTED = 100  # entries of a report
-RECENT_WINDOW = 5_000_000  # microseconds that a report goes back
+MAX_ENTRIES = 2_048
+MAX_REPORTED = 100  # entries in one report
+RECENT_WINDOW = 5_000_000  # microseconds covered by a report of recent entries
 
 
 class Step(StrEnum):
-    """What an entry tells; behind it stand the fields that `FIELDS` names."""
+    """The kind of an entry. `FIELDS` names the fields of each kind."""
 
     PURGE = "purge"
     ATTEMPT = "attempt"
@@ -37,28 +38,28 @@
 
 
 class Trace:
-    """The ring. Times are local microseconds."""
+    """The ring buffer. Times are local microseconds."""
 
     def __init__(self) -> None:
         self._entries: deque[Entry] = deque(maxlen=MAX_ENTRIES)
 
     def add(self, at: int, step: Step, *fields: object) -> None:
-        """Note one step with its fields, in the order of `FIELDS`."""
+        """Record one step with its fields in the order of `FIELDS`."""
         self._entries.append((at, step, fields))
 
     def matching(self, *keys: object) -> str:
-        """The entries of a request, an object or a group, as one line of JSON."""
+        """The entries whose first two fields contain one of the keys (request, object, group), as one line of JSON."""
         wanted = set(keys)
-        return self._told([entry for entry in self._entries if not wanted.isdisjoint(entry[2][:2])])
+        return self._as_json([entry for entry in self._entries if not wanted.isdisjoint(entry[2][:2])])
 
     def recent(self, now: int) -> str:
-        """The newest entries, as one line of JSON."""
-        return self._told([entry for entry in self._entries if now - entry[0] <= RECENT_WINDOW])
+        """The entries of the last seconds, as one line of JSON."""
+        return self._as_json([entry for entry in self._entries if now - entry[0] <= RECENT_WINDOW])
 
     @staticmethod
-    def _told(entries: list[Entry]) -> str:
-        told = [
+    def _as_json(entries: list[Entry]) -> str:
+        rows = [
             {"at_us": at, "step": step.value} | dict(zip(FIELDS[step], fields, strict=True))
             for at, step, fields in entries[-MAX_REPORTED:]
         ]
-        return orjson.dumps(told).decode()
+        return orjson.dumps(rows).decode()
