--- a/threadhill/core/stamps.py
+++ b/threadhill/core/stamps.py
@@ -3,10 +3,10 @@
 A timestamp and this process's wall clock come from two different clocks, and either may be stepped, the wall clock also
 between two starts of the process. So the wall clock minus the timestamp is not a safe age. Instead, every timestamp
 received proves that the true time is at least that late, and the monotonic clock measures the time since then. This
-lower bound of the true time gives a lower bound of each age: a purge is never taken for older than it is, nor a server
-for warmer. The wall clock can only reduce an age further, which limits the effect of a timestamp from the far future.
-An age that is too small by the delay of the message costs some copies, or some of a server's capacity, for that long.
-An age that is too large would violate the rules on purges and cold servers.
+lower bound of the true time gives a lower bound of each age: a purge is never taken for older than it is, nor a warming
+server for warmer. The wall clock can only reduce an age further, which limits the effect of a timestamp from the far
+future. An age that is too small by the delay of the message costs some copies, or some of a server's capacity, for that
+long. An age that is too large would violate the rules on purges and cold servers.
 """
 
 from __future__ import annotations
