--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -159,8 +159,8 @@
     Mutant(
         "SIGTERM closes over what was not read",
         "serve.py",
-        "        elif since >= serve_on:\n",
-        "        elif since >= 0:\n            for guest in list(door.guests):\n                guest.abort()\n",
+        "        elif elapsed >= grace:\n",
+        "        elif elapsed >= 0:\n            for guest in list(door.guests):\n                guest.abort()\n",
         (Rule.LOST,),
     ),
     Mutant(
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -61,7 +61,7 @@
             hands = [await Hand.connect(w) for _ in range(40)]  # more than are taken in one turn
             for hand in hands:
                 await hand.send(ask(1))
-            await asyncio.sleep(0.8)  # SERVE_ON is over when it goes on
+            await asyncio.sleep(0.8)  # SHUTDOWN_GRACE is over when it goes on
         for hand in hands:
             raw = await hand.rest()
             assert raw.count(b"\r\n200\r\n") + raw.count(b"\r\n503\r\n") == 1, raw
