--- a/threadhill/settings.py
+++ b/threadhill/settings.py
@@ -1,4 +1,7 @@
-"""The settings of an instance, as the simulator's first message and the configuration of a proxy give them."""
+"""Reads and checks the settings of an instance, from the simulator's first message or a proxy's configuration.
+
+The readers of single values are used for other input too. Each raises Malformed with the name of the value.
+"""
 
 from __future__ import annotations
 
@@ -8,20 +11,20 @@
 
 from threadhill.decision import interface as api
 
-EFFECTS = {
+RETRY_SAFETY = {
     "read_like": api.RetrySafety.SAFE,
     "idempotency_key": api.RetrySafety.KEYED,
     "non_idempotent": api.RetrySafety.UNSAFE,
 }
-LISTS = {"pushed": False, "on_request": True}
+MEMBERSHIP_MODES = {"pushed": False, "on_request": True}
 
 
 class Malformed(Exception):
-    """A line that is not the wire's."""
+    """Input that cannot be used; the text names the value and what is wrong with it."""
 
 
 def integer(value: Any, what: str) -> int:
-    """A whole number, absent counting as 0."""
+    """An integer; 0 if absent."""
     if value is None:
         return 0
     if isinstance(value, bool) or not isinstance(value, int):
@@ -30,14 +33,14 @@
 
 
 def required_integer(value: Any, what: str) -> int:
-    """A whole number that may not be absent."""
+    """An integer that must be present."""
     if value is None:
         raise Malformed(f"{what} is missing")
     return integer(value, what)
 
 
 def optional_table(raw: dict[str, Any], key: str, keys: set[str]) -> dict[str, Any] | None:
-    """A table of a file, None where it is absent; a key that is not known is a fault: it would be without effect."""
+    """A table of a file, None if absent. An unknown key is an error, as it would have no effect."""
     if key not in raw:
         return None
     table = mapping(raw[key], key)
@@ -47,7 +50,7 @@
 
 
 def bounded_number(value: Any, most: float, what: str) -> float:
-    """One figure from 0 to so much, of what others tell: neither a flag nor without end."""
+    """A finite number from 0 to `most`, from a message of another process."""
     if (
         isinstance(value, bool)
         or not isinstance(value, int | float)
@@ -59,7 +62,7 @@
 
 
 def number(value: Any, what: str) -> float:
-    """A number, absent counting as 0."""
+    """A finite number; 0 if absent."""
     if value is None:
         return 0.0
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
@@ -68,7 +71,7 @@
 
 
 def flag(value: Any, what: str) -> bool:
-    """True or false, absent counting as false: any other word would count as true."""
+    """A boolean; False if absent. Other values are errors, as they would count as true."""
     if value is None:
         return False
     if not isinstance(value, bool):
@@ -77,7 +80,7 @@
 
 
 def names(value: Any, what: str) -> tuple[str, ...]:
-    """An array of names, absent counting as none: none of them empty or there twice."""
+    """An array of distinct, non-empty names; empty if absent."""
     found: list[str] = []
     for i, name in enumerate(sequence(value, what)):
         if not text(name, f"{what}[{i}]"):
@@ -89,14 +92,14 @@
 
 
 def text(value: Any, what: str) -> str:
-    """A text that may not be absent."""
+    """A string that must be present."""
     if not isinstance(value, str):
         raise Malformed(f"{what} must be text, not {json.dumps(value)[:60]}")
     return value
 
 
 def mapping(value: Any, what: str) -> dict[str, Any]:
-    """An object, absent counting as an empty one."""
+    """An object; empty if absent."""
     if value is None:
         return {}
     if not isinstance(value, dict):
@@ -105,7 +108,7 @@
 
 
 def sequence(value: Any, what: str) -> list[Any]:
-    """An array, absent counting as an empty one."""
+    """An array; empty if absent."""
     if value is None:
         return []
     if not isinstance(value, list):
@@ -114,36 +117,37 @@
 
 
 def address(value: Any, what: str) -> tuple[str, int]:
-    """`host:port`; a host in brackets is IPv6."""
+    """Host and port from `host:port`; an IPv6 host is in brackets."""
     host, colon, port = text(value, what).rpartition(":")
-    # isdigit alone takes digits that int refuses, as superscripts are.
+    # isdigit alone accepts digits that int rejects, such as superscripts.
     if not colon or not (port.isascii() and port.isdigit()) or len(port) > 5 or int(port) >= 65_536:
         raise Malformed(f"{what} is not host:port: {value!r}")
     return host.strip("[]"), int(port)
 
 
 def one_of(table: dict[Any, Any], value: Any, what: str) -> Any:
-    """A named value."""
+    """The value that the table has under this name."""
     if not isinstance(value, str) or value not in table:
         raise Malformed(f"{what} is unknown: {json.dumps(value)[:60]}")
     return table[value]
 
 
-BY_CLASS = ("class-write", "fresh-for", "stale-for", "old-copy-worth", "in-parts")
+# Keys of `extra` whose arrays have one value per entry of `profiles`.
+PER_CLASS_KEYS = ("class-write", "fresh-for", "stale-for", "old-copy-worth", "in-parts")
 
 
 def read_class(raw: Any, index: int, extra: dict[str, Any]) -> api.RequestClass:
-    """One entry of `profiles`, with what `extra` adds by its place."""
+    """One entry of `profiles`, with the values that `extra` has at its index."""
     raw = mapping(raw, f"profiles[{index}]")
 
-    def by_place(key: str) -> Any:
+    def at_index(key: str) -> Any:
         values = sequence(extra.get(key), f"extra.{key}")
         return values[index] if index < len(values) else None
 
     scope = raw.get("dedup-scope")
     return api.RequestClass(
         name=names([raw.get("name")], f"profiles[{index}].name")[0],
-        retry_safety=one_of(EFFECTS, raw.get("repeat"), f"profiles[{index}].repeat"),
+        retry_safety=one_of(RETRY_SAFETY, raw.get("repeat"), f"profiles[{index}].repeat"),
         dedup_scope=one_of({s.value: s for s in api.DedupScope}, "all" if scope is None else scope, "dedup-scope"),
         dedup_window=integer(raw.get("repeat-window"), "repeat-window"),
         latency_target=integer(raw.get("objective"), "objective"),
@@ -152,15 +156,15 @@
         value=number(raw.get("value"), "value"),
         late_value=number(raw.get("late-worth"), "late-worth"),
         streamed=flag(raw.get("streamed"), "streamed"),
-        write=flag(by_place("class-write"), "class-write"),
-        freshness_lifetime=integer(by_place("fresh-for"), "fresh-for"),
-        max_stale=integer(by_place("stale-for"), "stale-for"),
-        stale_value=number(by_place("old-copy-worth"), "old-copy-worth"),
-        in_parts=flag(by_place("in-parts"), "in-parts"),
+        write=flag(at_index("class-write"), "class-write"),
+        freshness_lifetime=integer(at_index("fresh-for"), "fresh-for"),
+        max_stale=integer(at_index("stale-for"), "stale-for"),
+        stale_value=number(at_index("old-copy-worth"), "old-copy-worth"),
+        in_parts=flag(at_index("in-parts"), "in-parts"),
     )
 
 
-# Counts, times and shares that have no meaning below zero, by the name that the settings give them.
+# Attribute -> key of counts, times and shares that must not be negative.
 NOT_NEGATIVE = {
     "routers": "n-instances",
     "tick": "tick",
@@ -192,13 +196,13 @@
     "late_value": "late-worth",
     "stale_value": "old-copy-worth",
 }
-SHARES = {"cold_capacity": "start-capacity", "parent_cold_capacity": "upper-cold-from"}  # of a whole
+SHARES = {"cold_capacity": "start-capacity", "parent_cold_capacity": "upper-cold-from"}  # attribute -> key, at most 1
 CLASS_SHARES = {"late_value": "late-worth", "stale_value": "old-copy-worth"}
 
 
-def check_settings(settings: api.Settings, told_routers: int) -> None:
-    """Settings that cannot hold together are refused whole, with the name of what is wrong: a proxy must neither start
-    on them nor take them on a reload."""
+def check_settings(settings: api.Settings, given_routers: int) -> None:
+    """Raise Malformed, with the name of the value, if the settings contradict each other: a proxy must not start with
+    them or accept them on a reload."""
     for field, name in NOT_NEGATIVE.items():
         if getattr(settings, field) < 0:
             raise Malformed(f"{name} is {getattr(settings, field)}; it cannot be below 0")
@@ -217,42 +221,42 @@
     for zone, hub in zip(settings.zones, settings.zone_hub, strict=False):
         if not 0 <= hub < len(settings.zones):
             raise Malformed(f"hub-of has place {hub} for {zone}; zones has places 0 to {len(settings.zones) - 1}")
-    for name, told in (("hub-of", settings.zone_hub), ("zone-link-kb-per-s", settings.zone_link_kb_per_s)):
-        if told and len(told) != len(settings.zones):
-            raise Malformed(f"{name} has {len(told)} values, zones {len(settings.zones)}: one each is needed")
+    for name, values in (("hub-of", settings.zone_hub), ("zone-link-kb-per-s", settings.zone_link_kb_per_s)):
+        if values and len(values) != len(settings.zones):
+            raise Malformed(f"{name} has {len(values)} values, zones {len(settings.zones)}: one each is needed")
     if len(settings.zone_routers) > len(settings.zones):
         raise Malformed(f"crew-by-zone names {len(settings.zone_routers)} zones, zones only {len(settings.zones)}")
-    for zone, crew in zip(settings.zones, settings.zone_routers, strict=False):
-        if isinstance(crew, bool) or not isinstance(crew, int | float) or crew < 0:
-            raise Malformed(f"crew-by-zone of {zone} must be a number of 0 or more, not {json.dumps(crew)[:60]}")
-        if told_routers and crew > told_routers:
-            raise Malformed(f"crew-by-zone has {crew} instances in {zone}, more than n-instances ({told_routers})")
+    for zone, routers in zip(settings.zones, settings.zone_routers, strict=False):
+        if isinstance(routers, bool) or not isinstance(routers, int | float) or routers < 0:
+            raise Malformed(f"crew-by-zone of {zone} must be a number of 0 or more, not {json.dumps(routers)[:60]}")
+        if given_routers and routers > given_routers:
+            raise Malformed(f"crew-by-zone has {routers} instances in {zone}, more than n-instances ({given_routers})")
 
 
 def read_settings(raw: Any) -> api.Settings:
-    """The settings of an instance; keys that are not known are skipped. What does not hold together is refused."""
+    """The settings of an instance. Unknown keys are skipped; contradictory settings raise Malformed."""
     raw = mapping(raw, "options")
     extra, limits, rules = (mapping(raw.get(key), key) for key in ("extra", "limits", "obligations"))
     kinds = names(raw.get("machine-types"), "machine-types")
     classes = [read_class(item, i, extra) for i, item in enumerate(sequence(raw.get("profiles"), "profiles"))]
     names([cls.name for cls in classes], "profiles")
-    for key in BY_CLASS:
-        told = len(sequence(extra.get(key), key))
-        if told and told != len(classes):
-            raise Malformed(f"{key} has {told} values, profiles {len(classes)}: one each is needed")
+    for key in PER_CLASS_KEYS:
+        count = len(sequence(extra.get(key), key))
+        if count and count != len(classes):
+            raise Malformed(f"{key} has {count} values, profiles {len(classes)}: one each is needed")
     names(mapping(raw.get("report"), "report").get("columns"), "report.columns")
 
     def kind(key: str) -> str | None:
-        place = extra.get(key)
-        place = -1 if place is None else integer(place, key)
-        if not -1 <= place < len(kinds):
-            raise Malformed(f"{key} is {place}; machine-types has {len(kinds)} names, and -1 stands for none")
-        return kinds[place] if place >= 0 else None
+        index = extra.get(key)
+        index = -1 if index is None else integer(index, key)
+        if not -1 <= index < len(kinds):
+            raise Malformed(f"{key} is {index}; machine-types has {len(kinds)} names, and -1 stands for none")
+        return kinds[index] if index >= 0 else None
 
     def named(enum: Any, where: dict[str, Any], key: str, absent: Any) -> Any:
         return absent if where.get(key) is None else one_of({e.value: e for e in enum}, where[key], key)
 
-    told_routers = integer(raw.get("n-instances"), "n-instances")
+    given_routers = integer(raw.get("n-instances"), "n-instances")
     settings = api.Settings(
         classes={cls.name: cls for cls in classes},
         zone=text(raw.get("zone") or "", "zone"),
@@ -263,7 +267,7 @@
             for link in sequence(extra.get("zone-link-kb-per-s"), "zone-link-kb-per-s")
         ),
         zone_routers=tuple(sequence(extra.get("crew-by-zone"), "crew-by-zone")),
-        routers=max(1, told_routers) if told_routers >= 0 else told_routers,
+        routers=max(1, given_routers) if given_routers >= 0 else given_routers,
         rank=integer(raw.get("rank"), "rank"),
         parent_kind=kind("upper-kind"),
         origin_kind=kind("master-kind"),
@@ -275,7 +279,7 @@
         cache_status_detail=named(api.CacheStatusDetail, extra, "notes-given", api.CacheStatusDetail.NONE),
         weights=named(api.Weights, raw, "weight-source", api.Weights.NONE),
         clients_mark_retries=flag(mapping(raw.get("callers"), "callers").get("marks-retry"), "marks-retry"),
-        list_on_request=one_of(LISTS, raw.get("membership-mode", "pushed"), "membership-mode"),
+        list_on_request=one_of(MEMBERSHIP_MODES, raw.get("membership-mode", "pushed"), "membership-mode"),
         ask_within=integer(rules.get("ask-within"), "ask-within"),
         answer_slack=integer(rules.get("grace-to-answer"), "grace-to-answer"),
         drain_grace=integer(rules.get("drain-grace"), "drain-grace"),
@@ -296,5 +300,5 @@
         second_copies=flag(limits.get("second-copies"), "second-copies"),
         connect_timeout=integer(limits.get("connect-timeout"), "connect-timeout"),
     )
-    check_settings(settings, told_routers)
+    check_settings(settings, given_routers)
     return settings
