--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -173,7 +173,7 @@
             assert code == 0 and "0 to add, 0 to remove, 0 to change; state version 3" in out
         file.write_text('[[tenants]]\nname = "acme"\n[[tenants]]\nname = "acme"\n')
         code, _, err = await api.run("apply", str(file))
-        assert code == 2 and "stands twice" in err
+        assert code == 2 and "appears twice" in err
         assert (await api("GET", "/v1/state"))[1]["version"] == 3
         code, out, _ = await api.run("stats")
         assert code == 0 and json.loads(out)["admin"]["PUT"] == 1
--- a/threadhill/config.py
+++ b/threadhill/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: what LB_NAME, LB_LISTEN and LB_CONFIG tell, read once."""
+"""Reads the platform's configuration from LB_CONFIG, LB_NAME, LB_LISTEN and the other LB_ variables."""
 
 from __future__ import annotations
 
@@ -14,50 +14,50 @@
 from threadhill.net.upstream import CONNECTION_BYTES, Limits
 from threadhill.settings import Malformed, address, integer, mapping, number, read_settings, sequence, text
 
-PROGRAM_MB = 26  # MB that the program takes by itself
-MIN_SPARE_MB = 6  # MB beside it that are counted on, whatever the limit
-OUTBOUND_SHARE = 0.3  # part of what is left for answers that wait for clients
-INBOUND_SHARE = 0.4  # the same for answers that come from cache servers
-RESERVED_DESCRIPTORS = 48  # descriptors for the journal, listeners, dials under way and the like
+PROGRAM_MB = 26  # memory that the program itself uses
+MIN_SPARE_MB = 6  # memory assumed to be available besides, whatever the limit is
+OUTBOUND_SHARE = 0.3  # share of the spare memory for answers that wait for clients
+INBOUND_SHARE = 0.4  # share of the spare memory for answers arriving from cache servers
+RESERVED_DESCRIPTORS = 48  # descriptors for the journal, listeners, connections being opened and the like
 
 
 class BadConfig(Exception):
-    """The configuration cannot be used; the text says why."""
+    """The configuration cannot be used; the text gives the reason."""
 
 
 class UnreadableConfig(BadConfig):
-    """The file cannot be read now, which may pass; the text says why."""
+    """The file cannot be read at the moment, possibly temporarily; the text gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What one proxy is told when it starts."""
+    """The configuration of one proxy."""
 
     name: str
     listen: tuple[str, int]
     seed: int
     settings: api.Settings
-    known_events: tuple[int, list[Event]]  # the last event's number, and the events
+    known_events: tuple[int, list[Event]]  # number of the last event, and the events
     journal: tuple[str, int] | None
     limits: Limits
-    max_clients: int  # connections that clients may hold
-    max_outbound_bytes: int  # bytes that may wait for all of them together
-    max_event_bytes: int = 1 << 20  # bytes that one event of the journal may have
-    report: str | None = None  # which configuration this is, where the journal service is to be told
-    management: tuple[str, int] | None = None  # the operators' address, where the platform gives one
-    journals: tuple[tuple[str, int], ...] = ()  # several that tell the same, in place of the one
-    listen_fd: int | None = None  # the clients' listening socket, where the platform keeps it for an upgrade
+    max_clients: int  # client connections
+    max_outbound_bytes: int  # unsent answers of all client connections together
+    max_event_bytes: int = 1 << 20  # size of one journal event
+    report: str | None = None  # id of this configuration, reported to the journal service if given
+    management: tuple[str, int] | None = None  # the operators' address, if the platform gives one
+    journals: tuple[tuple[str, int], ...] = ()  # journal services with the same events, instead of `journal`
+    listen_fd: int | None = None  # the clients' listening socket, if the platform holds it for upgrades
 
 
 def read_config(raw: Any, environ: Mapping[str, str]) -> Config:
-    """The configuration from its JSON; the environment's name and address go first."""
+    """The configuration from parsed JSON. Name and addresses in the environment take precedence."""
     raw = mapping(raw, "the configuration")
     options = mapping(raw.get("settings"), "settings")
     site = mapping(options.get("limits"), "limits")
     machine = mapping(raw.get("limits"), "limits")
     sockets = integer(machine.get("sockets"), "sockets") or 1_024
     spare = max(MIN_SPARE_MB, (integer(machine.get("memory_mb"), "memory_mb") or 192) - PROGRAM_MB) << 20
-    clients = sockets // 2  # usual clients hold a third at most, and caches need few: the rest is for a crowd
+    clients = sockets // 2  # usually a third or less is used, and caches need few: the rest is for bursts
     known = mapping(raw.get("known"), "known")
     seed = raw.get("seed") or "0"
     management = environ.get("LB_MANAGEMENT") or raw.get("management")
@@ -91,7 +91,7 @@
 
 
 def read_descriptor(value: str | None) -> int | None:
-    """`LB_LISTEN_FD`: the number of an open descriptor past standard input, output and error."""
+    """The value of `LB_LISTEN_FD`: the number of an open descriptor, 3 or more."""
     if value is None or value == "":
         return None
     if not (value.isascii() and value.isdigit()) or len(value) > 7 or int(value) < 3:
@@ -103,7 +103,7 @@
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the file that LB_CONFIG names."""
+    """Read the configuration file named by LB_CONFIG."""
     path = environ.get("LB_CONFIG")
     if not path:
         raise BadConfig("LB_CONFIG is not set: it names the configuration file")
--- a/threadhill/documents.py
+++ b/threadhill/documents.py
@@ -1,4 +1,4 @@
-"""Tenants as documents: read with every fault told, written out, and compared."""
+"""Tenants as JSON documents: reading with a report of all errors, writing and comparing."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from threadhill.core.tenants import Tenant
 from threadhill.hostnames import BOXES, labels_of
 
-NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")  # it stands as a label in DNS names
+NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")  # a tenant's name is a label in DNS names
 MAX_TENANTS = 10_000
 MAX_ZONES = 64
 MAX_TOTAL_RECORDS = 20_000  # static records of all tenants together: some 10 MB in a proxy
@@ -17,7 +17,7 @@
 
 
 class Invalid(Exception):
-    """A document that can't be used; all its faults, each with where it is."""
+    """A document that cannot be used, with all its errors and their places."""
 
     def __init__(self, faults: list[dict[str, str]]) -> None:
         super().__init__("; ".join(f"{fault['at']}: {fault['fault']}" for fault in faults))
@@ -25,7 +25,7 @@
 
 
 def read_tenant(raw: Any, at: str, name: str | None = None) -> Tenant:
-    """One tenant. Where its name is given from outside, the document may leave it out."""
+    """One tenant. If `name` is given, the document may leave the name out."""
     faults: list[dict[str, str]] = []
 
     def fault(where: str, text: str) -> None:
@@ -35,35 +35,35 @@
         raise Invalid([{"at": at, "fault": "must be an object"}])
     for key in sorted(set(raw) - {"name", "zones", "quota", "records"}):
         fault(f".{key}", "no such key")
-    told = raw.get("name", name)
-    if not isinstance(told, str) or not NAME.fullmatch(told):
+    given = raw.get("name", name)
+    if not isinstance(given, str) or not NAME.fullmatch(given):
         fault(".name", "must be a DNS label: lower case letters, digits and hyphens")
-    elif told == BOXES:
+    elif given == BOXES:
         fault(".name", "is reserved")
-    elif name is not None and told != name:
+    elif name is not None and given != name:
         fault(".name", f"must be {name!r}, as in the path")
     zones = raw.get("zones", [])
     if not isinstance(zones, list) or len(zones) > MAX_ZONES:
         fault(".zones", f"must be a list of {MAX_ZONES} at most")
         zones = []
-    clean = set()
+    clean_zones = set()
     for i, zone in enumerate(zones):
         try:
-            clean.add(".".join(labels_of(zone)))
+            clean_zones.add(".".join(labels_of(zone)))
         except (ValueError, AttributeError):
             fault(f".zones[{i}]", "must be a domain name")
     quota = raw.get("quota", 0)
     if isinstance(quota, bool) or not isinstance(quota, int | float) or not 0 <= quota <= MAX_QUOTA:
         fault(".quota", f"must be a number from 0, no limit, to {MAX_QUOTA:.0f} requests a second")
-    records = _read_records(raw["records"], clean, str(told), fault) if raw.get("records") else ()
+    records = _read_records(raw["records"], clean_zones, str(given), fault) if raw.get("records") else ()
     if faults:
         raise Invalid(faults)
-    return Tenant(told, tuple(sorted(clean)), float(quota), records)
+    return Tenant(given, tuple(sorted(clean_zones)), float(quota), records)
 
 
 def _read_records(raw: Any, zones: set[str], tenant: str, fault: Callable[[str, str], None]) -> tuple[str, ...]:
-    """A tenant's static records in canonical form and order."""
-    from threadhill import zonefile  # few tenants have any, and none on the platform
+    """A tenant's static records, canonical and sorted."""
+    from threadhill import zonefile  # rarely needed: few tenants have records, and none on the platform
 
     if not isinstance(raw, list) or len(raw) > zonefile.MOST_RECORDS:
         fault(".records", f"must be a list of {zonefile.MOST_RECORDS} at most")
@@ -75,13 +75,13 @@
         except ValueError as error:
             fault(f".records[{i}]", str(error))
     if len(read) == len(raw):
-        for i, told in zonefile.check(read, zones, tenant):
-            fault(f".records[{i}]", told)
+        for i, error in zonefile.check(read, zones, tenant):
+            fault(f".records[{i}]", error)
     return tuple(sorted(record.text for record in read))
 
 
 def read_tenants(raw: Any, at: str = "tenants") -> list[Tenant]:
-    """All tenants of a document, checked as a whole before any is used."""
+    """All tenants of a document. Raises Invalid with the errors of all of them."""
     if not isinstance(raw, list) or len(raw) > MAX_TENANTS:
         raise Invalid([{"at": at, "fault": f"must be a list of {MAX_TENANTS} at most"}])
     tenants: dict[str, Tenant] = {}
@@ -93,7 +93,7 @@
             faults += error.faults
             continue
         if tenant.name in tenants:
-            faults.append({"at": f"{at}[{i}].name", "fault": f"{tenant.name!r} stands twice"})
+            faults.append({"at": f"{at}[{i}].name", "fault": f"{tenant.name!r} appears twice"})
         tenants[tenant.name] = tenant
     if sum(len(tenant.records) for tenant in tenants.values()) > MAX_TOTAL_RECORDS:
         faults.append({"at": at, "fault": f"have over {MAX_TOTAL_RECORDS} static records together"})
@@ -103,12 +103,13 @@
 
 
 def write_tenant(tenant: Tenant) -> dict[str, Any]:
+    """The document of a tenant."""
     more = {"records": list(tenant.records)} if tenant.records else {}
     return {"name": tenant.name, "zones": list(tenant.zones), "quota": tenant.quota, **more}
 
 
 def difference(old: list[Tenant], new: list[Tenant]) -> list[dict[str, Any]]:
-    """What to do to get from one state to the other, by name: add, remove or change, with both sides."""
+    """The steps from one state to the other, sorted by name: add, remove or change, with both versions."""
     before, after = ({t.name: write_tenant(t) for t in tenants} for tenants in (old, new))
     steps = []
     for name in sorted(set(before) | set(after)):
--- a/threadhill/files.py
+++ b/threadhill/files.py
@@ -1,4 +1,4 @@
-"""What all files that a running program looks at again have in common: whether they changed, and who may read them."""
+"""Helpers for files that a running program reads again: detect changes, replace atomically, check permissions."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from threadhill.settings import Malformed
 
 FileVersion = tuple[int, int, int]
-MAX_SECRET_BYTES = 1 << 20  # bytes of a file with a secret in it
+MAX_SECRET_BYTES = 1 << 20  # size limit of a file that holds a secret
 
 
 def file_version(path: Path) -> FileVersion | None:
-    """What tells one version of a file from the next: inode, size and time of its last change; None where it is not."""
+    """The version of a file: inode, size and modification time. None if the file cannot be read."""
     try:
         found = os.stat(path)
     except OSError:
@@ -23,25 +23,25 @@
 
 
 def replace_atomically(path: Path, raw: bytes) -> None:
-    """Write a file beside this one and rename it over it, so that a reader never sees half of one. OSError where the
-    folder does not take it: then the old file stands, and nothing half written is left."""
-    beside = path.with_name(f".{path.name}.{os.getpid()}")
+    """Write a temporary file next to this one and rename it over it, so that a reader never sees a partial file. On
+    OSError the old file is unchanged and the temporary file is removed."""
+    temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
-        beside.write_bytes(raw)
-        os.replace(beside, path)
+        temporary.write_bytes(raw)
+        os.replace(temporary, path)
     except OSError:
         with suppress(OSError):
-            beside.unlink()
+            temporary.unlink()
         raise
 
 
-def check_private(path: Path, most: int = MAX_SECRET_BYTES) -> None:
-    """A secret that others may read is none: Malformed says what to do."""
+def check_private(path: Path, max_size: int = MAX_SECRET_BYTES) -> None:
+    """Raise Malformed if others than the owner can access the file, or if it is too large."""
     found = os.stat(path)
     if found.st_mode & (stat.S_IRWXG | stat.S_IRWXO):
         raise Malformed(
             f"{path}: others than its owner may read or write it (mode {stat.S_IMODE(found.st_mode):04o}); "
             f"chmod 600 {path}"
         )
-    if found.st_size > most:
-        raise Malformed(f"{path}: has over {most} bytes, which is no such file")
+    if found.st_size > max_size:
+        raise Malformed(f"{path}: is too large: over {max_size} bytes")
--- a/threadhill/operators.py
+++ b/threadhill/operators.py
@@ -1,4 +1,4 @@
-"""The operator's file: what a proxy does besides the platform's front. Imported only where there is one."""
+"""Reads the operator's file, which enables what a proxy does besides the platform's front. Imported only if given."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminConfig:
-    """What the operator's file says of the administration API."""
+    """The `admin` table of the operator's file: the administration API."""
 
     listen: tuple[str, int]
-    token: str = ""  # one for all callers; or:
-    keys_file: Path | None = None  # the file of callers' own keys
-    audit_file: Path | None = None  # the log of what they change
+    token: str = ""  # one token for all callers; used without `keys_file`
+    keys_file: Path | None = None  # keys of individual callers
+    audit_file: Path | None = None  # audit log of their changes
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorConfig:
-    """What is on besides the platform's front. Without the file, nothing is."""
+    """What the operator's file enables. Without the file, nothing is enabled."""
 
     dns: DnsConfig | None = None
     admin: AdminConfig | None = None
     tenants: tuple[Tenant, ...] = ()
     overload: OverloadConfig | None = None
-    knowledge: bool = False  # say over the feed what this proxy knows of objects and caches, and hear of the others
+    knowledge: bool = False  # exchange knowledge of objects and caches with other proxies over the feed
     recovery: RecoveryConfig | None = None
 
 
 def read_operator(raw: dict[str, Any], environ: Mapping[str, str], base: Path) -> OperatorConfig:
-    """The operator's file; a key that is not known is a fault, as it would else be silently without effect."""
+    """The operator's file from parsed TOML. An unknown key is an error, as it would silently have no effect."""
     for unknown in sorted(set(raw) - {"dns", "admin", "tenants", "overload", "knowledge", "recovery"}):
         raise Malformed(f"{unknown}: no such key")
     dns = optional_table(
@@ -86,10 +86,10 @@
 
 def _read_knowledge(raw: dict[str, Any]) -> bool:
     table = optional_table(raw, "knowledge", {"share"})
-    on = table.get("share", True) if table is not None else False
-    if not isinstance(on, bool):
+    enabled = table.get("share", True) if table is not None else False
+    if not isinstance(enabled, bool):
         raise Malformed("knowledge.share: is true or false")
-    return on
+    return enabled
 
 
 def _read_recovery(raw: dict[str, Any], base: Path) -> RecoveryConfig | None:
@@ -105,10 +105,10 @@
     if not isinstance(learn, bool):
         raise Malformed("recovery.learn: is true or false")
     times = {}
-    for key, usual, least, most in (("trust_ms", 7_000, 1_500, 600_000), ("every_ms", 5_000, 200, 600_000)):
-        times[key] = integer(table[key], f"recovery.{key}") if key in table else usual
-        if not least <= times[key] <= most:
-            raise Malformed(f"recovery.{key}: is from {least} to {most}")
+    for key, default, lower, upper in (("trust_ms", 7_000, 1_500, 600_000), ("every_ms", 5_000, 200, 600_000)):
+        times[key] = integer(table[key], f"recovery.{key}") if key in table else default
+        if not lower <= times[key] <= upper:
+            raise Malformed(f"recovery.{key}: must be from {lower} to {upper}")
     folder = text(table["state_folder"], "recovery.state_folder") if "state_folder" in table else ""
     return RecoveryConfig(
         times["trust_ms"] * 1_000, Blind(blind), base / folder if folder else None, times["every_ms"] * 1_000, learn
@@ -124,15 +124,15 @@
 def _read_overload(raw: dict[str, Any]) -> OverloadConfig:
     from threadhill.overload.control import OverloadConfig
 
-    on = {}
+    flags = {}
     for key in ("retry_budgets", "admission", "comebacks"):
-        on[key] = raw.get(key, True)
-        if not isinstance(on[key], bool):
+        flags[key] = raw.get(key, True)
+        if not isinstance(flags[key], bool):
             raise Malformed(f"overload.{key}: is true or false")
     times = {key: integer(raw.get(key), f"overload.{key}") for key in ("horizon_ms", "leave_ms")}
     if not 0 <= times["horizon_ms"] <= 60_000 or not 0 <= times["leave_ms"] <= 2_500:
         raise Malformed("overload: horizon_ms is from 0 (as far as the site allows) to 60000, leave_ms from 0 to 2500")
-    return OverloadConfig(**on, horizon=times["horizon_ms"] * 1_000, leave=times["leave_ms"] * 1_000)
+    return OverloadConfig(**flags, horizon=times["horizon_ms"] * 1_000, leave=times["leave_ms"] * 1_000)
 
 
 def _read_admin(raw: dict[str, Any], environ: Mapping[str, str], base: Path) -> AdminConfig:
@@ -155,7 +155,7 @@
 
 
 def load_operator(path: Path, environ: Mapping[str, str] = os.environ) -> OperatorConfig:
-    """Read the operator's file."""
+    """Read the operator's file; BadConfig if it cannot be used."""
     try:
         return read_operator(tomllib.loads(path.read_text()), environ, path.parent)
     except (OSError, ValueError, Malformed) as error:
--- a/threadhill/stats.py
+++ b/threadhill/stats.py
@@ -1,4 +1,4 @@
-"""Counters of what is taken in, sent and answered."""
+"""Counters of requests, attempts, answers and errors."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Stats:
-    """Named counters with a label each; all are whole numbers that only grow."""
+    """Integer counters, each with a name and a label. They only grow."""
 
     def __init__(self) -> None:
         self.counts: Counter[tuple[str, str]] = Counter()
@@ -15,8 +15,8 @@
         self.counts[name, label] += by
 
     def table(self) -> dict[str, dict[str, int]]:
-        """All counters, by name and then by label, both sorted."""
-        told: dict[str, dict[str, int]] = {}
+        """All counters by name and label, both sorted."""
+        rows: dict[str, dict[str, int]] = {}
         for (name, label), value in sorted(self.counts.items()):
-            told.setdefault(name, {})[label] = value
-        return told
+            rows.setdefault(name, {})[label] = value
+        return rows
