--- a/tests/by_hand.py
+++ b/tests/by_hand.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.world import OBJECT, SETTINGS, World
+from tests.world import OBJECT, SETTINGS, ProxyHarness
 from threadhill.net.resp import bulk
 
 
@@ -60,7 +60,7 @@
         self.socket = where
 
     @classmethod
-    async def connect(cls, w: World, receive: int = 0) -> Hand:
+    async def connect(cls, w: ProxyHarness, receive: int = 0) -> Hand:
         """`receive`: bytes of the receive buffer, so that what is not read stays with the proxy's machine."""
         made = socket.socket()
         if receive:
@@ -102,7 +102,7 @@
 
 
 @contextmanager
-def stopped(w: World) -> Iterator[None]:
+def stopped(w: ProxyHarness) -> Iterator[None]:
     """The process stands still: what its sockets get meanwhile comes to it all at once."""
     w.process.send_signal(signal.SIGSTOP)
     while Path(f"/proc/{w.process.pid}/stat").read_text().rpartition(")")[2].split()[0] != "T":
@@ -113,7 +113,7 @@
         w.process.send_signal(signal.SIGCONT)
 
 
-async def leaving(w: World) -> Hand:
+async def leaving(w: ProxyHarness) -> Hand:
     """SIGTERM was sent and is known to the program; a connection that is ended as soon as it lets go of clients."""
     watch = await Hand.connect(w)
     await watch.send(bulk(b"STATUS", b"1"))
@@ -126,7 +126,7 @@
     raise AssertionError("SIGTERM was not noticed")
 
 
-async def gone(w: World) -> None:
+async def gone(w: ProxyHarness) -> None:
     async with asyncio.timeout(40):
         assert await w.process.wait() == 0
     await w.reading
--- a/tests/conformance/table.py
+++ b/tests/conformance/table.py
@@ -15,7 +15,7 @@
 from tests.conformance.rows import LEFT_OUT, ROWS, ZONE, Row, ask
 from tests.test_dns import OPERATOR
 from tests.test_dns_tls import TLS, certify
-from tests.world import World, until
+from tests.world import ProxyHarness, until
 
 RECORDS = f"""records = ['note.{ZONE} 60 TXT one', 'note.{ZONE} 60 TXT two', 'alias.{ZONE} CNAME note.{ZONE}',
     '{ZONE} CAA 0 issue ca.example', 'x.deep.{ZONE} A 192.0.2.1']"""
@@ -54,11 +54,11 @@
 Ways = dict[str, Callable[[bytes, bool], Awaitable[bytes | None]]]
 
 
-async def ways(world: World, authority: trustme.CA) -> Ways:
+async def ways(world: ProxyHarness, authority: trustme.CA) -> Ways:
     """How a query goes by each transport."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     authority.configure_trust(context)
-    plain, secure = await world.listens("dns"), await world.listens("dns tls")
+    plain, secure = await world.listening_port("dns"), await world.listening_port("dns tls")
     return {
         "udp": lambda raw, wanted: over_udp(plain, raw, wanted),
         "tcp": lambda raw, wanted: over_tcp(plain, raw, wanted),
@@ -107,7 +107,7 @@
     operator = OPERATOR.replace("deadline_ms = 400", 'deadline_ms = 400\nnsid = "n0.example"') + TLS
     operator = operator.replace('zones = ["route.example"]', 'zones = ["route.example"]\n' + RECORDS, 1)
     certify(folder, authority)
-    async with World(folder, caches=4, operator=operator) as world:
+    async with ProxyHarness(folder, caches=4, operator=operator) as world:
         by = await ways(world, authority)
         return [Judged(row, transport, await judge(by, row, transport)) for row in ROWS for transport in row.over]
 
--- a/tests/faults/test_beyond.py
+++ b/tests/faults/test_beyond.py
@@ -36,7 +36,7 @@
         last = services[-1]
         await until(lambda: last.tails, "the last service to be asked")
         last.add({"hosts": {"revision": 2, "members": [w.caches[0].member("DRAINING")]}})
-        await until(lambda: w.counted("journal", "events") == 2, "the drain")
+        await until(lambda: w.counter("journal", "events") == 2, "the drain")
         client = await w.client()
         for n in range(12):
             assert (await client.get(obj=f"{n:016x}"))[0] == "200"
@@ -54,7 +54,7 @@
 
     async def scene(w: FaultWorld) -> None:
         def drops_the_late(ask: dict[str, str]) -> Any:
-            return None if int(ask["max"]) <= 50 else Box.serve_it(ask)
+            return None if int(ask["max"]) <= 50 else Box.default_answer(ask)
 
         for box in w.boxes:
             box.behave = drops_the_late
@@ -65,7 +65,7 @@
             await asyncio.sleep(0.03)
         for tag in tags:
             assert (await client.answer(tag))[0] == "503"
-        assert not client.twice and (await w.figures())["out_of_rotation"] == 0
+        assert not client.answered_twice and (await w.metrics())["out_of_rotation"] == 0
         assert [(await client.get(obj=f"{n:016x}"))[0] for n in range(40)] == ["200"] * 40
 
     play(tmp_path, scene, management=True)
@@ -95,7 +95,7 @@
         assert await asyncio.wait_for(w.process.wait(), 20) == 0
         # By the clock 3.7 s at most; how late a busy machine is, is its own affair.
         assert time.monotonic() - began < min(deadline_ms / 1e3, 3.0) + 0.7 + 1.5
-        assert not client.twice
+        assert not client.answered_twice
 
     classes = [cls | {"deadline": deadline_ms * 1_000} for cls in SETTINGS["profiles"]]
     play(tmp_path, scene, settings={"profiles": classes})
@@ -123,7 +123,7 @@
         w.configure(journal=f"127.0.0.1:{other.port}")
         w.process.send_signal(signal.SIGHUP)
         other.hosts(w.caches[0].member("DRAINING"))
-        await until(lambda: w.counted("journal", "events") == 2, "the drain")
+        await until(lambda: w.counter("journal", "events") == 2, "the drain")
         client = await w.client()
         for n in range(8):
             assert (await client.get(obj=f"{n:016x}"))[0] == "200"
@@ -151,7 +151,7 @@
         w.journal.add({"expire": {"name": OBJECT, "stamp": stamp}})
         w.journal.server = await asyncio.start_server(w.journal.serve, w.journal.host, w.journal.port)
         began = time.monotonic()
-        await w.told()
+        await w.wait_for_events()
         assert time.monotonic() - began < 2.0  # what was missed counts as told so long after a break
         for box in w.boxes:
             box.asked.clear()
--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -40,7 +40,7 @@
         w.switches.fail("accept", error, 3)
         client = await w.client()
         assert (await client.get())[0] == "200"
-        assert w.switches.strikes("accept") == 3 and w.counted("fault", "loop") == 0
+        assert w.switches.strikes("accept") == 3 and w.counter("fault", "loop") == 0
 
     play(tmp_path, scene)
 
@@ -85,7 +85,7 @@
         answers = [await client.get(obj=f"{n:016x}") for n in range(100, 120)]
         assert [word for word, _, _ in answers] == ["200"] * 20
         assert all(box.asked for box in w.caches)
-        assert (await w.figures())["out_of_rotation"] == 0
+        assert (await w.metrics())["out_of_rotation"] == 0
 
     play(tmp_path, scene, management=True)
 
@@ -97,7 +97,7 @@
     async def scene(w: FaultWorld) -> None:
         def late(ask: dict[str, str]) -> None:
             for box in w.boxes:
-                box.behave = Box.serve_it
+                box.behave = Box.default_answer
             w.switches.fail("recv", error, 1)
             for box in w.caches:
                 for writer in box.writers:
@@ -147,7 +147,7 @@
         client = await w.client()
         began = time.monotonic()
         client.ask("license-buy", token="5c0f6e1a", budget=3_000)  # its attempt may take all the time there is
-        await until(lambda: w.counted("sent", "license-buy") == 1)
+        await until(lambda: w.counter("sent", "license-buy") == 1)
         await asyncio.sleep(1.0)  # the wait that must come off `max`
         await place.let()
         await until(lambda: b"\r\n" in place.read, "the request")
--- a/tests/faults/test_discovery.py
+++ b/tests/faults/test_discovery.py
@@ -22,7 +22,7 @@
         hold(w.boxes, unix_ms() - 400)
         w.journal.add({"expire": {"name": OBJECT, "stamp": stamp}})
         w.journal.hosts(w.caches[0].member("DRAINING"))
-        await w.told()
+        await w.wait_for_events()
         await w.logged("the stamp of the purge of")
         client = await w.client()
         answers = [await client.get(n=n) for n in range(4)]
@@ -38,7 +38,7 @@
     async def scene(w: FaultWorld) -> None:
         w.caches[1].up_since = start
         w.journal.hosts(w.caches[1].member())
-        await w.told()
+        await w.wait_for_events()
         await w.logged("up_since_ms is no time")
         client = await w.client()
         for n in range(40):
@@ -56,7 +56,7 @@
         w.switches.step_wall(step)
         w.caches[1].up_since = unix_ms()
         w.journal.hosts(w.caches[1].member())
-        await w.told()
+        await w.wait_for_events()
         client = await w.client()
         for n in range(40):
             await client.get(obj=f"{n:016x}")
@@ -120,7 +120,7 @@
     async def scene(w: FaultWorld) -> None:
         w.switches.step_wall(-7.0)
         await w.logged("the wall clock was stepped by -7.")
-        await until(lambda: w.counted("clock", "stepped") == 1, "the step to be counted")
+        await until(lambda: w.counter("clock", "stepped") == 1, "the step to be counted")
 
     play(tmp_path, scene)
 
--- a/tests/faults/test_purge_numbers.py
+++ b/tests/faults/test_purge_numbers.py
@@ -62,7 +62,7 @@
         w.journal.add({"expire": {"name": OBJECT, "stamp": stamp}})
         await until(lambda: len(w.journal.tails) > connections, "a new connection")
         w.journal.silent = False
-        await w.told()
+        await w.wait_for_events()
         await nothing_old_is_served(w, stamp)
 
     play(tmp_path, scene)
@@ -95,7 +95,7 @@
         await nothing_old_is_served(w, stamp)
         w.journal.withheld = 0
         await w.logged("no purge is missing")
-        await w.told()
+        await w.wait_for_events()
 
     play(tmp_path, scene)
 
@@ -116,7 +116,7 @@
         answers = [await client.get(n=n) for n in range(4)]
         assert not any(body.startswith(b"old") for _, _, body in answers)
         w.journal.silent = False
-        await w.told()
+        await w.wait_for_events()
 
     play(tmp_path, scene)
 
@@ -131,7 +131,7 @@
         stamp = unix_ms()
         w.journal.add({"expire": {"name": OBJECT, "stamp": stamp}})
         w.journal.add({"expire": {"set": 98, "stamp": stamp}})
-        await until(lambda: w.counted("journal", "events") >= 3, "the events")
+        await until(lambda: w.counter("journal", "events") >= 3, "the events")
         await nothing_old_is_served(w, stamp)
 
     play(tmp_path, scene)
@@ -143,7 +143,7 @@
         await reload(w, known={"pos": 2, "entries": [w.journal.events[0], other]})
         w.journal.hosts(w.caches[0].member("DRAINING"))
         w.journal.hosts()
-        await until(lambda: w.counted("journal", "events") >= 3, "the events")
+        await until(lambda: w.counter("journal", "events") >= 3, "the events")
         client = await w.client()
         for n in range(10):
             await client.get(obj=f"{n:016x}")
@@ -156,7 +156,7 @@
     async def scene(w: FaultWorld) -> None:
         hold(w.boxes, unix_ms() - 400)
         w.journal.add({"expire": {"set": 99, "stamp": unix_ms()}})
-        await w.told()
+        await w.wait_for_events()
         stamp = unix_ms()
         renumbered = {"pos": 2, "expire": {"name": OBJECT, "stamp": stamp}}
         await reload(w, known={"pos": 2, "entries": [w.journal.events[0], renumbered]})
@@ -178,7 +178,7 @@
         assert not w.caches[0].asked and w.caches[1].asked
         w.journal.silent = False
         w.journal.hosts()
-        await until(lambda: w.counted("journal", "events") == 5, "each event to be counted once")
+        await until(lambda: w.counter("journal", "events") == 5, "each event to be counted once")
 
     play(tmp_path, scene)
 
@@ -190,7 +190,7 @@
         w.journal.add({"expire": {"name": OBJECT, "stamp": stamp}})
         w.configure(known={"pos": 2, "entries": w.journal.events[:1]})
         await w.restart()
-        await until(lambda: w.counted("purge", "object") == 1, "the purge")
+        await until(lambda: w.counter("purge", "object") == 1, "the purge")
         await nothing_old_is_served(w, stamp)
 
     play(tmp_path, scene)
--- a/tests/faults/test_purged_copies.py
+++ b/tests/faults/test_purged_copies.py
@@ -15,7 +15,7 @@
 
 from tests.faults.test_purges import purge
 from tests.faults.world import PURGE_SLACK_MS, FaultWorld, Holding, hold, play, unix_ms
-from tests.world import OBJECT, SETTINGS, Box, until, whole
+from tests.world import OBJECT, SETTINGS, Box, body_of, until
 from threadhill.decision.freshness import Freshness, PurgeRecord
 
 GROUP, OTHER = 17, "00000000000000ff"
@@ -37,12 +37,12 @@
         if self.joined is None and ask["thing"] == OBJECT:
             self.joined = box, ask
             return None
-        return Box.serve_it(ask)
+        return Box.default_answer(ask)
 
     async def answer(self, born_ms: int) -> None:
         """The fill is done, with a copy that was made then."""
         box, ask = self.joined
-        body = b"old" + whole(ask)
+        body = b"old" + body_of(ask)
         for writer in box.writers:
             writer.write(f"{ask['id']} ok ver=old,born={born_ms} {len(body)}\r\n".encode() + body + b"\r\n")
             await writer.drain()
@@ -72,7 +72,7 @@
         tag = client.ask(shard=GROUP)
         await until(lambda: fill.joined, "the request at a server")
         w.journal.add({"expire": second | {"stamp": unix_ms()}})
-        await until(lambda: w.counted("purge", "object") + w.counted("purge", "group") == 2, "the second purge")
+        await until(lambda: w.counter("purge", "object") + w.counter("purge", "group") == 2, "the second purge")
         await fill.answer(born)
         word, _, body = await client.answer(tag)
         assert word == "200" and not body.startswith(b"old")
@@ -128,7 +128,7 @@
 def test_a_copy_of_which_no_birth_is_told_will_not_do_after_a_purge(tmp_path: Path, born: str) -> None:
     async def scene(w: FaultWorld) -> None:
         for box in w.caches:
-            box.behave = lambda ask: ("ok", f"ver=old{born}", b"old" + whole(ask))
+            box.behave = lambda ask: ("ok", f"ver=old{born}", b"old" + body_of(ask))
         stamp = await purge(w)
         await bind(stamp)
         client = await w.client()
@@ -156,7 +156,7 @@
     async def scene(w: FaultWorld) -> None:
         old = Holding(unix_ms() - 400, obeys=False)
         for box in w.boxes:
-            box.behave = lambda ask: old(ask) if "collapse" in ask.get("mode", "") else Box.serve_it(ask)
+            box.behave = lambda ask: old(ask) if "collapse" in ask.get("mode", "") else Box.default_answer(ask)
         stamp = await purge(w)
         await bind(stamp)
         client = await w.client()
--- a/tests/faults/test_purges.py
+++ b/tests/faults/test_purges.py
@@ -18,7 +18,7 @@
     """Purge the object; the stamp, once the proxy has applied it."""
     stamp = unix_ms() - age_ms
     w.journal.add({"expire": (what or {"name": OBJECT}) | {"stamp": stamp}})
-    await w.told()
+    await w.wait_for_events()
     return stamp
 
 
@@ -89,7 +89,7 @@
         client = await w.client()
         word, _, body = await client.get()
         assert not body.startswith(b"old") and word in ("200", "503")
-        await until(lambda: w.counted("purged_copy", "turned down"), "it to be counted")
+        await until(lambda: w.counter("purged_copy", "turned down"), "it to be counted")
 
     play(tmp_path, scene)
 
--- a/tests/faults/world.py
+++ b/tests/faults/world.py
@@ -12,13 +12,13 @@
 
 from tests import test_proxy
 from tests.faults.switches import Switches
-from tests.world import Box, World, whole
+from tests.world import Box, ProxyHarness, body_of
 
 PURGE_SLACK_MS = 550  # after a purge was told, until it binds: the settings' slack and what sockets add
 
 
-class FaultWorld(World):
-    """As `World`; `switches` has the faults of the proxy's process, which all its restarts meet too."""
+class FaultWorld(ProxyHarness):
+    """As `ProxyHarness`; `switches` has the faults of the proxy's process, which all its restarts meet too."""
 
     def __init__(self, folder: Path, step: float = 0.0, **more: Any) -> None:
         """`step`: seconds by which the wall clock of the first process is off already."""
@@ -37,10 +37,10 @@
         self.log = ""
         self.process = await self.start()
         self.reading = asyncio.ensure_future(self._read_log())
-        self.port = await self.listens("n0")
+        self.port = await self.listening_port("n0")
 
 
-play = partial(test_proxy.play, make=FaultWorld)  # a scene in such a world of its own
+play = partial(test_proxy.run_scenario, make=FaultWorld)  # a scene in such a world of its own
 
 
 def unix_ms() -> int:
@@ -59,7 +59,7 @@
         good = not oldest or now - self.born_ms <= oldest
         born = self.born_ms if good or not self.obeys else now
         version = "old" if born == self.born_ms else "new"
-        return "ok", f"ver={version},born={born}", version.encode() + whole(ask)
+        return "ok", f"ver={version},born={born}", version.encode() + body_of(ask)
 
 
 def hold(boxes: list[Box], born_ms: int, obeys: bool = True) -> None:
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 
 from tests.test_dns import play
-from tests.world import ROOT, World, until
+from tests.world import ROOT, ProxyHarness, until
 from threadhill.settings import Malformed
 from threadhill.tenancy import audit, keyfile, keys
 from threadhill.tenancy.keys import Gate, Refused, Scope
@@ -153,8 +153,8 @@
     tenant = command("key", "create", "--file", file, "--scope", "read", "--scope", "quota", "--tenant", "acme")
     reader = command("key", "create", "--file", file, "--scope", "read")
 
-    async def scene(w: World, _: object) -> None:
-        port = await w.listens("admin")
+    async def scene(w: ProxyHarness, _: object) -> None:
+        port = await w.listening_port("admin")
 
         async def call(key: str, method: str, path: str, body: Any = None) -> int:
             raw = b"" if body is None else json.dumps(body).encode()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.world import ROOT, World, crowd, ended, until
+from tests.world import ROOT, ProxyHarness, open_silent_connections, read_to_end, until
 
 TOKEN = "t" * 20
 OPERATOR = """
@@ -28,7 +28,7 @@
 class Admin:
     """Calls the API as any HTTP client would."""
 
-    def __init__(self, world: World, port: int) -> None:
+    def __init__(self, world: ProxyHarness, port: int) -> None:
         self.world, self.port = world, port
 
     async def raw(self, data: bytes) -> bytes:
@@ -74,16 +74,16 @@
         return process.returncode, out.decode(), err.decode()
 
 
-def play(folder: Path, scene: Callable[[World, Admin], Awaitable[None]]) -> None:
+def play(folder: Path, scene: Callable[[ProxyHarness, Admin], Awaitable[None]]) -> None:
     async def run() -> None:
-        async with World(folder, operator=OPERATOR) as world:
-            await scene(world, Admin(world, await world.listens("admin")))
+        async with ProxyHarness(folder, operator=OPERATOR) as world:
+            await scene(world, Admin(world, await world.listening_port("admin")))
 
     asyncio.run(run())
 
 
 def test_tenants_are_made_changed_and_removed_each_as_a_new_version(tmp_path: Path) -> None:
-    async def scene(w: World, api: Admin) -> None:
+    async def scene(w: ProxyHarness, api: Admin) -> None:
         assert await api("GET", "/v1/state") == (200, {"version": 1, "tenants": [ACME]})
         beta = {"name": "beta", "zones": ["b.example"], "quota": 0.0}
         made = await api("PUT", "/v1/tenants/beta", {"zones": ["B.example."]})
@@ -100,7 +100,7 @@
 
 
 def test_every_fault_is_told_as_json_and_nothing_is_changed(tmp_path: Path) -> None:
-    async def scene(w: World, api: Admin) -> None:
+    async def scene(w: ProxyHarness, api: Admin) -> None:
         bad = [
             {"name": "ok"},
             {"name": "Bad!"},
@@ -149,7 +149,7 @@
 
 
 def test_a_plan_is_applied_once_and_only_to_the_state_it_was_made_for(tmp_path: Path) -> None:
-    async def scene(w: World, api: Admin) -> None:
+    async def scene(w: ProxyHarness, api: Admin) -> None:
         file = tmp_path / "tenants.toml"
         file.write_text(
             '[[tenants]]\nname = "acme"\nzones = ["route.example"]\nquota = 9\n'
@@ -182,7 +182,7 @@
 
 
 def test_a_quota_binds_its_tenant_on_the_platforms_front_too(tmp_path: Path) -> None:
-    async def scene(w: World, api: Admin) -> None:
+    async def scene(w: ProxyHarness, api: Admin) -> None:
         client = await w.client()
         await api("PUT", "/v1/tenants/acme", {"quota": 0.01})
         first, *rest = [await client.get(acct="acme") for _ in range(4)]
@@ -197,7 +197,7 @@
 
 
 def test_a_request_in_pieces_and_two_on_one_connection(tmp_path: Path) -> None:
-    async def scene(w: World, api: Admin) -> None:
+    async def scene(w: ProxyHarness, api: Admin) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", api.port)
         one = f"GET /v1/state HTTP/1.1\r\nAuthorization: Bearer {TOKEN}\r\n\r\n".encode()
         for piece in (one[:10], one[10:] + one):
@@ -215,7 +215,7 @@
 
 def test_without_an_operators_file_nothing_else_is_on(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with World(tmp_path) as w:
+        async with ProxyHarness(tmp_path) as w:
             assert "dns:" not in w.log and "admin:" not in w.log
             client = await w.client()
             assert (await client.get(acct="acme"))[0] == "200"
@@ -231,7 +231,7 @@
             ('[admin]\nlisten = "127.0.0.1:0"\ntoken_env = "NONE"\n', "token"),
             ('[[tenants]]\nname = "X"\n', "tenants[0].name"),
         ):
-            world = World(tmp_path, operator=text)
+            world = ProxyHarness(tmp_path, operator=text)
             starting = asyncio.ensure_future(world.__aenter__())
             await until(lambda world=world: getattr(world, "process", None), "the process")
             assert await world.process.wait() == 2
@@ -243,11 +243,11 @@
 
 
 def test_silent_connections_shut_nobody_out_of_the_api(tmp_path: Path) -> None:
-    async def scene(w: World, api: Admin) -> None:
-        silent = await crowd(api.port, 40)
+    async def scene(w: ProxyHarness, api: Admin) -> None:
+        silent = await open_silent_connections(api.port, 40)
         assert (await api("GET", "/v1/state"))[0] == 200
         for reader, writer in silent:
-            await ended(reader)
+            await read_to_end(reader)
             writer.close()
 
     play(tmp_path, scene)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from tests.test_proxy import play
-from tests.world import ROOT, World, until
+from tests.test_proxy import run_scenario
+from tests.world import ROOT, ProxyHarness, until
 
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
@@ -31,7 +31,7 @@
 
 @pytest.mark.skipif(not (ROOT / ".venv").exists(), reason="`build` has not been run in this checkout")
 def test_run_as_written_is_one_process_with_threads_and_serves(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         w.process.kill()  # the world's own process gives way to the deploy file's
         await w.process.wait()
         w.process = await asyncio.create_subprocess_exec(
@@ -44,7 +44,7 @@
         )
         w.log = ""
         w.reading = asyncio.ensure_future(w._read_log())
-        w.port = await w.listens("n0")
+        w.port = await w.listening_port("n0")
         exe = os.readlink(f"/proc/{w.process.pid}/exe")  # exec: the shell became the program
         assert "python" in Path(exe).name and not children(w.process.pid)
         assert len(os.listdir(f"/proc/{w.process.pid}/task")) >= 1
@@ -54,7 +54,7 @@
         assert (await client.get())[0] == "200"
         await until(lambda: not children(w.process.pid), "no other process")
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_the_deploy_file_names_what_the_platform_needs() -> None:
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from tests.test_proxy import play
-from tests.world import ROOT, SETTINGS, World, whole
+from tests.test_proxy import run_scenario
+from tests.world import ROOT, SETTINGS, ProxyHarness, body_of
 from threadhill.decision import interface as api
 from threadhill.net.upstream_codec import read_waited
 from threadhill.settings import Malformed, read_settings
@@ -59,7 +59,7 @@
 
 
 def island(folder: Path, scene: Any, **more: Any) -> None:
-    play(folder, scene, settings=OTHER, **more)
+    run_scenario(folder, scene, settings=OTHER, **more)
 
 
 @pytest.mark.parametrize(("remark", "behind"), [("cut_off", True), ("turned_away", True), ("no_such_word", False)])
@@ -67,11 +67,11 @@
     """Guards against notes that get lost between the line and the module: where answers tell all, one without a note
     says that the cache itself failed, so the ill source was asked again by way of every other cache."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         def behave(ask: dict[str, str]) -> tuple[str, str, bytes]:
             if ask.get("from") == w.parent.name:
                 return "error", f"remark={remark},waited=40,{REPORT}", b""
-            return "ok", f"ver=v1,born=1764576000000,remark=pulled,waited=5,{REPORT}", whole(ask)
+            return "ok", f"ver=v1,born=1764576000000,remark=pulled,waited=5,{REPORT}", body_of(ask)
 
         for box in w.caches:
             box.behave = behave
@@ -94,7 +94,7 @@
 def test_what_must_never_run_twice_is_sent_once_and_failed_when_its_connection_breaks(tmp_path: Path) -> None:
     """Guards against a repeat that is only harmless where a key tells the origin so."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         def break_off(ask: dict[str, str]) -> None:
             w.origin.reset()
 
@@ -182,12 +182,12 @@
 def test_a_report_of_three_figures_is_read_and_steers(tmp_path: Path) -> None:
     """`x1` tells that the link is full; no share of hits is told, and none is made up: misses are left unfilled."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.caches:
             box.behave = lambda ask: (
                 "ok",
                 "ver=v1,born=1764576000000,remark=local,report=inflight:1;util:0.3;x1:90",
-                whole(ask),
+                body_of(ask),
             )
         client = await w.client()
         await client.get("big-record")
@@ -200,9 +200,9 @@
 def test_fresh_time_bounds_only_the_class_that_has_one(tmp_path: Path) -> None:
     """Guards against one class's figure read for another's: after a purge the age is sent, within the fresh time."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         w.journal.add({"expire": {"set": 17, "stamp": int(time.time() * 1000)}})
-        await w.told()
+        await w.wait_for_events()
         client = await w.client()
         for cls in ("small-record", "big-record"):
             assert (await client.get(cls))[0] == "200"
@@ -214,10 +214,10 @@
 
 
 def test_a_drain_holds_as_cache_and_as_source_with_three_hubs(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         client = await w.client()
         w.journal.hosts(w.caches[0].member("DRAINING"), w.parent.member("DRAINING"))
-        await w.told()
+        await w.wait_for_events()
         for n in range(12):
             assert (await client.get("big-record", obj=f"{n:016x}"))[0] == "200"
         assert {ask["from"] for ask in w.asked()} == {w.origin.name}
@@ -232,7 +232,7 @@
 ) -> None:
     """Guards against half a second told where the first site's most happened to be that."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None
         client = await w.client()
@@ -240,4 +240,4 @@
         word, fields, _ = await client.answer(tags[-1])  # past the 32 that one connection may have open
         assert (word, fields.get("backoff")) == ("503", backoff)
 
-    play(tmp_path, scene, settings=OTHER | {"limits": OTHER["limits"] | limits})
+    run_scenario(tmp_path, scene, settings=OTHER | {"limits": OTHER["limits"] | limits})
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from tests.world import OBJECT, World, crowd, ended, until
+from tests.world import OBJECT, ProxyHarness, open_silent_connections, read_to_end, until
 
 OPERATOR = """
 [dns]
@@ -120,11 +120,11 @@
 
 
 def play(
-    folder: Path, scene: Callable[[World, Resolver], Awaitable[None]], operator: str = OPERATOR, **more: object
+    folder: Path, scene: Callable[[ProxyHarness, Resolver], Awaitable[None]], operator: str = OPERATOR, **more: object
 ) -> None:
     async def run() -> None:
-        async with World(folder, operator=operator, **more) as world:
-            await scene(world, await Resolver(await world.listens("dns")).start())
+        async with ProxyHarness(folder, operator=operator, **more) as world:
+            await scene(world, await Resolver(await world.listening_port("dns")).start())
 
     asyncio.run(run())
 
@@ -137,7 +137,7 @@
 
 
 def test_a_name_is_answered_with_one_ready_server_and_no_time_to_live(tmp_path: Path) -> None:
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         reply = await r.ask("0." + OBJECT.upper() + ".Art-Pages.acme.route.example")
         assert (reply.id, reply.flags, reply.code) == (77, 0x8500, NOERROR)
         assert reply.addresses[0] in [box.host for box in w.caches]
@@ -151,7 +151,7 @@
 
 
 def test_an_srv_record_carries_port_and_target_which_can_be_looked_up_once(tmp_path: Path) -> None:
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         reply = await r.ask("_http._tcp." + NAME, SRV)
         ((kind, _, data),) = reply.sections[0]
         box = next(b for b in w.caches if name_of(b.name + ".box.route.example") == data[6:])
@@ -166,18 +166,18 @@
 
 
 def test_no_answer_names_a_drained_server_after_250_ms(tmp_path: Path) -> None:
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         drained = w.caches[0]
         assert drained.host in await named(r)
         w.journal.hosts(drained.member("DRAINING"))
-        await w.told()
+        await w.wait_for_events()
         assert drained.host not in await named(r) and w.caches[1].host in await named(r)
         for reply in await r.tcp(*(query(NAME, kind) for kind in (A, SRV, HTTPS, SVCB) for _ in range(10))):
             assert drained.host not in reply.addresses and socket.inet_aton(drained.host) not in reply.raw
             assert drained.name.encode() not in reply.raw
         assert (await r.ask(f"{drained.name}.box.route.example")).code == NXDOMAIN
         w.journal.hosts(w.caches[1].member("DELETED"), w.parent.member("DELETED"), w.origin.member("DELETED"))
-        await w.told()
+        await w.wait_for_events()
         began = time.monotonic()
         assert (await r.ask()).code == SERVFAIL
         assert time.monotonic() - began < 30  # at once, and not at the deadline of a minute
@@ -188,7 +188,7 @@
 def test_a_cold_server_is_not_named_more_than_it_can_take(tmp_path: Path) -> None:
     """Guards against a box that has just started being named as often as warm ones: its credit is spent."""
 
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         client = await w.client()
         for i in range(12):  # the module learns what warm caches serve: even if all 12 come within one second,
             # a cold one earns 0.65 x 2.5 x 0.16 of half of that, and an answer to a resolver is 1/8 of a request
@@ -197,7 +197,7 @@
         warm = (await named(r, 60)).count(w.caches[0].host)
         w.caches[0].up_since = int(time.time() * 1_000) + 60_000  # it stays as cold as it starts, however slow the test
         w.journal.hosts(w.caches[0].member())
-        await w.told()
+        await w.wait_for_events()
         began = time.monotonic()
         cold = (await named(r, 60)).count(w.caches[0].host)
         earned = 20 * (time.monotonic() - began)  # credit grows meanwhile: 12 to 16 such answers a second
@@ -207,9 +207,9 @@
 
 
 def test_after_a_purge_the_origin_is_named(tmp_path: Path) -> None:
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         w.journal.add({"expire": {"name": OBJECT, "stamp": int(time.time() * 1_000)}})
-        await w.told()
+        await w.wait_for_events()
         assert {(await r.ask()).addresses[0] for _ in range(5)} == {w.origin.host}
         assert w.origin.host not in await named(r)
 
@@ -217,9 +217,9 @@
 
 
 def test_after_a_purge_the_answer_is_refused_where_the_origin_may_not_be_named(tmp_path: Path) -> None:
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         w.journal.add({"expire": {"name": OBJECT, "stamp": int(time.time() * 1_000)}})
-        await w.told()
+        await w.wait_for_events()
         assert (await r.ask()).code == SERVFAIL
 
     from tests.world import SETTINGS
@@ -230,7 +230,7 @@
 def test_handing_over_is_no_sign_of_silence(tmp_path: Path) -> None:
     """Guards against answers that ejected a well cache: nothing ever comes back of what is handed over."""
 
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         await named(r, 12)
         await asyncio.sleep(0.8)  # longer than the silence that ejects
         assert set(await named(r, 12)) - {None} == {box.host for box in w.caches}
@@ -239,7 +239,7 @@
 
 
 def test_over_quota_is_refused_and_other_tenants_are_not_touched(tmp_path: Path) -> None:
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         name = f"0.{OBJECT}.art-pages.small.small.example"
         assert [(await r.ask(name)).code for _ in range(4)] == [NOERROR, SERVFAIL, SERVFAIL, SERVFAIL]
         refused = await r.ask(name, more=opt(), extra=1)  # at once, and with the reason (RFC 8914)
@@ -275,7 +275,7 @@
 
 
 def test_what_names_no_server_gets_its_code(tmp_path: Path) -> None:
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         for raw, code in CODES:
             over_udp, (over_tcp,) = await r.send(raw), await r.tcp(raw)
             assert over_udp.raw == over_tcp.raw, raw
@@ -287,7 +287,7 @@
 
 
 def test_zone_data_edns_truncation_and_packets_that_get_no_answer(tmp_path: Path) -> None:
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         assert [k for k, _, _ in (await r.ask("route.example", SOA)).sections[0]] == [SOA]
         assert (await r.ask("route.example", NS)).sections[0][0][2] == b"\x03ns1\xc0\x0c"  # the rest is the question's
         assert [k for k, _, _ in (await r.ask(NAME, ANY)).sections[0]] == [HINFO]
@@ -314,12 +314,12 @@
 def test_silent_connections_shut_no_resolver_out(tmp_path: Path) -> None:
     """Guards against a front that does without the limits of the others: more come than it takes, and say nothing."""
 
-    async def scene(w: World, r: Resolver) -> None:
-        silent = await crowd(r.port, 100)
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
+        silent = await open_silent_connections(r.port, 100)
         (reply,) = await r.tcp(query(NAME))
         assert reply.code == NOERROR
         for reader, writer in silent:
-            await ended(reader)
+            await read_to_end(reader)
             writer.close()
 
     play(tmp_path, scene)
@@ -330,14 +330,14 @@
     answers named them, and `dns resolvers` shows what each answer of it is charged now."""
     operator = OPERATOR + '\n[admin]\nlisten = "127.0.0.1:0"\ntoken_env = "TOKEN"\n'
 
-    async def scene(w: World, resolver: Resolver) -> None:
+    async def scene(w: ProxyHarness, resolver: Resolver) -> None:
         client, inflight = await w.client(), 0
         for box in w.caches:
             box.behave = lambda ask: ("ok", f"ver=v1,born=1764576000000,report=inflight:{inflight};util:0.5", b"x")
         for i in range(20):  # their level before any answer named them
             await client.get("art-pages", obj=f"{i:016x}")
         inflight = 60
-        port = await w.listens("admin")
+        port = await w.listening_port("admin")
         # How fast it learns depends on how many answers a second the machine gives; once an answer is charged as many,
         # the next may be refused, so the charge is looked at after each.
         for i in range(300):
@@ -367,7 +367,7 @@
     last keeps answers of TTL 0, and is sent to the operator's name that does not drain."""
     operator = OPERATOR.replace("deadline_ms = 400", 'deadline_ms = 400\nfallback = "steady.example.net"')
 
-    async def scene(w: World, resolver: Resolver) -> None:
+    async def scene(w: ProxyHarness, resolver: Resolver) -> None:
         first = await resolver.ask()
         assert first.code == NOERROR and first.addresses
         await asyncio.sleep(5.2)
--- a/tests/test_dns_limits.py
+++ b/tests/test_dns_limits.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.test_dns import NAME, NOERROR, OPERATOR, SRV, Reply, Resolver, play, query
-from tests.world import World, until
+from tests.world import ProxyHarness, until
 from threadhill.dns import limits
 from threadhill.dns.cookies import Cookies, Verdict, siphash24
 from threadhill.dns.limits import Limits, Send
@@ -79,7 +79,7 @@
 
 
 def test_an_unproven_address_gets_no_more_than_half_as_much_again_until_it_brings_a_cookie(tmp_path: Path) -> None:
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         raw = query("_http._tcp." + NAME, SRV, more=cookie(b"\x05" * 8), extra=1)
         first = await r.send(raw)
         assert first.flags & 0x0200 and not first.sections[0] and len(first.raw) <= 1.5 * len(raw)
@@ -101,7 +101,7 @@
     the same network without any, and another asks from one resolver more than its share."""
     operator = UNTRUSTED.replace("deadline_ms = 400", "deadline_ms = 400\nresponses_per_s = 50\nresolver_qps = 100")
 
-    async def scene(w: World, good: Resolver) -> None:
+    async def scene(w: ProxyHarness, good: Resolver) -> None:
         port = good.port
         handshake = await good.send(query(NAME, more=cookie(b"\x07" * 8), extra=1))
         proof = server_cookie(handshake)
@@ -133,7 +133,7 @@
         for transport, _ in flooders:
             transport.close()
         assert answered >= 0.99 * asked and asked > 20
-        await until(lambda: w.counted("dns", "rate limited, drop") > 0, "the flood dropped")
+        await until(lambda: w.counter("dns", "rate limited, drop") > 0, "the flood dropped")
 
     play(tmp_path, scene, operator)
 
@@ -143,7 +143,7 @@
     with a cookie is served through it, and one without is told to come over TCP, where it is served."""
     operator = UNTRUSTED.replace("deadline_ms = 400", "deadline_ms = 400\nunproven_qps = 20")
 
-    async def scene(w: World, good: Resolver) -> None:
+    async def scene(w: ProxyHarness, good: Resolver) -> None:
         proof = server_cookie(await good.send(query(NAME, more=cookie(b"\x07" * 8), extra=1)))
         loop = asyncio.get_running_loop()
         flooders = [
@@ -169,7 +169,7 @@
         assert over_tcp.addresses
         for transport in flooders:
             transport.close()
-        over = await until(lambda: w.counted("dns", "over the budget of the unproven"), "the flood at its budget")
+        over = await until(lambda: w.counter("dns", "over the budget of the unproven"), "the flood at its budget")
         # The budget's burst and rate went to the module, all else was told to come over TCP.
         assert sent == 1_000 and over >= sent - 20 * (took + 2)
 
--- a/tests/test_dns_signing.py
+++ b/tests/test_dns_signing.py
@@ -20,7 +20,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 
 from tests.test_dns import NAME, NXDOMAIN, OPERATOR, Resolver, play
-from tests.world import OBJECT, ROOT, World, until
+from tests.world import OBJECT, ROOT, ProxyHarness, until
 from threadhill.dns import keys, message
 from threadhill.dns.keys import Refused, State
 from threadhill.dns.message import Record, Response
@@ -102,7 +102,7 @@
 def test_answers_of_every_kind_carry_signatures_that_check(tmp_path: Path) -> None:
     ds = key_command(tmp_path, "generate", "route.example")
 
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         known = await key_set(r.port)
         assert dns.dnssec.make_ds(ZONE, known[0], "SHA256").to_text().upper() == ds.split(" DS ")[1].strip().upper()
         for name, kind, sets in (
@@ -139,7 +139,7 @@
 def test_no_signed_answer_names_a_drained_server_though_its_signature_was_made_before(tmp_path: Path) -> None:
     key_command(tmp_path, "generate", "route.example")
 
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         async def hosts() -> set[str]:
             replies = [await ask(r, f"0.{i:016x}.art-pages.acme.route.example.") for i in range(24)]
             return {reply.answer[0][0].address for reply in replies}
@@ -147,7 +147,7 @@
         drained = w.caches[0]
         assert drained.host in await hosts()  # signed for some of these names, and kept
         w.journal.hosts(drained.member("DRAINING"))
-        await w.told()
+        await w.wait_for_events()
         assert drained.host not in await hosts()
         for kind in (types.SRV, types.HTTPS, types.SVCB):
             for i in range(12):
@@ -162,7 +162,7 @@
     """A resolver that keeps the DNSKEY set from before each step checks everything that is signed after it."""
     key_command(tmp_path, "generate", "route.example")
 
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         stop, seen, cached = False, [], [await key_set(r.port)]
 
         async def load() -> None:
--- a/tests/test_dns_static.py
+++ b/tests/test_dns_static.py
@@ -23,7 +23,7 @@
 from tests.test_dns_signing import SIGNED, check, key_command, key_set, nsec
 from tests.test_dns_signing import ask as ask_signed
 from tests.test_plans import BASE, read
-from tests.world import World
+from tests.world import ProxyHarness
 from threadhill import zonefile
 from threadhill.documents import Invalid, read_tenant, write_tenant
 
@@ -60,7 +60,7 @@
 
 
 def test_static_records_are_answered_and_the_steered_names_stay(tmp_path: Path) -> None:
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         assert rows(await ask(r, "www.route.example.")) == [f"www.route.example. 60 A 192.0.2.{n}" for n in (1, 2)]
         assert len(rows(await ask(r, "alias.route.example."))) == 3  # the alias and what it leads to
         assert rows(await ask(r, "steered.route.example.")) == [f"steered.route.example. 300 CNAME {NAME}."]
@@ -86,7 +86,7 @@
 def test_static_records_are_signed_and_their_absence_is_denied(tmp_path: Path) -> None:
     key_command(tmp_path, "generate", "route.example")
 
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         known = await key_set(r.port)
         for name, kind, sets in (
             ("www.route.example.", types.A, 1),
@@ -98,7 +98,7 @@
         assert nsec(await ask_signed(r, "www.route.example.", types.MX))[1] == {types.A, types.RRSIG, types.NSEC}
         assert {types.SOA, types.TXT, types.CAA, types.DNSKEY} <= nsec(await ask_signed(r, "route.example."))[1]
 
-    async def plain(w: World, r: Resolver) -> None:  # whatever is static may be kept, for its own time
+    async def plain(w: ProxyHarness, r: Resolver) -> None:  # whatever is static may be kept, for its own time
         r.send = lambda raw: send(r, raw)
         await scene(w, r)
 
@@ -185,7 +185,7 @@
     many = ", ".join(f"'n{i}.route.example. TXT \"{'x' * 250}\" \"{'y' * 250}\"'" for i in range(200))
     text = OPERATOR.replace('zones = ["route.example"]', f'zones = ["route.example"]\nrecords = [{many}]', 1)
 
-    async def scene(w: World, r: Resolver) -> None:
+    async def scene(w: ProxyHarness, r: Resolver) -> None:
         def copy(kind: int = types.AXFR, **more: object) -> list:
             query = dns.message.make_query("route.example.", kind)
             if "serial" in more:
--- a/tests/test_dns_tls.py
+++ b/tests/test_dns_tls.py
@@ -12,7 +12,7 @@
 import trustme
 
 from tests.test_dns import NAME, NOERROR, OPERATOR, Reply, play, query
-from tests.world import World, until
+from tests.world import ProxyHarness, until
 
 TLS = """
 [dns.tls]
@@ -48,8 +48,8 @@
     first, second = trustme.CA(), trustme.CA()
     certify(tmp_path, first)
 
-    async def scene(w: World, _: object) -> None:
-        port = await w.listens("dns tls")
+    async def scene(w: ProxyHarness, _: object) -> None:
+        port = await w.listening_port("dns tls")
         trust = trusting(first)
         held = [await asyncio.open_connection("127.0.0.1", port, ssl=trust) for _ in range(200)]
         assert {reply.code for reply in await asyncio.gather(*(ask(*one) for one in held))} <= {0, 2}
@@ -73,14 +73,14 @@
     certify(tmp_path, authority)
     operator = OPERATOR.replace('trusted = ["127.0.0.1/32"]', "per_network = 3") + TLS
 
-    async def scene(w: World, _: object) -> None:
-        port = await w.listens("dns tls")
+    async def scene(w: ProxyHarness, _: object) -> None:
+        port = await w.listening_port("dns tls")
         silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3)]
         with pytest.raises((ConnectionError, ssl.SSLError)):  # the fourth of this network
             await asyncio.open_connection("127.0.0.1", port, ssl=trusting(authority))
         for reader, _ in silent:  # who never ends the handshake is ended, and its place is free again
             assert await reader.read() == b""
-        await until(lambda: w.counted("dns tls client", "no handshake, ConnectionAbortedError") >= 3, "their ends")
+        await until(lambda: w.counter("dns tls client", "no handshake, ConnectionAbortedError") >= 3, "their ends")
         for _ in range(5):
             reader, writer = await asyncio.open_connection("127.0.0.1", port, ssl=trusting(authority))
             assert (await ask(reader, writer)).code == NOERROR
@@ -103,7 +103,7 @@
     spoil(tmp_path)
 
     async def scene() -> None:
-        world = World(tmp_path, operator=OPERATOR + TLS)
+        world = ProxyHarness(tmp_path, operator=OPERATOR + TLS)
         for listener in [*world.boxes, world.journal]:
             await listener.start()
         world.journal.hosts(*(box.member() for box in world.boxes), complete=True)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,9 +15,9 @@
 import pytest
 
 from tests.by_hand import Hand, NotUp, ask, gone, leaving, stopped
-from tests.test_proxy import play
+from tests.test_proxy import run_scenario
 from tests.upstream_stub import Transport
-from tests.world import SETTINGS, Box, World, until
+from tests.world import SETTINGS, Box, ProxyHarness, until
 from threadhill.core.deadlines import Deadlines
 from threadhill.net.door import Guest
 from threadhill.net.resp import bulk
@@ -31,12 +31,12 @@
     """Guards against a process that ends over a connection: what the client sends just then meets a closed socket, the
     reset takes along what it has not read of its answer. Nothing that comes after the shutdown is sent on."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: ("ok", "ver=a,born=1", b"x" * BIG)
         slow = await Hand.connect(w, receive=4_096)
         await slow.send(ask(1))
-        await until(lambda: w.counted("served", "art-pages") == 1, "the answer to be written")
+        await until(lambda: w.counter("served", "art-pages") == 1, "the answer to be written")
         watch = await leaving(w)
         await watch.rest()
         asked = len(w.asked())
@@ -48,14 +48,14 @@
         await gone(w)
         assert len(w.asked()) == asked
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_what_waits_in_the_listeners_queue_when_the_program_stops_taking_is_answered(tmp_path: Path) -> None:
     """Guards against an end in the very turn in which the queue was emptied: its connections were taken, and closed
     unread. The process stands still while they come, until its time for taking is over."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         await leaving(w)
         with stopped(w):
             hands = [await Hand.connect(w) for _ in range(40)]  # more than are taken in one turn
@@ -68,20 +68,20 @@
             hand.socket.close()
         await gone(w)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize("half", ["unread", "read"])
 def test_a_request_that_is_half_there_when_the_program_ends_is_answered_when_it_is_whole(
     tmp_path: Path, half: str
 ) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         slow = await Hand.connect(w)
         raw = ask(1)
         watch = await leaving(w)
         if half == "read":
             await slow.send(raw[:40])
-            await until(lambda: w.counted("client", "opened") == 2)
+            await until(lambda: w.counter("client", "opened") == 2)
             await watch.rest()  # it lets go of who is idle
         else:
             with stopped(w):
@@ -94,11 +94,11 @@
         watch.socket.close()
         await gone(w)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_second_sigterm_changes_nothing(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         held: list[str] = []
         for box in w.boxes:
             box.behave = lambda ask: held.append(ask["id"])
@@ -116,14 +116,14 @@
         watch.socket.close()
         await gone(w)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_the_end_comes_before_sigkill_where_all_deadlines_are_short(tmp_path: Path) -> None:
     """Guards against a figure of one deployment: three seconds were taken for the longest deadline where all are
     shorter, and SIGKILL comes 0.7 s after the longest. Here a client holds its connection, and reads nothing."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: ("ok", "ver=a,born=1", b"x" * 240_000)
         dead = await Hand.connect(w, receive=4_096)
@@ -136,7 +136,7 @@
         watch.socket.close()
 
     short = [p | {"deadline": 300_000, "objective": 100_000} for p in SETTINGS["profiles"]]
-    play(tmp_path, scene, settings={"profiles": short})
+    run_scenario(tmp_path, scene, settings={"profiles": short})
 
 
 # --- clients that leave
@@ -149,7 +149,7 @@
     """Guards against attempts for nobody: who sends much that cannot be used is taken from ever more slowly, and what
     stood behind that was begun half a second after its client had gone, which stood behind it in turn."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         before = await w.client()
         assert (await before.get(obj="00000000000000aa"))[0] == "200"  # its cache has a connection
         client = await Hand.connect(w)
@@ -166,22 +166,22 @@
             elif how == "resets":
                 client.reset()
             client.socket.close()
-            await until(lambda: w.counted("client", "closed") == 1, "the connection to be gone")
+            await until(lambda: w.counter("client", "closed") == 1, "the connection to be gone")
         assert (await before.get(obj="00000000000000aa"))[0] == "200"
         assert len([a for a in w.asked() if a["thing"] == "00000000000000aa"]) == 2
 
-    play(tmp_path, scene, caches=1)
+    run_scenario(tmp_path, scene, caches=1)
 
 
 @pytest.mark.parametrize("how", ["closes", "resets", "ends its side", "takes it back"])
 def test_what_waits_for_a_dial_is_not_written_for_a_client_that_has_left(tmp_path: Path, how: str) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         w.origin.server.close()
         w.origin.reset()
         place = NotUp(w.origin.host, w.origin.port)
         client = await Hand.connect(w)
         await client.send(ask(1, "license-buy", b"x", token="a"))
-        await until(lambda: w.counted("sent", "license-buy") == 1)
+        await until(lambda: w.counter("sent", "license-buy") == 1)
         if how == "takes it back":
             await client.send(bulk(b"NEVERMIND", b"1"))
         elif how == "ends its side":
@@ -190,7 +190,7 @@
             client.reset()
         else:
             client.socket.close()
-        await until(lambda: w.counted("client_gone", "license-buy") == 1)
+        await until(lambda: w.counter("client_gone", "license-buy") == 1)
         await place.let()
         await until(lambda: place.came, "the dial to come up late")
         other = await Hand.connect(w)
@@ -199,14 +199,14 @@
         assert b"replay=a" not in place.read
         place.close()
 
-    play(tmp_path, scene, settings={"limits": SETTINGS["limits"] | {"connect-timeout": 20_000_000}})
+    run_scenario(tmp_path, scene, settings={"limits": SETTINGS["limits"] | {"connect-timeout": 20_000_000}})
 
 
 @pytest.mark.parametrize("how", ["closes", "resets", "ends its side", "takes it back"])
 def test_who_has_left_gets_no_further_attempt_when_the_first_one_fails(tmp_path: Path, how: str) -> None:
     """The refusal comes after the client has gone; so does the reset of the attempt's connection."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None
         client = await Hand.connect(w)
@@ -227,27 +227,29 @@
             box.reset()
         other = await w.client()
         for box in w.boxes:
-            box.behave = Box.serve_it
+            box.behave = Box.default_answer
         assert (await other.get(obj="00000000000000bb"))[0] == "200"
         assert len([a for a in w.asked() if a["id"] == "00000000000000aa"]) == 1
 
-    play(tmp_path, scene, settings={"costs": {"handshake": 0.08}})  # a connection is not left for one that was given up
+    run_scenario(
+        tmp_path, scene, settings={"costs": {"handshake": 0.08}}
+    )  # a connection is not left for one that was given up
 
 
 def test_a_client_that_sends_and_leaves_in_one_write_is_given_up_at_once(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None
         with stopped(w):
             client = await Hand.connect(w)
             await client.send(ask(1, rid="00000000000000aa"))
             client.socket.close()
-        await until(lambda: w.counted("client", "closed") == 1)
+        await until(lambda: w.counter("client", "closed") == 1)
         asked = len(w.asked())
         await until(lambda: sum(len(box.undone) for box in w.boxes) == asked, "what was begun to be undone")
-        assert asked <= 1 and w.counted("client_gone", "art-pages") == 1
+        assert asked <= 1 and w.counter("client_gone", "art-pages") == 1
 
-    play(tmp_path, scene, settings={"costs": {"handshake": 0.08}})
+    run_scenario(tmp_path, scene, settings={"costs": {"handshake": 0.08}})
 
 
 def guest(now: list[int]) -> tuple[Guest, Transport, Deadlines]:
@@ -303,7 +305,7 @@
 def test_a_slow_writer_loses_none_of_the_answers_it_is_owed(tmp_path: Path) -> None:
     """Guards against a bound on half a message that ended the whole connection, with the requests open on it."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         held: list[str] = []
         for box in w.boxes:
             box.behave = lambda ask: held.append(ask["id"])
@@ -311,7 +313,7 @@
         late = ask(2)
         await client.send(ask(1, "clip-parts"), late[:30])
         await until(lambda: held)
-        await until(lambda: w.counted("sent", "clip-parts") == 1)
+        await until(lambda: w.counter("sent", "clip-parts") == 1)
         idle = await Hand.connect(w)
         await idle.send(bulk(b"STATUS", b"1"), late[:30])
         await idle.rest()  # who is owed nothing is ended: the bound has passed for the other, which began before
@@ -321,4 +323,4 @@
         assert b"late" in await client.until(b"late")
         assert await client.rest() in (b"", b"\r\n")  # then it is
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -11,10 +11,15 @@
 
 import pytest
 
-from tests.world import OBJECT, Box, Journal, World, crowd, ended, until, whole
+from tests.world import OBJECT, Box, Journal, ProxyHarness, body_of, open_silent_connections, read_to_end, until
 
 
-def play(folder: Path, scene: Callable[[World], Awaitable[None]], make: type[World] = World, **more: object) -> None:
+def run_scenario(
+    folder: Path,
+    scene: Callable[[ProxyHarness], Awaitable[None]],
+    make: type[ProxyHarness] = ProxyHarness,
+    **more: object,
+) -> None:
     async def run() -> None:
         async with make(folder, **more) as world:
             await scene(world)
@@ -23,7 +28,7 @@
 
 
 def test_a_read_is_passed_on_unchanged_and_answered_whole(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         client = await w.client()
         assert await client.status() == "serving"
         word, fields, body = await client.get("clip-parts", rid="9b1f03aa5c7e2d41", n=3, mem=412.5, mine="4be0")
@@ -41,47 +46,47 @@
         }
         assert 0 < int(ask["max"]) <= 3000 and "oldest" not in ask and "replay" not in ask
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_write_goes_to_the_origin_with_its_body_and_key(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         client = await w.client()
         assert (await client.get("license-buy", b"x" * 48_000, token="5c0f6e1a"))[0] == "200"
         assert (await client.get("license-buy", b"x"))[0] == "500"  # without its key it must not be repeated
         (ask,) = w.origin.asked
         assert (ask["replay"], len(ask["body"]), "rank" in ask, "from" in ask) == ("5c0f6e1a", 48_000, False, False)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_large_answer_and_many_tags_on_one_connection(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
-            box.behave = lambda ask: ("ok", "ver=a,born=1", whole(ask) * 9_000)  # about 170 KB
+            box.behave = lambda ask: ("ok", "ver=a,born=1", body_of(ask) * 9_000)  # about 170 KB
         client = await w.client()
         tags = {client.ask(n=n): n for n in range(32)}
         for tag, n in tags.items():
             word, _, body = await client.answer(tag)
             assert word == "503" or body == f"{OBJECT}/{n}".encode() * 9_000
-        assert sum(client.answers[tag][0] == "200" for tag in tags) >= 8 and not client.twice
+        assert sum(client.answers[tag][0] == "200" for tag in tags) >= 8 and not client.answered_twice
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_the_clients_own_copy_is_confirmed_without_bytes(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: ("current", "ver=4be0,born=1", b"")
         client = await w.client()
         assert await client.get(mine="4be0") == ("200", {"still": "1"}, b"")
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize("word", ["nothing", "refused", "error", "stale", "novel"])
 def test_a_read_that_fails_everywhere_is_refused_at_once_with_advice(tmp_path: Path, word: str) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: (word, "-", b"")
         client = await w.client()
@@ -89,11 +94,11 @@
         assert (answer, fields.keys(), body) == ("503", {"backoff"}, b"") and 250 <= int(fields["backoff"]) <= 500
         assert len(w.asked()) <= 8
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_reset_is_followed_by_another_attempt(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         def die(box: Box) -> None:
             box.behave = lambda ask: box.reset()
 
@@ -102,38 +107,38 @@
         words = [(await client.get(obj=f"{i:016x}"))[0] for i in range(6)]
         assert words == ["200"] * 6 and w.caches[0].asked  # some went to the dying box first
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_refused_connection_proves_that_nothing_ran(tmp_path: Path) -> None:
     """Guards against a keyed request that is failed, not sent on, when its server could not be reached."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         w.origin.server.close()
         client = await w.client()
         word, fields, _ = await client.get("license-buy", b"x", token="aa")
         assert (word, fields.keys()) == ("503", {"backoff"}) and 250 <= int(fields["backoff"]) <= 500
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_silent_server_is_given_up_and_the_answer_comes_in_time(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None
         client = await w.client()
         began = time.monotonic()
         assert (await client.get(budget=300))[0] == "503"
         assert time.monotonic() - began >= 0.25  # not before its time; how late is the machine's affair
-        assert not client.twice
+        assert not client.answered_twice
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_more_requests_than_connections_are_all_written_at_once(tmp_path: Path) -> None:
     """Guards against requests that waited for an answer to others, once all connections had one out."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None
         client = await w.client()
@@ -143,11 +148,11 @@
         assert all(len(box.writers) <= 4 for box in w.boxes)
         assert not client.answers
 
-    play(tmp_path, scene, caches=1)
+    run_scenario(tmp_path, scene, caches=1)
 
 
 def test_nevermind_undoes_the_attempt_and_is_not_answered(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None
         client = await w.client()
@@ -157,50 +162,50 @@
         await until(lambda: any(box.undone for box in w.boxes) or not any(box.writers for box in w.boxes))
         assert await client.status() == "serving" and tag not in client.answers
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_drained_server_gets_nothing_new_and_its_open_request_is_finished(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         client = await w.client()
         for i in range(20):
             await client.get(obj=f"{i:016x}")
         assert all(box.asked for box in w.caches)
         w.journal.hosts(w.caches[0].member("DRAINING"))
         w.journal.hosts(w.parent.member("DELETED"))
-        await w.told()
+        await w.wait_for_events()
         before = len(w.caches[0].asked)
         for i in range(20):
             assert (await client.get(obj=f"{i:016x}"))[0] == "200"
         assert len(w.caches[0].asked) == before
         assert {ask["from"] for ask in w.caches[1].asked[-20:]} == {w.origin.name}
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_an_address_is_used_again_by_a_new_server(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         gone = w.caches[0].member("DELETED")
         w.journal.hosts(gone)
         w.journal.hosts(gone | {"id": "s-0000000a", "phase": "SERVING"})
-        await w.told()
+        await w.wait_for_events()
         client = await w.client()
         for i in range(20):
             assert (await client.get(obj=f"{i:016x}"))[0] == "200"
         assert w.caches[0].asked
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_purge_sets_the_oldest_copy_that_will_do(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         client = await w.client()
         stamp = int(time.time() * 1_000) - 1_000
         # The newest stamp tells how old the others are: the wall clock alone is not believed.
         w.journal.add({"expire": {"set": 41, "stamp": stamp + 1_000}})
         w.journal.add({"expire": {"name": OBJECT, "stamp": stamp}})
         w.journal.add({"expire": {"set": 40, "stamp": stamp}})
-        await w.told()
+        await w.wait_for_events()
         await client.get()
         await client.get(obj="00000000000000ff", shard=40)
         await client.get(obj="00000000000000ff", shard=42)
@@ -209,41 +214,41 @@
             assert 1_000 <= int(ask["oldest"]) <= float(ask["at"]) * 1_000 - stamp + 1
         assert "oldest" not in other
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_the_journal_is_taken_up_where_it_broke_and_applied_once(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         w.journal.hosts(w.caches[0].member("DRAINING"))
-        await w.told()
+        await w.wait_for_events()
         w.journal.reset()
         w.journal.hosts(w.caches[0].member())
         await until(lambda: len(w.journal.tails) > 1)
-        await w.told()
-        assert w.journal.tails[:2] == [1, 2] and w.counted("journal", "events") == 3
+        await w.wait_for_events()
+        assert w.journal.tails[:2] == [1, 2] and w.counter("journal", "events") == 3
         client = await w.client()
         for i in range(20):
             await client.get(obj=f"{i:016x}")
         assert w.caches[0].asked
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_silent_journal_is_dialled_anew_and_nothing_is_missed(tmp_path: Path) -> None:
     """Guards against a drain that is never heard of because the journal's machine vanished without a reset."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         w.journal.silent = True
         w.journal.hosts(w.caches[0].member("DRAINING"))
         await until(lambda: len(w.journal.tails) > 1, "another connection to the journal")
         w.journal.silent = False
-        await w.told()
+        await w.wait_for_events()
         client = await w.client()
         for i in range(20):
             await client.get(obj=f"{i:016x}")
         assert not w.caches[0].asked and w.caches[1].asked
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize("up", [True, False])
@@ -251,9 +256,9 @@
     """Guards against an end on SIGHUP, and against a journal that is left late or asked from the start. Where the
     old one is down the proxy is between two dials."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         w.journal.hosts(w.caches[0].member("DRAINING"))
-        await w.told()
+        await w.wait_for_events()
         old, w.journal = w.journal, Journal()
         w.journal.events = list(old.events)
         await w.journal.start()
@@ -267,18 +272,18 @@
         w.journal.hosts(w.caches[0].member())
         w.journal.hosts(w.caches[1].member("DRAINING"))
         old.add({"hosts": {"members": [box.member("DELETED") for box in w.boxes]}})
-        await w.told()
+        await w.wait_for_events()
         assert w.journal.tails == [2] and old.tails == [1]
         client = await w.client()
         assert [(await client.get(obj=f"{i:016x}"))[0] for i in range(10)] == ["200"] * 10
         assert len(w.caches[0].asked) == 10
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize("bad", [b"{", b"[]", b'{"journal": "nowhere"}', b"\xff"])
 def test_a_reload_of_a_bad_file_changes_nothing_and_is_logged(tmp_path: Path, bad: bytes) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         good = (tmp_path / "config.json").read_bytes()
         (tmp_path / "config.json").write_bytes(bad)
         w.process.send_signal(signal.SIGHUP)
@@ -289,17 +294,17 @@
         await until(lambda: w.log.count("everything stays as it is") == 2)
         assert (await (await w.client()).get())[0] == "200"
         w.journal.hosts(w.caches[0].member("DRAINING"))
-        await w.told()
+        await w.wait_for_events()
         assert w.journal.tails == [1]
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize("cut", ["half a line", "a gap", "noise"])
 def test_a_journal_that_breaks_off_is_asked_again_from_the_last_whole_event(tmp_path: Path, cut: str) -> None:
     """Guards against half an event applied, or one left out: what comes after a gap is asked for once more."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         drain = {"hosts": {"members": [w.caches[0].member("DRAINING")]}}
         raw = json.dumps({"pos": 2} | drain).encode()
         gap = json.dumps({"pos": 3, "expire": {"set": 1, "stamp": 1}}).encode()
@@ -314,20 +319,20 @@
         w.journal.add(drain)
         w.journal.events *= 2  # each of them told twice
         w.journal.silent = False
-        await until(lambda: w.counted("journal", "events") == 2, "the event")
+        await until(lambda: w.counter("journal", "events") == 2, "the event")
         client = await w.client()
         for i in range(10):
             await client.get(obj=f"{i:016x}")
         assert len(w.caches[1].asked) == 10
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_machine_that_vanished_is_found_by_the_next_dial(tmp_path: Path) -> None:
     """Guards against new requests on connections that stay open and silent: an attempt that ran out of time there
     unheard ends their use, and the dial that follows is refused."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         lost = w.origin
         lost.behave = lambda ask: None
         client = await w.client()
@@ -339,13 +344,13 @@
         assert (await client.get("license-buy", b"x", token="b", budget=30_000))[0] == "503"
         assert len(lost.asked) == 4
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_sigterm_serves_on_answers_all_and_exits_with_0(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
-            box.behave = lambda ask: None if ask["nth"] == "1" else Box.serve_it(ask)
+            box.behave = lambda ask: None if ask["nth"] == "1" else Box.default_answer(ask)
         client = await w.client()
         late = client.ask(n=1, budget=1_500)
         await until(w.asked)
@@ -356,7 +361,7 @@
         await w.reading
         assert '"taken"' in w.log  # the counters, at exit
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 BAD = [
@@ -396,7 +401,7 @@
 
 
 def test_bad_bytes_get_an_error_and_a_closed_connection(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for raw in BAD:
             reader, writer = await asyncio.open_connection("127.0.0.1", w.port)
             writer.write(raw)
@@ -409,21 +414,21 @@
         assert (await client.get("art-pages", b"a body"))[0] == "500"
         assert (await client.get())[0] == "200" and len(w.asked()) == 1
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_server_that_talks_nonsense_costs_only_its_connection(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         w.caches[0].behave = lambda ask: ("ok", "two words", b"")
         client = await w.client()
         assert [(await client.get(obj=f"{i:016x}"))[0] for i in range(6)] == ["200"] * 6
         assert w.caches[0].asked
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_client_that_does_not_read_holds_up_only_itself(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: ("ok", "ver=a,born=1", b"x" * 200_000)
         slow = await w.client()
@@ -439,73 +444,73 @@
         pages = int(Path(f"/proc/{w.process.pid}/statm").read_text().split()[1])
         assert pages * 4096 < 100 << 20
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_who_says_nothing_shuts_nobody_out(tmp_path: Path) -> None:
     """Guards against connections that are opened by the hundred and say nothing, or half a message: they are ended in
     time, and make room at once. Who asked once keeps its connection while there is room."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         kept = await w.client()
         assert (await kept.get())[0] == "200"
-        silent = await crowd(w.port, 200)
+        silent = await open_silent_connections(w.port, 200)
         half = await w.client()
         half.writer.write(b"*5\r\n$3\r\nASK\r\n$1\r\n1\r\n")
         usual = [await w.client() for _ in range(20)]
         assert [(await client.get())[0] for client in usual] == ["200"] * 20
         for reader, writer in silent:
-            await ended(reader)
+            await read_to_end(reader)
             writer.close()
         await asyncio.wait_for(half.task, 30)
         assert (await kept.get())[0] == "200" and (await usual[0].get())[0] == "200"
 
-    play(tmp_path, scene, sockets=96)
+    run_scenario(tmp_path, scene, sockets=96)
 
 
 def test_connections_that_asked_once_and_stay_make_room(tmp_path: Path) -> None:
     """Guards against a table full of connections that nothing is open on: a new client's request was reset."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
-            box.behave = lambda ask: None if ask["nth"] == "1" else Box.serve_it(ask)
+            box.behave = lambda ask: None if ask["nth"] == "1" else Box.default_answer(ask)
         asking = await w.client()
         open = asking.ask(n=1, budget=60_000)
         await until(w.asked)
         for _ in range(100):
             assert (await (await w.client()).get())[0] == "200"
         assert open not in asking.answers and not asking.task.done()  # who is owed an answer is not turned out
-        await until(lambda: w.counted("client", "turned out"))
-        assert not w.counted("client", "full")  # nobody had to wait for it
+        await until(lambda: w.counter("client", "turned out"))
+        assert not w.counter("client", "full")  # nobody had to wait for it
 
-    play(tmp_path, scene, sockets=96)
+    run_scenario(tmp_path, scene, sockets=96)
 
 
 def test_who_waits_at_a_full_door_is_answered_when_the_program_ends(tmp_path: Path) -> None:
     """Guards against requests that are reset unheard: the machine accepted their connections, the program did not."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
-            box.behave = lambda ask: None if ask["nth"] == "1" else Box.serve_it(ask)
+            box.behave = lambda ask: None if ask["nth"] == "1" else Box.default_answer(ask)
         owed = [await w.client() for _ in range(48)]
         for client in owed:
             client.ask("license-buy", n=1, token="t", budget=2_500)
-        await until(lambda: w.counted("taken", "license-buy") == 48, "a door full of who is owed an answer")
+        await until(lambda: w.counter("taken", "license-buy") == 48, "a door full of who is owed an answer")
         late = [await w.client() for _ in range(10)]
         tags = [client.ask(n=0) for client in late]
-        await until(lambda: w.counted("client", "full"), "the door to be full")
+        await until(lambda: w.counter("client", "full"), "the door to be full")
         w.process.send_signal(signal.SIGTERM)
         words = [(await client.answer(tag))[0] for client, tag in zip(late, tags, strict=True)]
         assert set(words) <= {"200", "503"}
         assert await asyncio.wait_for(w.process.wait(), 20) == 0
 
-    play(tmp_path, scene, sockets=96)
+    run_scenario(tmp_path, scene, sockets=96)
 
 
 def test_more_requests_than_a_connection_may_have_open_are_refused_at_once(tmp_path: Path) -> None:
     """Guards against a flood whose requests wait unread for the answers to others."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         w.origin.behave = lambda ask: None
         client = await w.client()
         tags = [client.ask("license-buy", b"x", token=f"t{n}", budget=60_000) for n in range(300)]
@@ -514,16 +519,16 @@
         assert all(int(fields["backoff"]) > 0 for _, fields, _ in client.answers.values())
         for tag in tags:
             client.send("NEVERMIND", tag)
-        await until(lambda: w.counted("client_gone", "license-buy") == 32, "the requests to be taken back")
+        await until(lambda: w.counter("client_gone", "license-buy") == 32, "the requests to be taken back")
         assert (await (await w.client()).get())[0] == "200"
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_the_id_of_an_open_request_is_not_taken_again(tmp_path: Path) -> None:
     """Guards against two requests that no cache server's line could tell apart."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None
         one, other = await w.client(), await w.client()
@@ -534,7 +539,7 @@
         await asyncio.wait_for(one.task, 30)  # its connection is ended
         assert len(w.asked()) == 1
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 SPOILT = [
@@ -554,9 +559,9 @@
 def test_a_spoilt_answer_ends_its_connection_and_is_not_passed_on(tmp_path: Path, raw: bytes) -> None:
     """Guards against a parser that throws, waits or passes on what it cannot have understood."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         def spoil(ask: dict[str, str]) -> None:
-            w.origin.behave = Box.serve_it
+            w.origin.behave = Box.default_answer
             for writer in w.origin.writers:
                 writer.write(raw.replace(b"%s", ask["id"].encode()))
 
@@ -564,17 +569,17 @@
         client = await w.client()
         word, _, body = await client.get("license-buy", b"x", token="a", budget=30_000)
         assert (word, body) == ("200", f"{OBJECT}/0".encode()) and len(w.origin.asked) == 2
-        assert w.counted("fault", "server") == 0 and "Traceback" not in w.log
+        assert w.counter("fault", "server") == 0 and "Traceback" not in w.log
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_an_answer_that_stops_short_takes_no_other_with_it(tmp_path: Path) -> None:
     """Guards against a connection on which an answer never ends: what comes behind it was taken for its rest."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         def stop(ask: dict[str, str]) -> None:
-            w.origin.behave = Box.serve_it
+            w.origin.behave = Box.default_answer
             for writer in w.origin.writers:
                 writer.write(f"{ask['id']} ok ver=a,born=1 5000\r\nnot all of it".encode())
 
@@ -583,33 +588,33 @@
         assert (await client.get("license-buy", b"x", token="a", budget=1_500))[0] in ("500", "503")
         assert (await client.get("license-buy", b"x", token="b", budget=30_000))[0] == "200"
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_second_copy_of_an_answer_ends_no_later_attempt(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         def twice(ask: dict[str, str]) -> None:
-            w.origin.behave = Box.serve_it
+            w.origin.behave = Box.default_answer
             for writer in w.origin.writers:
                 writer.write(f"00000000000000bb ok - 0\r\n\r\n{ask['id']} refused - 0\r\n\r\n".encode() * 2)
 
         w.origin.behave = twice
         client = await w.client()
         assert (await client.get("license-buy", b"x", token="a"))[0] == "200"
-        assert len(w.origin.asked) == 2 and w.counted("malformed", "server") == 0
+        assert len(w.origin.asked) == 2 and w.counter("malformed", "server") == 0
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_servers_that_have_gone_take_no_share_of_the_connections(tmp_path: Path) -> None:
     """Guards against a table that grows with every server there ever was, and shrinks what the others get."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for i in range(60):
             member = w.caches[0].member() | {"id": f"s-00001{i:03x}"}
             w.journal.hosts(member)
             w.journal.hosts(member | {"phase": "DELETED"})
-        await w.told()
+        await w.wait_for_events()
         w.origin.behave = lambda ask: None
         client = await w.client()
         for i in range(10):
@@ -617,11 +622,11 @@
         await until(lambda: len(w.origin.asked) == 10)
         assert len(w.origin.writers) == 4
 
-    play(tmp_path, scene, sockets=256)
+    run_scenario(tmp_path, scene, sockets=256)
 
 
 def test_sigterm_is_not_held_up_by_a_client_that_does_not_read_or_by_a_flood(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: ("ok", "ver=a,born=1", b"x" * 200_000)
         dead = await w.client()
@@ -629,7 +634,7 @@
         dead.writer.transport.pause_reading()
         for n in range(32):
             dead.ask(n=n)
-        await until(lambda: w.counted("sent", "art-pages") >= 8)
+        await until(lambda: w.counter("sent", "art-pages") >= 8)
         flood = await w.client()
         w.process.send_signal(signal.SIGTERM)
         began = time.monotonic()
@@ -638,4 +643,4 @@
             await asyncio.sleep(0.01)
         assert w.process.returncode == 0
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -8,8 +8,8 @@
 from contextlib import suppress
 from pathlib import Path
 
-from tests.test_proxy import play
-from tests.world import ROOT, World, crowd, until
+from tests.test_proxy import run_scenario
+from tests.world import ROOT, ProxyHarness, open_silent_connections, until
 from threadhill.standin.ask import Client
 from threadhill.standin.swarm import Crowd, Swarm, settings_for
 
@@ -59,21 +59,21 @@
 def test_idle_clients_that_hold_all_descriptors_do_not_keep_discovery_out(tmp_path: Path) -> None:
     """Discovery goes away and comes back while idle clients hold every descriptor that they may have."""
 
-    async def scene(w: World) -> None:
-        silent = await crowd(w.port, 120)
+    async def scene(w: ProxyHarness) -> None:
+        silent = await open_silent_connections(w.port, 120)
         w.journal.server.close()
         w.journal.reset()
         await w.logged("journal: no connection")
-        silent += await crowd(w.port, 60)
+        silent += await open_silent_connections(w.port, 60)
         w.journal.hosts(w.caches[0].member("DRAINING"))
         w.journal.server = await asyncio.start_server(w.journal.serve, w.journal.host, w.journal.port)
-        await w.told()
+        await w.wait_for_events()
         client = await w.client()
         for n in range(8):
             assert (await client.get(obj=f"{n:016x}"))[0] == "200"
         assert not w.caches[0].asked and w.process.returncode is None
-        await until(lambda: w.counted("fault", "loop") == 0 and w.counted("fault", "deadline") == 0, "no fault")
+        await until(lambda: w.counter("fault", "loop") == 0 and w.counter("fault", "deadline") == 0, "no fault")
         for _, writer in silent:
             writer.close()
 
-    play(tmp_path, scene, sockets=160)
+    run_scenario(tmp_path, scene, sockets=160)
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -17,7 +17,7 @@
 from benchmarks.report import page
 from tests.test_dns import Resolver, play, query
 from tests.test_views import subnet
-from tests.world import ROOT, SETTINGS, World, until
+from tests.world import ROOT, SETTINGS, ProxyHarness, until
 from threadhill.operators import read_operator
 from threadhill.settings import Malformed
 from threadhill.standin import faults
@@ -48,10 +48,10 @@
 
 
 def test_a_storm_is_seen_told_and_explained_and_each_request_has_one_answer(tmp_path: Path) -> None:
-    async def scene(w: World, _: object) -> None:
+    async def scene(w: ProxyHarness, _: object) -> None:
         for box in w.boxes:
             box.behave = lambda ask: ("refused", "report=inflight:60;util:1.0", b"")
-        admin = await w.listens("admin")
+        admin = await w.listening_port("admin")
         clients = [await w.client() for _ in range(4)]
         tags, end = [], time.monotonic() + 20
         while "normal -> strained" not in w.log and time.monotonic() < end:
@@ -69,7 +69,9 @@
             if last[0] == "503" and 0 < int(last[1].get("backoff", 0)) <= 500:
                 break
         answers = [await client.answer(tag) for client, tag in tags]
-        assert {word for word, _, _ in answers} <= {"200", "503"} and not any(client.twice for client in clients)
+        assert {word for word, _, _ in answers} <= {"200", "503"} and not any(
+            client.answered_twice for client in clients
+        )
         run = asyncio.get_running_loop().run_in_executor
         told = await run(None, command, admin, "why", rid)
         assert '"come_back_ms"' in told and '"state"' in told
@@ -103,7 +105,7 @@
 """
 
     async def run() -> None:
-        w = World(
+        w = ProxyHarness(
             tmp_path,
             caches=3,
             operator=OPERATOR + view,
@@ -112,8 +114,8 @@
         w.caches[2].locality = "sierra"
         w.caches[2].up_since = int(time.time() * 1_000) - 1  # cold: it takes next to nothing
         async with w:
-            r = await Resolver(await w.listens("dns")).start()
-            admin = await w.listens("admin")
+            r = await Resolver(await w.listening_port("dns")).start()
+            admin = await w.listening_port("admin")
             client = await w.client()
             end = time.monotonic() + 30
             while "node sierra: overload: all: normal ->" not in w.log and time.monotonic() < end:
@@ -130,7 +132,7 @@
 
 
 def test_at_the_end_clients_are_let_go_of_one_after_another(tmp_path: Path) -> None:
-    async def scene(w: World, _: object) -> None:
+    async def scene(w: ProxyHarness, _: object) -> None:
         clients = [await w.client() for _ in range(40)]
         for client in clients:
             assert (await client.get(obj=f"{3:016x}"))[0] == "200"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,8 +11,8 @@
 import time
 from pathlib import Path
 
-from tests.test_proxy import play
-from tests.world import ROOT, Client, World, until
+from tests.test_proxy import run_scenario
+from tests.world import ROOT, Client, ProxyHarness, until
 
 
 async def health(port: int) -> int:
@@ -26,7 +26,7 @@
     return int(raw.split(b" ")[1]) if raw else 0
 
 
-async def steady(w: World, count: int, answers: list[str]) -> None:
+async def steady(w: ProxyHarness, count: int, answers: list[str]) -> None:
     """A client that asks one thing after another; where its connection is closed it comes again on a new one, and
     sends what crossed the close once more, as the platform's clients do."""
     client: Client | None = None
@@ -47,7 +47,7 @@
 class Second:
     """The new process of an upgrade: same socket, same folder, an address of its own for operators."""
 
-    async def start(self, w: World) -> Second:
+    async def start(self, w: ProxyHarness) -> Second:
         self.process = await w.start(LB_MANAGEMENT="127.0.0.1:0", LB_NAME="n0")
         self.log = b""
         self.reading = asyncio.ensure_future(self._read())
@@ -77,7 +77,7 @@
 
 
 def test_a_second_process_takes_over_without_a_request_turned_back(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         answers: list[str] = []
         load = asyncio.ensure_future(steady(w, 150, answers))
         await until(lambda: len(answers) >= 20, "some answers from the first process")
@@ -88,11 +88,11 @@
         assert answers.count("200") == 150, answers
         await second.stop()
 
-    play(tmp_path, scene, inherit=True, management=True)
+    run_scenario(tmp_path, scene, inherit=True, management=True)
 
 
 def test_a_cordon_holds_in_the_new_process_and_is_undone_there(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         out = w.caches[0]
         body = json.dumps({"name": out.name}).encode()
         assert (await w.call("POST", "/admin/cordon", body))[0] == 200
@@ -107,19 +107,19 @@
         assert out.asked
         await second.stop()
 
-    play(tmp_path, scene, inherit=True, management=True)
+    run_scenario(tmp_path, scene, inherit=True, management=True)
 
 
 def test_a_damaged_file_of_cordons_is_set_aside_and_said(tmp_path: Path) -> None:
     (tmp_path / "threadhill-cordons.json").write_bytes(b'{"out": ["s-00000001"')
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         await w.logged("cannot be read")
         assert (tmp_path / "threadhill-cordons.damaged").exists()
         client = await w.client()
         assert (await client.get())[0] == "200"
 
-    play(tmp_path, scene, management=True)
+    run_scenario(tmp_path, scene, management=True)
 
 
 def test_a_descriptor_that_is_no_socket_is_a_clear_error(tmp_path: Path) -> None:
@@ -150,7 +150,7 @@
     """SIGKILL comes 0.7 s after the longest deadline, counted as 3 s where it is longer (clip-parts has 5 s here); a
     request that came after the first 0.7 s and is open then would be lost."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None  # nothing is ever answered by the servers
         client = await w.client()
@@ -165,4 +165,4 @@
             assert word in ("500", "503") and time.monotonic() - began < 3.7
         assert await asyncio.wait_for(w.process.wait(), 10) == 0 and time.monotonic() - began < 3.7
 
-    play(tmp_path, scene, inherit=True)
+    run_scenario(tmp_path, scene, inherit=True)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -9,8 +9,8 @@
 import pytest
 
 from tests.test_deployments import OTHER
-from tests.test_proxy import play
-from tests.world import SETTINGS, World, until
+from tests.test_proxy import run_scenario
+from tests.world import SETTINGS, ProxyHarness, until
 from threadhill.core.clock import Clock
 from threadhill.core.deadlines import Deadlines
 from threadhill.core.ports import AttemptResult, AttemptSpec, ClientRequest
@@ -27,7 +27,7 @@
     """Guards against a fleet that opens a connection for each attempt beside another and leaves all of a server's
     after one that ran out of time: from one proxy it is nothing, from 40 it was one in four requests."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         box = w.caches[0]
         box.behave = lambda ask: None
         client = await w.client()
@@ -35,35 +35,35 @@
             tags = [client.ask(n=n, obj=f"{i:016x}", budget=300) for i in range(4)]
             for tag in tags:
                 await client.answer(tag)
-        box.behave = box.serve_it
+        box.behave = box.default_answer
         assert (await client.get(n=9))[0] == "200"
         assert await until(lambda: len(box.asked) == 9)
         assert (box.accepted == 1) if most == 1 else (4 < box.accepted <= most)
 
-    play(tmp_path, scene, caches=1, settings=ONE | {"costs": {"handshake": price}})
+    run_scenario(tmp_path, scene, caches=1, settings=ONE | {"costs": {"handshake": price}})
 
 
 def test_a_connection_that_stays_silent_is_left_in_the_end(tmp_path: Path) -> None:
     """Guards against a price that keeps a dead connection for good: a third attempt unheard ends its use."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         box = w.caches[0]
         box.behave = lambda ask: None
         client = await w.client()
         for n in range(3):
             assert (await client.get(n=n, budget=200))[0] == "503"
-        box.behave = box.serve_it
+        box.behave = box.default_answer
         assert (await client.get(n=9))[0] == "200"
         assert box.accepted == 2
 
-    play(tmp_path, scene, caches=1, settings=ONE | {"costs": {"handshake": 0.08}})
+    run_scenario(tmp_path, scene, caches=1, settings=ONE | {"costs": {"handshake": 0.08}})
 
 
 def test_a_second_attempt_at_the_same_server_waits_for_nobody(tmp_path: Path) -> None:
     """Guards against a queue that stands still: an id goes on a connection once, and where that is the only one, the
     next attempt under it, with all that came after, waited until all else there was over."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         box, refused = w.caches[0], []
 
         def behave(ask: dict[str, str]) -> tuple[str, str, bytes] | None:
@@ -72,7 +72,7 @@
             if not refused:
                 refused.append(ask["id"])
                 return "refused", "-", b""
-            return box.serve_it(ask)
+            return box.default_answer(ask)
 
         box.behave = behave
         client = await w.client()
@@ -81,7 +81,7 @@
         assert (await client.get(n=0))[0] == "200"
         assert slow not in client.answers
 
-    play(tmp_path, scene, caches=1, settings=ONE | {"costs": {"handshake": 0.08}})
+    run_scenario(tmp_path, scene, caches=1, settings=ONE | {"costs": {"handshake": 0.08}})
 
 
 def test_a_purge_gives_back_what_waits_for_a_connection() -> None:
@@ -112,7 +112,7 @@
     """Seen with peers that cut a connection as the next request came after a tenth of a second: one order in six was
     lost so, as an order goes to the origin alone, whose connections are idle in between."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         seen: list[int] = []
 
         def behave(ask: dict[str, str]) -> tuple[str, str, bytes] | None:
@@ -120,7 +120,7 @@
             if seen[:-1].count(w.origin.accepted):  # a connection that has carried one before
                 w.origin.reset()
                 return None
-            return w.origin.serve_it(ask)
+            return w.origin.default_answer(ask)
 
         w.origin.behave = behave
         client = await w.client()
@@ -131,7 +131,7 @@
         assert words == ["200", "500", *["200"] * 4]
         assert w.origin.accepted == 5 and len(seen) == 6  # none of them was asked twice
 
-    play(tmp_path, scene, settings=OTHER)
+    run_scenario(tmp_path, scene, settings=OTHER)
 
 
 @pytest.mark.parametrize(("peer", "kept"), [(30_000_000, 27_500_000), (4_000_000, 2_800_000), (1_000_000, 700_000)])
--- a/tests/test_upstream_endings.py
+++ b/tests/test_upstream_endings.py
@@ -13,9 +13,9 @@
 import pytest
 
 from tests.by_hand import Hand, NotUp, ask, profiles
-from tests.test_proxy import play
+from tests.test_proxy import run_scenario
 from tests.upstream_stub import Below, Transport
-from tests.world import OBJECT, SETTINGS, Box, World, until
+from tests.world import OBJECT, SETTINGS, Box, ProxyHarness, until
 from threadhill.core.ports import AttemptResult
 from threadhill.decision import interface as api
 from threadhill.net.upstream import UpstreamConnection
@@ -25,7 +25,7 @@
     """Guards against an order that runs twice: the module decided on the repeat within the window, the dial took
     longer than that, and it was written all the same."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         places: list[NotUp] = []
 
         def die(ask: dict[str, str]) -> None:
@@ -49,7 +49,7 @@
 
     limits = SETTINGS["limits"] | {"connect-timeout": 20_000_000}
     window = {"repeat-window": 150_000}
-    play(tmp_path, scene, settings={"limits": limits, "profiles": profiles("license-buy", **window)})
+    run_scenario(tmp_path, scene, settings={"limits": limits, "profiles": profiles("license-buy", **window)})
 
 
 def test_a_repeat_whose_window_ends_in_the_turn_in_which_its_dial_comes_up_is_not_written() -> None:
@@ -156,13 +156,13 @@
 def test_a_dial_that_comes_up_after_its_server_drained_carries_nothing(tmp_path: Path) -> None:
     """What waited for it is decided on anew, and the connection is closed."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         (box,) = w.caches
         box.server.close()
         place = NotUp(box.host, box.port)
         client = await Hand.connect(w)
         await client.send(ask(1))
-        await until(lambda: w.counted("sent", "art-pages") == 1)
+        await until(lambda: w.counter("sent", "art-pages") == 1)
         w.journal.hosts(box.member("DRAINING"))
         await client.until(b"\r\n503\r\n")  # at once: there is no other cache
         await place.let()
@@ -172,7 +172,7 @@
 
     limits = SETTINGS["limits"] | {"connect-timeout": 20_000_000}
     extra = SETTINGS["extra"] | {"bypass-allowed": False}
-    play(tmp_path, scene, caches=1, settings={"limits": limits, "extra": extra})
+    run_scenario(tmp_path, scene, caches=1, settings={"limits": limits, "extra": extra})
 
 
 @pytest.mark.parametrize("phase", ["DRAINING", "DELETED"])
@@ -209,10 +209,10 @@
 ) -> None:
     """Guards against a spoilt answer that lets a client take its copy, or none, for good."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         def behave(ask: dict[str, str]) -> tuple[str, str, bytes]:
             for box in w.boxes:
-                box.behave = Box.serve_it
+                box.behave = Box.default_answer
             return "current", f"ver={ver},born=1" if ver else "born=1", b""
 
         for box in w.boxes:
@@ -222,7 +222,7 @@
         assert (word, fields, body) == ("200", {}, f"{OBJECT}/0".encode()) and len(w.asked()) == 2
         await w.logged("calls current what was not named to it")
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 async def trickle(writer: asyncio.StreamWriter, data: bytes) -> None:
@@ -243,12 +243,12 @@
     """Guards against a connection that is never silent, never done, and takes what is sent on it along: the rest of an
     answer that was given up, a line that does not end, answers that nobody asked for."""
 
-    async def scene(w: World) -> None:
+    async def scene(w: ProxyHarness) -> None:
         (box,) = w.caches
         tasks: list[asyncio.Task[None]] = []
 
         def behave(ask: dict[str, str]) -> None:
-            box.behave = Box.serve_it
+            box.behave = Box.default_answer
             (writer,) = box.writers
             writer.write(head.replace(b"%s", ask["id"].encode()))
             tasks.append(asyncio.ensure_future(trickle(writer, more)))
@@ -257,7 +257,9 @@
         client = await w.client()
         assert (await client.get(budget=700))[0] in ("200", "503")  # as soon as it is ended another is asked on
         await until(lambda: tasks[0].done(), "its connection to be ended")
-        assert (await client.get(budget=30_000))[0] == "200" and w.counted("fault", "server") == 0
+        assert (await client.get(budget=30_000))[0] == "200" and w.counter("fault", "server") == 0
 
     limits = SETTINGS["limits"] | {"conn-idle": 3_600_000_000}  # it is not ended as one that is idle
-    play(tmp_path, scene, caches=1, settings={"limits": limits, "extra": SETTINGS["extra"] | {"bypass-allowed": False}})
+    run_scenario(
+        tmp_path, scene, caches=1, settings={"limits": limits, "extra": SETTINGS["extra"] | {"bypass-allowed": False}}
+    )
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.test_dns import NOERROR, OPERATOR, SERVFAIL, Reply, Resolver, query
-from tests.world import World
+from tests.world import ProxyHarness
 from threadhill.dns.views import View, Views
 
 TABLE = [
@@ -64,10 +64,10 @@
     )
 
     async def run() -> None:
-        w = World(tmp_path, caches=3, operator=operator)
+        w = ProxyHarness(tmp_path, caches=3, operator=operator)
         w.caches[2].locality = "sierra"
         async with w:
-            r = await Resolver(await w.listens("dns")).start()
+            r = await Resolver(await w.listening_port("dns")).start()
             name = "0.{:016x}.art-pages.acme.route.example"
             far = [await r.send(query(name.format(i), more=subnet("203.0.113.0", 24), extra=1)) for i in range(12)]
             assert {reply.addresses[0] for reply in far} == {w.caches[2].host}
@@ -75,12 +75,12 @@
             near = [await r.send(query(name.format(i), more=subnet("192.0.2.0", 24), extra=1)) for i in range(12)]
             assert {reply.addresses[0] for reply in near} <= {w.caches[0].host, w.caches[1].host}
             w.journal.hosts(w.caches[2].member("DRAINING"))
-            await w.told()
+            await w.wait_for_events()
             await asyncio.sleep(0.3)
             fallen = [await r.send(query(name.format(i), more=subnet("203.0.113.0", 24), extra=1)) for i in range(12)]
             assert {reply.addresses[0] for reply in fallen} <= {w.caches[0].host, w.caches[1].host}
             w.journal.hosts(w.caches[0].member("DRAINING"), w.caches[1].member("DRAINING"))
-            await w.told()
+            await w.wait_for_events()
             none = await r.send(query(name.format(1), more=subnet("203.0.113.0", 24), extra=1))
             assert none.code == SERVFAIL and b"nor of those it may fall to" in none.raw
             assert all(reply.code == NOERROR for reply in far + near + fallen)
--- a/tests/world.py
+++ b/tests/world.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE = 40  # seconds that a condition is waited for: far beyond what any machine should need
+TIMEOUT = 40  # seconds that a condition is waited for: far beyond what any machine should need
 OBJECT = "7f3a9c21e0b4d655"
 SETTINGS = {
     "extra": {
@@ -79,23 +79,23 @@
 
 async def until(condition: Callable[[], Any], what: str = "the condition") -> Any:
     """Wait for a condition; what it gives."""
-    end = time.monotonic() + PATIENCE
+    end = time.monotonic() + TIMEOUT
     while not (value := condition()):
         assert time.monotonic() < end, f"waited in vain for {what}"
         await asyncio.sleep(0.005)
     return value
 
 
-async def crowd(port: int, count: int) -> list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
+async def open_silent_connections(port: int, count: int) -> list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
     """Connections that say nothing."""
     return [await asyncio.open_connection("127.0.0.1", port) for _ in range(count)]
 
 
-async def ended(reader: asyncio.StreamReader) -> bytes:
+async def read_to_end(reader: asyncio.StreamReader) -> bytes:
     """What comes until the connection ends, with a reset or without."""
     raw = b""
     try:
-        while more := await asyncio.wait_for(reader.read(1 << 16), PATIENCE):
+        while more := await asyncio.wait_for(reader.read(1 << 16), TIMEOUT):
             raw += more
     except ConnectionError:
         pass
@@ -143,12 +143,12 @@
         self.up_since = 0
         self.asked: list[dict[str, str]] = []
         self.undone: list[str] = []
-        self.behave: Callable[[dict[str, str]], tuple[str, str, bytes] | None] = self.serve_it
+        self.behave: Callable[[dict[str, str]], tuple[str, str, bytes] | None] = self.default_answer
 
     @staticmethod
-    def serve_it(ask: dict[str, str]) -> tuple[str, str, bytes]:
+    def default_answer(ask: dict[str, str]) -> tuple[str, str, bytes]:
         fields = f"ver=v1,born={int(time.time() * 1e3)},report=inflight:0;util:0.1;x1:0.1;x0:0.9"
-        return "ok", fields, whole(ask)  # a new copy: one from before a purge would not be passed on
+        return "ok", fields, body_of(ask)  # a new copy: one from before a purge would not be passed on
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := (await reader.readline()).decode().split():
@@ -179,7 +179,7 @@
         }
 
 
-def whole(ask: dict[str, str]) -> bytes:
+def body_of(ask: dict[str, str]) -> bytes:
     return f"{ask['thing']}/{ask['nth']}".encode()
 
 
@@ -238,7 +238,7 @@
         self.reader, self.writer = reader, writer
         self.tags = itertools.count(1)
         self.answers: dict[int, tuple[str, dict[str, str], bytes]] = {}
-        self.twice: list[int] = []
+        self.answered_twice: list[int] = []
         self.task = asyncio.ensure_future(self._read())
 
     def send(self, verb: str, tag: int, *words: str | bytes) -> None:
@@ -271,7 +271,7 @@
                 words.append((await self.reader.readexactly(size + 2))[:-2])
             tag = int(words[0])
             if tag in self.answers:
-                self.twice.append(tag)
+                self.answered_twice.append(tag)
             fields = dict(item.split("=", 1) for item in words[2].decode().split(",") if item)
             self.answers[tag] = (words[1].decode(), fields, words[3])
 
@@ -280,7 +280,7 @@
 INHERIT = "import os, sys; os.dup2(int(sys.argv[1]), 7); os.execv(sys.argv[2], sys.argv[2:])"
 
 
-class World:
+class ProxyHarness:
     """Caches, a parent, the origin, the journal, and one proxy process."""
 
     def __init__(
@@ -306,16 +306,16 @@
         self.log = ""
         self.clients: list[Client] = []
 
-    async def __aenter__(self) -> World:
+    async def __aenter__(self) -> ProxyHarness:
         for listener in [*self.boxes, self.journal]:
             await listener.start()
         self.journal.hosts(*(box.member() for box in self.boxes), complete=True)
         self.configure()
         self.process = await self.start()
         self.reading = asyncio.ensure_future(self._read_log())
-        self.port = await self.listens("n0")
+        self.port = await self.listening_port("n0")
         if self.management:
-            self.manage_port = await self.listens("management")
+            self.manage_port = await self.listening_port("management")
         await until(lambda: self.journal.tails, "the journal's reader")
         return self
 
@@ -328,7 +328,7 @@
         head, _, rest = raw.partition(b"\r\n\r\n")
         return int(head.split(b" ")[1]), rest
 
-    async def figures(self) -> dict[str, int]:
+    async def metrics(self) -> dict[str, int]:
         status, body = await self.call("GET", "/admin/stats")
         assert status == 200
         return {name: int(value) for name, _, value in (line.partition("=") for line in body.decode().split())}
@@ -393,7 +393,7 @@
         while line := await self.process.stderr.readline():
             self.log += line.decode()
 
-    async def listens(self, name: str) -> int:
+    async def listening_port(self, name: str) -> int:
         found = await until(lambda: re.search(rf"^{name}: serving on .*:(\d+)$", self.log, re.M), f"{name} to serve")
         return int(found[1])
 
@@ -405,12 +405,12 @@
     def asked(self) -> list[dict[str, str]]:
         return [ask for box in self.boxes for ask in box.asked]
 
-    async def told(self) -> None:
+    async def wait_for_events(self) -> None:
         """Wait until the proxy has applied all events, as its counters say."""
         end = len(self.journal.events)
-        await until(lambda: self.journal.events and self.counted("journal", "events") >= end, "the journal's events")
+        await until(lambda: self.journal.events and self.counter("journal", "events") >= end, "the journal's events")
 
-    def counted(self, name: str, label: str) -> int:
+    def counter(self, name: str, label: str) -> int:
         """A counter; each look asks for a fresh report, which the next look reads."""
         self.process.send_signal(signal.SIGUSR1)
         reports = [line for line in self.log.splitlines() if line.startswith("{")]
