--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The platform's front, the cache servers' lines and the journal, through the running program."""
+"""The platform's front, the cache server protocol and the journal, tested through the running program."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 def run_scenario(
     folder: Path,
-    scene: Callable[[ProxyHarness], Awaitable[None]],
+    scenario: Callable[[ProxyHarness], Awaitable[None]],
     make: type[ProxyHarness] = ProxyHarness,
     **more: object,
 ) -> None:
     async def run() -> None:
         async with make(folder, **more) as world:
-            await scene(world)
+            await scenario(world)
 
     asyncio.run(run())
 
 
-def test_a_read_is_passed_on_unchanged_and_answered_whole(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_a_read_is_forwarded_unchanged_and_answered_completely(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         client = await w.client()
         assert await client.status() == "serving"
         word, fields, body = await client.get("clip-parts", rid="9b1f03aa5c7e2d41", n=3, mem=412.5, mine="4be0")
@@ -46,22 +46,22 @@
         }
         assert 0 < int(ask["max"]) <= 3000 and "oldest" not in ask and "replay" not in ask
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_write_goes_to_the_origin_with_its_body_and_key(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_a_write_goes_to_the_origin_with_its_body_and_idempotency_key(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         client = await w.client()
         assert (await client.get("license-buy", b"x" * 48_000, token="5c0f6e1a"))[0] == "200"
-        assert (await client.get("license-buy", b"x"))[0] == "500"  # without its key it must not be repeated
+        assert (await client.get("license-buy", b"x"))[0] == "500"  # without a key it must not be sent
         (ask,) = w.origin.asked
         assert (ask["replay"], len(ask["body"]), "rank" in ask, "from" in ask) == ("5c0f6e1a", 48_000, False, False)
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_large_answer_and_many_tags_on_one_connection(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: ("ok", "ver=a,born=1", body_of(ask) * 9_000)  # about 170 KB
         client = await w.client()
@@ -71,22 +71,22 @@
             assert word == "503" or body == f"{OBJECT}/{n}".encode() * 9_000
         assert sum(client.answers[tag][0] == "200" for tag in tags) >= 8 and not client.answered_twice
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_the_clients_own_copy_is_confirmed_without_bytes(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_a_clients_own_copy_is_confirmed_without_a_body(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: ("current", "ver=4be0,born=1", b"")
         client = await w.client()
         assert await client.get(mine="4be0") == ("200", {"still": "1"}, b"")
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("word", ["nothing", "refused", "error", "stale", "novel"])
-def test_a_read_that_fails_everywhere_is_refused_at_once_with_advice(tmp_path: Path, word: str) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_a_read_that_fails_everywhere_is_refused_at_once_with_a_retry_time(tmp_path: Path, word: str) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: (word, "-", b"")
         client = await w.client()
@@ -94,51 +94,51 @@
         assert (answer, fields.keys(), body) == ("503", {"backoff"}, b"") and 250 <= int(fields["backoff"]) <= 500
         assert len(w.asked()) <= 8
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_reset_is_followed_by_another_attempt(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
-        def die(box: Box) -> None:
+def test_a_connection_reset_is_followed_by_another_attempt(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
+        def reset_always(box: Box) -> None:
             box.behave = lambda ask: box.reset()
 
-        die(w.caches[0])
+        reset_always(w.caches[0])
         client = await w.client()
         words = [(await client.get(obj=f"{i:016x}"))[0] for i in range(6)]
-        assert words == ["200"] * 6 and w.caches[0].asked  # some went to the dying box first
+        assert words == ["200"] * 6 and w.caches[0].asked  # some requests went to the failing server first
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_refused_connection_proves_that_nothing_ran(tmp_path: Path) -> None:
-    """Guards against a keyed request that is failed, not sent on, when its server could not be reached."""
+    """Guards against failing a keyed request whose server could not be reached: it did not run and may be retried."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         w.origin.server.close()
         client = await w.client()
         word, fields, _ = await client.get("license-buy", b"x", token="aa")
         assert (word, fields.keys()) == ("503", {"backoff"}) and 250 <= int(fields["backoff"]) <= 500
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_silent_server_is_given_up_and_the_answer_comes_in_time(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_a_server_that_does_not_answer_is_abandoned_within_the_clients_budget(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None
         client = await w.client()
         began = time.monotonic()
         assert (await client.get(budget=300))[0] == "503"
-        assert time.monotonic() - began >= 0.25  # not before its time; how late is the machine's affair
+        assert time.monotonic() - began >= 0.25  # not too early; an upper bound would depend on the machine's load
         assert not client.answered_twice
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_more_requests_than_connections_are_all_written_at_once(tmp_path: Path) -> None:
-    """Guards against requests that waited for an answer to others, once all connections had one out."""
+def test_more_requests_than_connections_are_written_without_waiting(tmp_path: Path) -> None:
+    """Guards against requests that wait for the answers to others when every connection has an open request."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None
         client = await w.client()
@@ -148,11 +148,11 @@
         assert all(len(box.writers) <= 4 for box in w.boxes)
         assert not client.answers
 
-    run_scenario(tmp_path, scene, caches=1)
+    run_scenario(tmp_path, scenario, caches=1)
 
 
-def test_nevermind_undoes_the_attempt_and_is_not_answered(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_nevermind_cancels_the_attempt_and_gets_no_answer(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None
         client = await w.client()
@@ -162,11 +162,11 @@
         await until(lambda: any(box.undone for box in w.boxes) or not any(box.writers for box in w.boxes))
         assert await client.status() == "serving" and tag not in client.answers
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_drained_server_gets_nothing_new_and_its_open_request_is_finished(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         client = await w.client()
         for i in range(20):
             await client.get(obj=f"{i:016x}")
@@ -180,11 +180,11 @@
         assert len(w.caches[0].asked) == before
         assert {ask["from"] for ask in w.caches[1].asked[-20:]} == {w.origin.name}
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_an_address_is_used_again_by_a_new_server(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_an_address_can_be_reused_by_a_new_server(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         gone = w.caches[0].member("DELETED")
         w.journal.hosts(gone)
         w.journal.hosts(gone | {"id": "s-0000000a", "phase": "SERVING"})
@@ -194,14 +194,14 @@
             assert (await client.get(obj=f"{i:016x}"))[0] == "200"
         assert w.caches[0].asked
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_purge_sets_the_oldest_copy_that_will_do(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_a_purge_limits_the_age_of_acceptable_copies(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         client = await w.client()
         stamp = int(time.time() * 1_000) - 1_000
-        # The newest stamp tells how old the others are: the wall clock alone is not believed.
+        # The newest timestamp bounds the ages of the others: the wall clock alone is not trusted.
         w.journal.add({"expire": {"set": 41, "stamp": stamp + 1_000}})
         w.journal.add({"expire": {"name": OBJECT, "stamp": stamp}})
         w.journal.add({"expire": {"set": 40, "stamp": stamp}})
@@ -210,15 +210,15 @@
         await client.get(obj="00000000000000ff", shard=40)
         await client.get(obj="00000000000000ff", shard=42)
         *purged, other = sorted(w.asked(), key=lambda ask: float(ask["at"]))
-        for ask in purged:  # counted from the sending: nothing made before the purge will do
+        for ask in purged:  # relative to the sending: no copy from before the purge is acceptable
             assert 1_000 <= int(ask["oldest"]) <= float(ask["at"]) * 1_000 - stamp + 1
         assert "oldest" not in other
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_the_journal_is_taken_up_where_it_broke_and_applied_once(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_the_journal_resumes_after_a_break_and_applies_each_event_once(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         w.journal.hosts(w.caches[0].member("DRAINING"))
         await w.wait_for_events()
         w.journal.reset()
@@ -231,13 +231,13 @@
             await client.get(obj=f"{i:016x}")
         assert w.caches[0].asked
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_silent_journal_is_dialled_anew_and_nothing_is_missed(tmp_path: Path) -> None:
-    """Guards against a drain that is never heard of because the journal's machine vanished without a reset."""
+def test_a_silent_journal_connection_is_replaced_and_no_event_is_lost(tmp_path: Path) -> None:
+    """Guards against missing a drain when the journal's machine vanishes without a connection reset."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         w.journal.silent = True
         w.journal.hosts(w.caches[0].member("DRAINING"))
         await until(lambda: len(w.journal.tails) > 1, "another connection to the journal")
@@ -248,15 +248,15 @@
             await client.get(obj=f"{i:016x}")
         assert not w.caches[0].asked and w.caches[1].asked
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("up", [True, False])
-def test_a_reload_moves_the_journal_from_the_last_event_on(tmp_path: Path, up: bool) -> None:
-    """Guards against an end on SIGHUP, and against a journal that is left late or asked from the start. Where the
-    old one is down the proxy is between two dials."""
+def test_a_reload_moves_to_another_journal_and_continues_after_the_last_event(tmp_path: Path, up: bool) -> None:
+    """Guards against exiting on SIGHUP, and against leaving the old journal late or reading the new one from the start.
+    If the old journal is down, the proxy is waiting to reconnect."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         w.journal.hosts(w.caches[0].member("DRAINING"))
         await w.wait_for_events()
         old, w.journal = w.journal, Journal()
@@ -278,17 +278,17 @@
         assert [(await client.get(obj=f"{i:016x}"))[0] for i in range(10)] == ["200"] * 10
         assert len(w.caches[0].asked) == 10
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("bad", [b"{", b"[]", b'{"journal": "nowhere"}', b"\xff"])
 def test_a_reload_of_a_bad_file_changes_nothing_and_is_logged(tmp_path: Path, bad: bytes) -> None:
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         good = (tmp_path / "config.json").read_bytes()
         (tmp_path / "config.json").write_bytes(bad)
         w.process.send_signal(signal.SIGHUP)
         await w.logged("everything stays as it is")
-        # Whatever is right in it but for one event: the journal must not move.
+        # Valid except for one event: the proxy must not move to another journal.
         (tmp_path / "config.json").write_bytes(good.replace(b'"phase"', b'"phrase"').replace(b"journal", b"j", 1))
         w.process.send_signal(signal.SIGHUP)
         await until(lambda: w.log.count("everything stays as it is") == 2)
@@ -297,14 +297,14 @@
         await w.wait_for_events()
         assert w.journal.tails == [1]
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("cut", ["half a line", "a gap", "noise"])
-def test_a_journal_that_breaks_off_is_asked_again_from_the_last_whole_event(tmp_path: Path, cut: str) -> None:
-    """Guards against half an event applied, or one left out: what comes after a gap is asked for once more."""
+def test_a_broken_journal_stream_is_resumed_after_the_last_complete_event(tmp_path: Path, cut: str) -> None:
+    """Guards against applying half an event or skipping one: after a gap, the events are requested again."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         drain = {"hosts": {"members": [w.caches[0].member("DRAINING")]}}
         raw = json.dumps({"pos": 2} | drain).encode()
         gap = json.dumps({"pos": 3, "expire": {"set": 1, "stamp": 1}}).encode()
@@ -317,7 +317,7 @@
         await until(lambda: len(w.journal.tails) > 1, "another connection")
         assert w.journal.tails[1] == 1
         w.journal.add(drain)
-        w.journal.events *= 2  # each of them told twice
+        w.journal.events *= 2  # each event is sent twice
         w.journal.silent = False
         await until(lambda: w.counter("journal", "events") == 2, "the event")
         client = await w.client()
@@ -325,30 +325,30 @@
             await client.get(obj=f"{i:016x}")
         assert len(w.caches[1].asked) == 10
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_machine_that_vanished_is_found_by_the_next_dial(tmp_path: Path) -> None:
-    """Guards against new requests on connections that stay open and silent: an attempt that ran out of time there
-    unheard ends their use, and the dial that follows is refused."""
+def test_a_vanished_machine_is_detected_by_the_next_connection_attempt(tmp_path: Path) -> None:
+    """Guards against new requests on connections that stay open but silent: after an attempt timed out on one without
+    any response it is not used again, and the next connection attempt is refused."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         lost = w.origin
         lost.behave = lambda ask: None
         client = await w.client()
         keys = [client.ask("license-buy", b"x", token="a", budget=400) for _ in range(4)]
         await until(lambda: len(lost.asked) == 4)
-        lost.server.close()  # it takes no connection any more; those it has stay as they are
+        lost.server.close()  # it accepts no new connections; the existing ones stay open
         for tag in keys:
             assert (await client.answer(tag))[0] in ("503", "500")
         assert (await client.get("license-buy", b"x", token="b", budget=30_000))[0] == "503"
         assert len(lost.asked) == 4
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_sigterm_serves_on_answers_all_and_exits_with_0(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_after_sigterm_all_requests_are_answered_and_the_exit_code_is_0(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None if ask["nth"] == "1" else Box.default_answer(ask)
         client = await w.client()
@@ -361,10 +361,10 @@
         await w.reading
         assert '"taken"' in w.log  # the counters, at exit
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-BAD = [
+BAD_MESSAGES = [
     b"GET / HTTP/1.1\r\n\r\n",
     b"*9\r\n",
     b"*2\r\n$99999\r\n",
@@ -377,7 +377,7 @@
 ]
 
 
-UNUSABLE = [
+BAD_FIELDS = [
     {"rid": "x"},
     {"obj": "zz"},
     {"budget": "soon"},
@@ -401,34 +401,34 @@
 
 
 def test_bad_bytes_get_an_error_and_a_closed_connection(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
-        for raw in BAD:
+    async def scenario(w: ProxyHarness) -> None:
+        for raw in BAD_MESSAGES:
             reader, writer = await asyncio.open_connection("127.0.0.1", w.port)
             writer.write(raw)
             assert (await reader.read()).startswith(b"-ERR "), raw
             writer.close()
         client = await w.client()
-        for bad in UNUSABLE:
+        for bad in BAD_FIELDS:
             assert (await client.get(**bad))[0] == "500", bad
         assert (await client.get("no-such-class"))[0] == "500"
         assert (await client.get("art-pages", b"a body"))[0] == "500"
         assert (await client.get())[0] == "200" and len(w.asked()) == 1
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_server_that_talks_nonsense_costs_only_its_connection(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_a_malformed_answer_costs_only_its_connection(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         w.caches[0].behave = lambda ask: ("ok", "two words", b"")
         client = await w.client()
         assert [(await client.get(obj=f"{i:016x}"))[0] for i in range(6)] == ["200"] * 6
         assert w.caches[0].asked
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_client_that_does_not_read_holds_up_only_itself(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_a_client_that_does_not_read_delays_no_other(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: ("ok", "ver=a,born=1", b"x" * 200_000)
         slow = await w.client()
@@ -440,18 +440,18 @@
             await asyncio.sleep(0)
         other = await w.client()
         while (await other.get(obj="00000000000000aa"))[2] != b"x" * 200_000:
-            await asyncio.sleep(0.05)  # refused while the slow one's requests fill the caches
+            await asyncio.sleep(0.05)  # refused while the slow client's requests use up the caches' capacity
         pages = int(Path(f"/proc/{w.process.pid}/statm").read_text().split()[1])
         assert pages * 4096 < 100 << 20
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_who_says_nothing_shuts_nobody_out(tmp_path: Path) -> None:
-    """Guards against connections that are opened by the hundred and say nothing, or half a message: they are ended in
-    time, and make room at once. Who asked once keeps its connection while there is room."""
+def test_silent_connections_do_not_shut_out_clients(tmp_path: Path) -> None:
+    """Guards against hundreds of connections that send nothing, or half a message: they are closed after a timeout, or
+    at once if room is needed. A client that has sent a request keeps its connection while there is room."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         kept = await w.client()
         assert (await kept.get())[0] == "200"
         silent = await open_silent_connections(w.port, 200)
@@ -465,13 +465,13 @@
         await asyncio.wait_for(half.task, 30)
         assert (await kept.get())[0] == "200" and (await usual[0].get())[0] == "200"
 
-    run_scenario(tmp_path, scene, sockets=96)
+    run_scenario(tmp_path, scenario, sockets=96)
 
 
-def test_connections_that_asked_once_and_stay_make_room(tmp_path: Path) -> None:
-    """Guards against a table full of connections that nothing is open on: a new client's request was reset."""
+def test_idle_connections_are_closed_when_room_is_needed(tmp_path: Path) -> None:
+    """Guards against a table full of idle connections, in which a new client's connection is reset."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None if ask["nth"] == "1" else Box.default_answer(ask)
         asking = await w.client()
@@ -479,38 +479,40 @@
         await until(w.asked)
         for _ in range(100):
             assert (await (await w.client()).get())[0] == "200"
-        assert open not in asking.answers and not asking.task.done()  # who is owed an answer is not turned out
+        assert (
+            open not in asking.answers and not asking.task.done()
+        )  # a client with an open request is not disconnected
         await until(lambda: w.counter("client", "turned out"))
-        assert not w.counter("client", "full")  # nobody had to wait for it
+        assert not w.counter("client", "full")  # no client had to wait for a place
 
-    run_scenario(tmp_path, scene, sockets=96)
+    run_scenario(tmp_path, scenario, sockets=96)
 
 
-def test_who_waits_at_a_full_door_is_answered_when_the_program_ends(tmp_path: Path) -> None:
-    """Guards against requests that are reset unheard: the machine accepted their connections, the program did not."""
+def test_connections_waiting_to_be_accepted_are_answered_at_shutdown(tmp_path: Path) -> None:
+    """Guards against resetting connections that the machine has accepted and the program has not yet."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None if ask["nth"] == "1" else Box.default_answer(ask)
         owed = [await w.client() for _ in range(48)]
         for client in owed:
             client.ask("license-buy", n=1, token="t", budget=2_500)
-        await until(lambda: w.counter("taken", "license-buy") == 48, "a door full of who is owed an answer")
+        await until(lambda: w.counter("taken", "license-buy") == 48, "all connections to have an open request")
         late = [await w.client() for _ in range(10)]
         tags = [client.ask(n=0) for client in late]
-        await until(lambda: w.counter("client", "full"), "the door to be full")
+        await until(lambda: w.counter("client", "full"), "the listener to be full")
         w.process.send_signal(signal.SIGTERM)
         words = [(await client.answer(tag))[0] for client, tag in zip(late, tags, strict=True)]
         assert set(words) <= {"200", "503"}
         assert await asyncio.wait_for(w.process.wait(), 20) == 0
 
-    run_scenario(tmp_path, scene, sockets=96)
+    run_scenario(tmp_path, scenario, sockets=96)
 
 
 def test_more_requests_than_a_connection_may_have_open_are_refused_at_once(tmp_path: Path) -> None:
-    """Guards against a flood whose requests wait unread for the answers to others."""
+    """Guards against a flood of requests that wait unread until others are answered."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         w.origin.behave = lambda ask: None
         client = await w.client()
         tags = [client.ask("license-buy", b"x", token=f"t{n}", budget=60_000) for n in range(300)]
@@ -519,16 +521,16 @@
         assert all(int(fields["backoff"]) > 0 for _, fields, _ in client.answers.values())
         for tag in tags:
             client.send("NEVERMIND", tag)
-        await until(lambda: w.counter("client_gone", "license-buy") == 32, "the requests to be taken back")
+        await until(lambda: w.counter("client_gone", "license-buy") == 32, "the requests to be cancelled")
         assert (await (await w.client()).get())[0] == "200"
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_the_id_of_an_open_request_is_not_taken_again(tmp_path: Path) -> None:
-    """Guards against two requests that no cache server's line could tell apart."""
+def test_the_id_of_an_open_request_cannot_be_reused(tmp_path: Path) -> None:
+    """Guards against two open requests that are indistinguishable on a cache server's connection."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None
         one, other = await w.client(), await w.client()
@@ -539,10 +541,10 @@
         await asyncio.wait_for(one.task, 30)  # its connection is ended
         assert len(w.asked()) == 1
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-SPOILT = [
+MALFORMED_ANSWERS = [
     b"\x80\xff\x00noise\r\n",
     b"%s ok ver=a,born=1 3000000000\r\n" + b"x" * 5_000,
     b"%s ok - \xc2\xb2\r\n",
@@ -555,44 +557,44 @@
 ]
 
 
-@pytest.mark.parametrize("raw", SPOILT)
-def test_a_spoilt_answer_ends_its_connection_and_is_not_passed_on(tmp_path: Path, raw: bytes) -> None:
-    """Guards against a parser that throws, waits or passes on what it cannot have understood."""
+@pytest.mark.parametrize("raw", MALFORMED_ANSWERS)
+def test_a_malformed_answer_closes_its_connection_and_is_not_forwarded(tmp_path: Path, raw: bytes) -> None:
+    """Guards against a parser that raises, waits forever or forwards what it could not parse."""
 
-    async def scene(w: ProxyHarness) -> None:
-        def spoil(ask: dict[str, str]) -> None:
+    async def scenario(w: ProxyHarness) -> None:
+        def send_malformed(ask: dict[str, str]) -> None:
             w.origin.behave = Box.default_answer
             for writer in w.origin.writers:
                 writer.write(raw.replace(b"%s", ask["id"].encode()))
 
-        w.origin.behave = spoil
+        w.origin.behave = send_malformed
         client = await w.client()
         word, _, body = await client.get("license-buy", b"x", token="a", budget=30_000)
         assert (word, body) == ("200", f"{OBJECT}/0".encode()) and len(w.origin.asked) == 2
         assert w.counter("fault", "server") == 0 and "Traceback" not in w.log
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_an_answer_that_stops_short_takes_no_other_with_it(tmp_path: Path) -> None:
-    """Guards against a connection on which an answer never ends: what comes behind it was taken for its rest."""
+def test_a_truncated_answer_does_not_swallow_the_next_one(tmp_path: Path) -> None:
+    """Guards against a connection with an unfinished answer: the next answer on it would be read as the rest."""
 
-    async def scene(w: ProxyHarness) -> None:
-        def stop(ask: dict[str, str]) -> None:
+    async def scenario(w: ProxyHarness) -> None:
+        def send_part(ask: dict[str, str]) -> None:
             w.origin.behave = Box.default_answer
             for writer in w.origin.writers:
                 writer.write(f"{ask['id']} ok ver=a,born=1 5000\r\nnot all of it".encode())
 
-        w.origin.behave = stop
+        w.origin.behave = send_part
         client = await w.client()
         assert (await client.get("license-buy", b"x", token="a", budget=1_500))[0] in ("500", "503")
         assert (await client.get("license-buy", b"x", token="b", budget=30_000))[0] == "200"
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_second_copy_of_an_answer_ends_no_later_attempt(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_a_duplicate_answer_does_not_end_a_later_attempt(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         def twice(ask: dict[str, str]) -> None:
             w.origin.behave = Box.default_answer
             for writer in w.origin.writers:
@@ -603,13 +605,13 @@
         assert (await client.get("license-buy", b"x", token="a"))[0] == "200"
         assert len(w.origin.asked) == 2 and w.counter("malformed", "server") == 0
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_servers_that_have_gone_take_no_share_of_the_connections(tmp_path: Path) -> None:
-    """Guards against a table that grows with every server there ever was, and shrinks what the others get."""
+def test_removed_servers_take_no_share_of_the_connections(tmp_path: Path) -> None:
+    """Guards against a table that keeps removed servers, which would reduce the connections of the others."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         for i in range(60):
             member = w.caches[0].member() | {"id": f"s-00001{i:03x}"}
             w.journal.hosts(member)
@@ -622,18 +624,18 @@
         await until(lambda: len(w.origin.asked) == 10)
         assert len(w.origin.writers) == 4
 
-    run_scenario(tmp_path, scene, sockets=256)
+    run_scenario(tmp_path, scenario, sockets=256)
 
 
-def test_sigterm_is_not_held_up_by_a_client_that_does_not_read_or_by_a_flood(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_shutdown_is_not_delayed_by_a_client_that_does_not_read_or_by_a_flood(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: ("ok", "ver=a,born=1", b"x" * 200_000)
-        dead = await w.client()
-        dead.task.cancel()
-        dead.writer.transport.pause_reading()
+        stuck = await w.client()
+        stuck.task.cancel()
+        stuck.writer.transport.pause_reading()
         for n in range(32):
-            dead.ask(n=n)
+            stuck.ask(n=n)
         await until(lambda: w.counter("sent", "art-pages") >= 8)
         flood = await w.client()
         w.process.send_signal(signal.SIGTERM)
@@ -643,4 +645,4 @@
             await asyncio.sleep(0.01)
         assert w.process.returncode == 0
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
