--- a/tests/script.py
+++ b/tests/script.py
@@ -1,4 +1,4 @@
-"""A fake clock and a script of events: what the tests of the module and of the adapter share."""
+"""A router under a fake clock, driven by scripted events: shared by the tests of the decision module and simhost."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 
 
 class Script:
-    """One router under a clock that only the script moves."""
+    """One router with a clock that only the script advances."""
 
     def __init__(
         self,
@@ -94,7 +94,7 @@
         return self.give(api.ListNews(kind, tuple(entries)))
 
     def ask(self, name: str = "a", cls: str = "reads", **more: object) -> list[api.Action]:
-        """A new request; its actions without the timer that guards its deadline."""
+        """Send a new request; returns its actions except the deadline timer."""
         self.asked += 1
         left = more.pop("time_left", CLASSES[cls].deadline)
         event = api.Request(f"q{self.asked}", cls, name, left, **more)
@@ -108,18 +108,18 @@
         return self.give(api.AttemptEnded(sent.id, attempt, sent.server, outcome, **more))
 
     def serve(self, name: str = "a", cls: str = "reads", **more: object) -> api.Fetch:
-        """Ask and have it served at once."""
+        """Send a request and let its attempt succeed at once."""
         (sent,) = self.ask(name, cls, **more)
         assert isinstance(sent, api.Fetch)
         self.end(sent)
         return sent
 
     def spread(self, name: str, requests: int) -> set[int]:
-        """Which caches get this many requests for an object, all within this moment."""
+        """The servers that get this many simultaneous requests for an object."""
         return {self.serve(name).server for _ in range(requests)}
 
     def heat(self, name: str, seconds: int, rate: int) -> None:
-        """So many seconds of so many requests for one object."""
+        """Send requests for one object for some seconds, at `rate` requests per second."""
         for _ in range(seconds * rate):
             self.serve(name)
             self.wait(SECOND // rate)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""`run` of the deploy file as the platform starts it: by /bin/sh from the root, ending in one process, threads only."""
+"""The deploy file's `run` command, started like the platform does: by /bin/sh from the root, as a single process."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 
 @pytest.mark.skipif(not (ROOT / ".venv").exists(), reason="`build` has not been run in this checkout")
 def test_run_as_written_is_one_process_with_threads_and_serves(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
-        w.process.kill()  # the world's own process gives way to the deploy file's
+    async def scenario(w: ProxyHarness) -> None:
+        w.process.kill()  # replace the harness's process by the deploy file's
         await w.process.wait()
         w.process = await asyncio.create_subprocess_exec(
             "/bin/sh",
@@ -45,7 +45,7 @@
         w.log = ""
         w.reading = asyncio.ensure_future(w._read_log())
         w.port = await w.listening_port("n0")
-        exe = os.readlink(f"/proc/{w.process.pid}/exe")  # exec: the shell became the program
+        exe = os.readlink(f"/proc/{w.process.pid}/exe")  # the shell was replaced by exec
         assert "python" in Path(exe).name and not children(w.process.pid)
         assert len(os.listdir(f"/proc/{w.process.pid}/task")) >= 1
         maps = Path(f"/proc/{w.process.pid}/maps").read_text()
@@ -54,7 +54,7 @@
         assert (await client.get())[0] == "200"
         await until(lambda: not children(w.process.pid), "no other process")
 
-    run_scenario(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_the_deploy_file_names_what_the_platform_needs() -> None:
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,4 +1,4 @@
-"""Another deployment than the first: its classes, orders, reports, hubs and figures, on the real program."""
+"""A second deployment with other classes, writes, reports, hubs and values, tested on the running program."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 from threadhill.net.upstream_codec import read_waited
 from threadhill.settings import Malformed, read_settings
 
-# Three hubs and a branch; the class that runs at the origin first, with no key; notes told, sizes not.
+# Three hubs and one edge location. The first class runs at the origin and has no idempotency key. Answers carry a
+# remark about the fill, and requests no sizes.
 CLASSES = [
     {"deadline": 3_000_000, "name": "record-request", "objective": 800_000, "repeat": "non_idempotent", "value": 3.0},
     {
@@ -37,7 +38,7 @@
         "value": 2.0,
     },
 ]
-OTHER: dict[str, Any] = SETTINGS | {
+OTHER_SETTINGS: dict[str, Any] = SETTINGS | {
     "extra": SETTINGS["extra"]
     | {
         "class-write": [True, False, False],
@@ -58,16 +59,16 @@
 REPORT = "report=inflight:1;util:0.2;x1:0.1"
 
 
-def island(folder: Path, scene: Any, **more: Any) -> None:
-    run_scenario(folder, scene, settings=OTHER, **more)
+def run_other_deployment(folder: Path, scenario: Any, **more: Any) -> None:
+    run_scenario(folder, scenario, settings=OTHER_SETTINGS, **more)
 
 
 @pytest.mark.parametrize(("remark", "behind"), [("cut_off", True), ("turned_away", True), ("no_such_word", False)])
-def test_a_failure_that_is_the_sources_is_not_put_down_to_the_cache(tmp_path: Path, remark: str, behind: bool) -> None:
-    """Guards against notes that get lost between the line and the module: where answers tell all, one without a note
-    says that the cache itself failed, so the ill source was asked again by way of every other cache."""
+def test_a_failure_of_the_source_is_not_attributed_to_the_cache(tmp_path: Path, remark: str, behind: bool) -> None:
+    """Guards against losing the remark between the answer's line and the decision module: where answers carry remarks,
+    one without a remark means that the cache itself failed, and the failing source was tried through every cache."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         def behave(ask: dict[str, str]) -> tuple[str, str, bytes]:
             if ask.get("from") == w.parent.name:
                 return "error", f"remark={remark},waited=40,{REPORT}", b""
@@ -80,21 +81,21 @@
         assert (word == "200") == behind
         assert (w.origin.name in [ask.get("from") for ask in w.asked()]) == behind
 
-    island(tmp_path, scene)
+    run_other_deployment(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
     ("text", "microseconds"), [("40", 40_000), ("0.5", 500), ("", 0), ("-3", 0), ("nan", 0), ("1e9", 0), ("9" * 40, 0)]
 )
-def test_an_odd_wait_is_none(text: str, microseconds: int) -> None:
-    """Guards against a figure that upsets the averages it goes into."""
+def test_an_invalid_wait_counts_as_none(text: str, microseconds: int) -> None:
+    """Guards against a value that spoils the averages in which it is used."""
     assert read_waited(text) == microseconds
 
 
-def test_what_must_never_run_twice_is_sent_once_and_failed_when_its_connection_breaks(tmp_path: Path) -> None:
-    """Guards against a repeat that is only harmless where a key tells the origin so."""
+def test_a_non_idempotent_request_is_sent_once_and_fails_if_its_connection_breaks(tmp_path: Path) -> None:
+    """Guards against a retry that is safe only with an idempotency key."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         def break_off(ask: dict[str, str]) -> None:
             w.origin.reset()
 
@@ -104,12 +105,12 @@
         assert word not in ("200", "503") and "backoff" not in fields
         assert len(w.asked()) == 1 and "replay" not in w.origin.asked[0]
 
-    island(tmp_path, scene)
+    run_other_deployment(tmp_path, scenario)
 
 
-def told(**change: Any) -> dict[str, Any]:
-    """The other deployment's settings with changes: `extra__x` stands for x of extra, `_` for `-`."""
-    options: dict[str, Any] = json.loads(json.dumps(OTHER))
+def changed_settings(**change: Any) -> dict[str, Any]:
+    """The other deployment's settings with changes: `extra__x` means key x of extra, and `_` means `-`."""
+    options: dict[str, Any] = json.loads(json.dumps(OTHER_SETTINGS))
     for path, value in change.items():
         group, _, key = path.replace("_", "-").rpartition("--")
         place = options.setdefault(group, {}) if group else options
@@ -119,8 +120,8 @@
     return options
 
 
-def test_the_other_deployments_settings_are_read_as_they_are_told() -> None:
-    read = read_settings(told())
+def test_the_other_deployments_settings_are_read_correctly() -> None:
+    read = read_settings(changed_settings())
     assert [cls.name for cls in read.classes.values()] == ["record-request", "small-record", "big-record"]
     order, small, big = read.classes.values()
     assert (order.retry_safety, order.write, order.dedup_window) == (api.RetrySafety.UNSAFE, True, 0)
@@ -165,24 +166,25 @@
         ({"profiles": [CLASSES[0] | {"late-worth": 20}, *CLASSES[1:]]}, "late-worth of class record-request is 20"),
     ],
 )
-def test_settings_with_an_odd_value_are_refused_with_their_key(change: dict[str, Any], said: str) -> None:
-    """Guards against a start on nonsense: "false" counted as true, a short list left classes without their figures."""
+def test_invalid_settings_are_refused_with_the_name_of_the_key(change: dict[str, Any], said: str) -> None:
+    """Guards against starting with invalid settings: "false" counted as true, a short list left classes without
+    values."""
     with pytest.raises(Malformed, match=said):
-        read_settings(told(**change))
+        read_settings(changed_settings(**change))
 
 
-def test_no_operator_or_site_is_known_by_name() -> None:
-    """Guards against a switch for one deployment: what differs between two is in their settings."""
+def test_the_program_names_no_operator_or_site() -> None:
+    """Guards against code for one deployment: all differences between deployments belong in their settings."""
     names = re.compile(r"pista|andina|preview.edge|island|weather archive|franchise", re.I)
     files = [*(ROOT / "threadhill").rglob("*.py"), *(ROOT / "deploy").glob("*.toml")]
     assert len(files) > 80
     assert [str(file) for file in files if names.search(file.read_text())] == []
 
 
-def test_a_report_of_three_figures_is_read_and_steers(tmp_path: Path) -> None:
-    """`x1` tells that the link is full; no share of hits is told, and none is made up: misses are left unfilled."""
+def test_a_load_report_with_three_columns_is_used(tmp_path: Path) -> None:
+    """`x1` reports a full link. No hit ratio is reported and none is assumed: misses are not filled."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         for box in w.caches:
             box.behave = lambda ask: (
                 "ok",
@@ -194,13 +196,14 @@
         await client.get("big-record", obj="00000000000000aa")
         assert [("from" in ask) for ask in w.asked()] == [True, False]
 
-    island(tmp_path, scene)
+    run_other_deployment(tmp_path, scenario)
 
 
-def test_fresh_time_bounds_only_the_class_that_has_one(tmp_path: Path) -> None:
-    """Guards against one class's figure read for another's: after a purge the age is sent, within the fresh time."""
+def test_a_freshness_lifetime_applies_only_to_its_class(tmp_path: Path) -> None:
+    """Guards against using one class's value for another: after a purge, the maximum age sent is
+    within the freshness lifetime."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         w.journal.add({"expire": {"set": 17, "stamp": int(time.time() * 1000)}})
         await w.wait_for_events()
         client = await w.client()
@@ -210,11 +213,11 @@
         assert 0 < int(small["oldest"]) <= 6_000 and 0 < int(big["oldest"]) <= 6_000
         assert "refresh" in small["mode"] and "refresh" not in big["mode"]
 
-    island(tmp_path, scene)
+    run_other_deployment(tmp_path, scenario)
 
 
-def test_a_drain_holds_as_cache_and_as_source_with_three_hubs(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_drained_servers_are_used_neither_as_cache_nor_as_source_with_three_hubs(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         client = await w.client()
         w.journal.hosts(w.caches[0].member("DRAINING"), w.parent.member("DRAINING"))
         await w.wait_for_events()
@@ -223,21 +226,21 @@
         assert {ask["from"] for ask in w.asked()} == {w.origin.name}
         assert not w.caches[0].asked and not w.parent.asked
 
-    island(tmp_path, scene)
+    run_other_deployment(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(("limits", "backoff"), [({"retry-after": False}, None), ({"max-retry-after": 120_000}, "120")])
-def test_the_front_tells_no_more_than_the_site_lets_it_when_it_refuses_by_itself(
+def test_the_fronts_own_refusals_keep_to_the_sites_limit_of_the_retry_time(
     tmp_path: Path, limits: dict[str, Any], backoff: str | None
 ) -> None:
-    """Guards against half a second told where the first site's most happened to be that."""
+    """Guards against a fixed retry time of half a second, which is the limit of the first site only."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None
         client = await w.client()
         tags = [client.ask("big-record", obj=f"{n:016x}") for n in range(40)]
-        word, fields, _ = await client.answer(tags[-1])  # past the 32 that one connection may have open
+        word, fields, _ = await client.answer(tags[-1])  # over the limit of 32 open requests per connection
         assert (word, fields.get("backoff")) == ("503", backoff)
 
-    run_scenario(tmp_path, scene, settings=OTHER | {"limits": OTHER["limits"] | limits})
+    run_scenario(tmp_path, scenario, settings=OTHER_SETTINGS | {"limits": OTHER_SETTINGS["limits"] | limits})
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports lead one way, and what is off is not loaded: the platform's memory is small."""
+"""Imports follow the order of the layers, and disabled features are not loaded, to save memory."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from tests.world import ROOT
 
-# From the decision module up to the command line; a part imports only those before it (and itself).
-ORDER = (
+# From the decision module up to the command line. A part may import only itself and those before it.
+LAYERS = (
     "decision",
     "hostnames",
     "zonefile",
@@ -43,7 +43,7 @@
 
 
 def imports(path: Path) -> set[str]:
-    """The parts of the program that a file imports, wherever in it."""
+    """The parts of the program that a file imports anywhere."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
         names = [node.module or ""] if isinstance(node, ast.ImportFrom) else []
@@ -55,16 +55,16 @@
     return found - {"__version__"}
 
 
-def test_imports_lead_one_way() -> None:
+def test_imports_follow_the_order_of_the_layers() -> None:
     for path in (ROOT / "threadhill").rglob("*.py"):
         part = path.relative_to(ROOT / "threadhill").parts[0].removesuffix(".py")
         if part == "__init__":
             continue
-        above = {name for name in imports(path) if ORDER.index(name) > ORDER.index(part)}
+        above = {name for name in imports(path) if LAYERS.index(name) > LAYERS.index(part)}
         assert not above, f"{path} imports {above}"
 
 
-def test_the_platforms_start_loads_nothing_that_is_off() -> None:
+def test_a_start_without_an_operators_file_loads_no_optional_parts() -> None:
     code = (
         "import sys, threadhill.cli, threadhill.serve\n"
         "print(*sorted({m for m in sys.modules if m.split('.')[0] in "
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""What the running program can't be brought to do from outside: faults within, and figures on their way in."""
+"""Tests of cases that cannot be provoked from outside the running program: internal exceptions and parsed values."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 @pytest.mark.parametrize("figure", ["nan", "inf", "-1", "1e999", "1_0", "\u0662", "", "x", "99999999"])
-def test_figures_that_cannot_be_do_not_reach_the_module(figure: str) -> None:
+def test_impossible_load_values_do_not_reach_the_decision_module(figure: str) -> None:
     report = read_report(f"inflight:{figure};util:0.5;x9:1;x0:1.0;x1:2e-05")
     assert report == {"util": 0.5, "hits": 1.0, "link": 2e-05}
 
 
-def test_a_deadline_that_fails_holds_up_no_other() -> None:
+def test_a_callback_that_raises_does_not_stop_the_others() -> None:
     armed: list[int | None] = []
     faults: list[Exception] = []
     done: list[int] = []
@@ -45,8 +45,8 @@
         self.answers.append(answer)
 
 
-class Quiet:
-    """Caches that take all and answer nothing."""
+class SilentCaches:
+    """A cache transport that accepts every attempt and answers none."""
 
     def send(self, attempt: int, order: object) -> None:
         pass
@@ -58,34 +58,36 @@
         pass
 
 
-def engine() -> Engine:
+def make_engine() -> Engine:
     def fault(error: Exception) -> None:
         raise error
 
-    made = Engine(SETTINGS, 1, Clock(), Deadlines(lambda when: None, fault), Stats(), lambda text: None)
-    made.start(Quiet())
-    made.list_changed(api.ListNews(api.ListKind.FULL, tuple(cache(number) for number in CACHES)))
-    return made
+    engine = Engine(SETTINGS, 1, Clock(), Deadlines(lambda when: None, fault), Stats(), lambda text: None)
+    engine.start(SilentCaches())
+    engine.list_changed(api.ListNews(api.ListKind.FULL, tuple(cache(number) for number in CACHES)))
+    return engine
 
 
-def test_a_fault_in_the_module_costs_the_one_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    made, front = engine(), Front()
-    good = made.router.handle
-    monkeypatch.setattr(made.router, "handle", lambda now, event: 1 // 0 if "bad" in str(event) else good(now, event))
-    made.submit(front, 1, ClientRequest("1", "reads", "bad", 1_000_000))
-    made.submit(front, 2, ClientRequest("2", "reads", "good", 1_000_000))
+def test_an_exception_in_the_decision_module_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    engine, front = make_engine(), Front()
+    handle = engine.router.handle
+    monkeypatch.setattr(
+        engine.router, "handle", lambda now, event: 1 // 0 if "bad" in str(event) else handle(now, event)
+    )
+    engine.submit(front, 1, ClientRequest("1", "reads", "bad", 1_000_000))
+    engine.submit(front, 2, ClientRequest("2", "reads", "good", 1_000_000))
     assert [answer.status for answer in front.answers] == [FinalStatus.FAILED]
-    assert len(made.requests) == 1 and len(made.router.jobs) == 1
+    assert len(engine.requests) == 1 and len(engine.router.jobs) == 1
 
 
-def test_a_request_that_is_over_leaves_no_timer_behind() -> None:
-    made, front = engine(), Front()
+def test_a_finished_request_leaves_no_timer() -> None:
+    engine, front = make_engine(), Front()
     for i in range(100):
-        made.client_gone(made.submit(front, i, ClientRequest(str(i), "reads", "thing", 5_000_000)))
-    assert len(made.deadlines) == 0 and not made.router.jobs and not made.router.filling
+        engine.client_gone(engine.submit(front, i, ClientRequest(str(i), "reads", "thing", 5_000_000)))
+    assert len(engine.deadlines) == 0 and not engine.router.jobs and not engine.router.filling
 
 
-def test_the_log_leaves_out_what_is_too_much_and_says_so(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_log_drops_lines_over_the_rate_and_reports_their_number(capsys: pytest.CaptureFixture[str]) -> None:
     now = [0.0]
     log = Log(lambda: now[0])
     for i in range(1_000):
@@ -97,8 +99,8 @@
     assert lines[-2:] == [f"+10.000 {1_000 - int(BURST)} lines left out", "+10.000 later"]
 
 
-class Pools:
-    """The connections' side of a list, without any."""
+class NoConnections:
+    """The cache connections' part in list changes, without connections."""
 
     def known(self, number: int, name: str, host: str, port: int) -> None:
         pass
@@ -107,9 +109,9 @@
         pass
 
 
-def test_a_long_first_list_gives_the_same_rooms_as_one_that_is_told_at_once() -> None:
-    """Guards against a first list that is taken in slices: how many fills a source has room for follows from how many
-    sources there are, and the first slice knows of none."""
+def test_a_long_first_list_gives_the_same_fill_capacities_as_one_applied_at_once() -> None:
+    """Guards against applying a long first list in slices: the fill capacity of a source depends on the number of
+    sources, and the first slice contains none."""
     members = [
         {
             "id": f"s-{n:08x}",
@@ -128,8 +130,8 @@
         for n, member in enumerate(members[:20], 2_000)
     ]
     many = replace(SETTINGS, zones=("hub", *map(str, range(60))), zone_routers=(0, *[1] * 60), routers=60)
-    made, at_once = (Engine(many, 1, Clock(), Deadlines(lambda when: None, print), Stats(), print) for _ in range(2))
-    journal = Journal(made, Pools(), print)
+    engine, at_once = (Engine(many, 1, Clock(), Deadlines(lambda when: None, print), Stats(), print) for _ in range(2))
+    journal = Journal(engine, NoConnections(), print)
     journal.catch_up(1, [read_event({"pos": 1, "hosts": {"complete": True, "members": members}})])
     at_once.list_changed(
         api.ListNews(
@@ -137,5 +139,5 @@
             tuple(read_event({"pos": 1, "hosts": {"members": [member]}}).members[0].entry for member in members),
         )
     )
-    rooms = {number: server.fill_room for number, server in at_once.router.fleet.servers.items()}
-    assert {n: server.fill_room for n, server in made.router.fleet.servers.items()} == rooms
+    capacities = {number: server.fill_room for number, server in at_once.router.fleet.servers.items()}
+    assert {n: server.fill_room for n, server in engine.router.fleet.servers.items()} == capacities
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -21,8 +21,8 @@
     **more: object,
 ) -> None:
     async def run() -> None:
-        async with make(folder, **more) as world:
-            await scenario(world)
+        async with make(folder, **more) as harness:
+            await scenario(harness)
 
     asyncio.run(run())
 
@@ -53,7 +53,9 @@
     async def scenario(w: ProxyHarness) -> None:
         client = await w.client()
         assert (await client.get("license-buy", b"x" * 48_000, token="5c0f6e1a"))[0] == "200"
-        assert (await client.get("license-buy", b"x"))[0] == "500"  # without a key it must not be sent
+        assert (await client.get("license-buy", b"x"))[
+            0
+        ] == "500"  # rejected: without its key it could not be retried safely
         (ask,) = w.origin.asked
         assert (ask["replay"], len(ask["body"]), "rank" in ask, "from" in ask) == ("5c0f6e1a", 48_000, False, False)
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""What a proxy tells of its last seconds: enough to see of one answer which purge, attempt and copy it was."""
+"""The trace of a proxy: it shows the purge, the attempt and the copy behind an answer."""
 
 from __future__ import annotations
 
@@ -17,33 +17,33 @@
     return [entry for line in lines for entry in json.loads(line)]
 
 
-def test_an_answer_that_is_turned_down_tells_its_purge_its_attempt_and_its_copy(tmp_path: Path) -> None:
-    async def scene(w: FaultWorld) -> None:
+def test_a_rejected_answer_is_logged_with_its_purge_attempt_and_copy(tmp_path: Path) -> None:
+    async def scenario(w: FaultWorld) -> None:
         born = unix_ms() - 400
         hold(w.caches, born, obeys=False)
         stamp = await purge(w)
-        await until(lambda: unix_ms() > stamp + PURGE_SLACK_MS, "the purge to bind")
+        await until(lambda: unix_ms() > stamp + PURGE_SLACK_MS, "the purge to take effect")
         client = await w.client()
         await client.get(rid="9b1f03aa5c7e2d41")
         await w.logged("it is not passed on")
         await w.logged("trace: [")
-        told = {entry["step"]: entry for entry in entries(w.log)}
-        assert (told["purge"]["key"], told["purge"]["stamp_ms"], told["purge"]["event"]) == (OBJECT, stamp, 2)
-        assert told["purge"]["from"] == "discovery" and told["attempt"]["oldest_us"] > 0
-        assert told["ended"]["born_ms"] == born and told["ended"]["request"] == "9b1f03aa5c7e2d41"
+        steps = {entry["step"]: entry for entry in entries(w.log)}
+        assert (steps["purge"]["key"], steps["purge"]["stamp_ms"], steps["purge"]["event"]) == (OBJECT, stamp, 2)
+        assert steps["purge"]["from"] == "discovery" and steps["attempt"]["oldest_us"] > 0
+        assert steps["ended"]["born_ms"] == born and steps["ended"]["request"] == "9b1f03aa5c7e2d41"
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
-def test_a_signal_brings_the_last_seconds(tmp_path: Path) -> None:
-    async def scene(w: FaultWorld) -> None:
+def test_sigusr1_logs_the_recent_entries(tmp_path: Path) -> None:
+    async def scenario(w: FaultWorld) -> None:
         client = await w.client()
         await client.get(rid="9b1f03aa5c7e2d41")
         w.process.send_signal(signal.SIGUSR1)
         await w.logged('"answer":"served"')
         assert [entry["step"] for entry in entries(w.log)] == ["attempt", "ended", "answer"]
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_the_trace_is_bounded() -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A small world round the real program: it runs as a process, the tests are its clients, caches and journal."""
+"""A harness around the real program: it runs as a process, and the tests act as its clients, caches and journal."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
-TIMEOUT = 40  # seconds that a condition is waited for: far beyond what any machine should need
+TIMEOUT = 40  # seconds to wait for a condition; far more than any machine should need
 OBJECT = "7f3a9c21e0b4d655"
 SETTINGS = {
     "extra": {
@@ -78,21 +78,21 @@
 
 
 async def until(condition: Callable[[], Any], what: str = "the condition") -> Any:
-    """Wait for a condition; what it gives."""
+    """Wait until the condition is true and return its value."""
     end = time.monotonic() + TIMEOUT
     while not (value := condition()):
-        assert time.monotonic() < end, f"waited in vain for {what}"
+        assert time.monotonic() < end, f"timed out waiting for {what}"
         await asyncio.sleep(0.005)
     return value
 
 
 async def open_silent_connections(port: int, count: int) -> list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
-    """Connections that say nothing."""
+    """Open connections that send nothing."""
     return [await asyncio.open_connection("127.0.0.1", port) for _ in range(count)]
 
 
 async def read_to_end(reader: asyncio.StreamReader) -> bytes:
-    """What comes until the connection ends, with a reset or without."""
+    """Read until the connection ends, in order or by a reset."""
     raw = b""
     try:
         while more := await asyncio.wait_for(reader.read(1 << 16), TIMEOUT):
@@ -103,12 +103,12 @@
 
 
 class Listener:
-    """A stand-in that listens on a port of its own."""
+    """A fake server on a port of its own."""
 
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
-        self.accepted = 0  # connections so far
+        self.accepted = 0  # number of connections so far
         self.host, self.port = "127.0.0.1", 0
 
     async def start(self, port: int = 0) -> None:
@@ -135,7 +135,7 @@
 
 
 class Box(Listener):
-    """A cache server, parent or origin. `behave` gives word, fields and body of an answer, or None for silence."""
+    """A fake cache server, parent or origin. `behave` returns word, fields and body of an answer, or None for none."""
 
     def __init__(self, name: str, flavor: str = "standard", locality: str = "edge-1") -> None:
         super().__init__()
@@ -148,7 +148,7 @@
     @staticmethod
     def default_answer(ask: dict[str, str]) -> tuple[str, str, bytes]:
         fields = f"ver=v1,born={int(time.time() * 1e3)},report=inflight:0;util:0.1;x1:0.1;x0:0.9"
-        return "ok", fields, body_of(ask)  # a new copy: one from before a purge would not be passed on
+        return "ok", fields, body_of(ask)  # a new copy, as the proxy rejects copies from before a purge
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := (await reader.readline()).decode().split():
@@ -184,23 +184,23 @@
 
 
 class Heartbeat(Enum):
-    """The forms in which a journal service may write the line that holds only the last number."""
+    """The two forms of the journal's line that holds only the last number."""
 
     NUMBER = b"%d\n"
     OBJECT = b'{"pos":%d}\n'
 
 
 class Journal(Listener):
-    """The journal service."""
+    """A fake journal service."""
 
     def __init__(self) -> None:
         super().__init__()
         self.heartbeat = Heartbeat.OBJECT
-        self.heartbeat_first = False  # a new connection begins with the newest number, before the events up to it
-        self.withheld = 0  # events with numbers from this one on are announced by heartbeats, and do not come; 0: none
+        self.heartbeat_first = False  # a new connection starts with the newest number, before the events
+        self.withheld = 0  # events from this number on are announced by heartbeats but not sent; 0: none
         self.events: list[dict[str, Any]] = []
         self.tails: list[int] = []
-        self.silent = False  # connections stay open and say nothing, as those of a machine that vanished
+        self.silent = False  # connections stay open and send nothing, like those of a vanished machine
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         last = int((await reader.readline()).split()[1])
@@ -276,12 +276,12 @@
             self.answers[tag] = (words[1].decode(), fields, words[3])
 
 
-# Puts the socket that it was given at descriptor 7, as the platform does, and becomes the program.
-INHERIT = "import os, sys; os.dup2(int(sys.argv[1]), 7); os.execv(sys.argv[2], sys.argv[2:])"
+# Moves the inherited socket to descriptor 7, as the platform does, and executes the program.
+INHERIT_SOCKET = "import os, sys; os.dup2(int(sys.argv[1]), 7); os.execv(sys.argv[2], sys.argv[2:])"
 
 
 class ProxyHarness:
-    """Caches, a parent, the origin, the journal, and one proxy process."""
+    """One proxy process with fake caches, a parent, the origin and the journal."""
 
     def __init__(
         self,
@@ -294,7 +294,7 @@
         inherit: bool = False,
     ) -> None:
         self.folder, self.operator, self.sockets, self.management = folder, operator, sockets, management
-        # Where the platform keeps the clients' socket for an upgrade, each process is given it as descriptor 7.
+        # If the platform holds the clients' socket for an upgrade, each process gets it as descriptor 7.
         self.listener = socket.create_server(("127.0.0.1", 0)) if inherit else None
         self.caches = [Box(f"s-{i:08x}") for i in range(1, caches + 1)]
         self.parent, self.origin = Box("s-000000b1", "parent", "sierra"), Box("s-000000c1", "origin", "sierra")
@@ -316,11 +316,11 @@
         self.port = await self.listening_port("n0")
         if self.management:
             self.manage_port = await self.listening_port("management")
-        await until(lambda: self.journal.tails, "the journal's reader")
+        await until(lambda: self.journal.tails, "the proxy to connect to the journal")
         return self
 
     async def call(self, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
-        """One call to the operators' address: status and body."""
+        """Call the operators' address; returns status and body."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.manage_port)
         writer.write(f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
         raw = await reader.read()
@@ -334,11 +334,11 @@
         return {name: int(value) for name, _, value in (line.partition("=") for line in body.decode().split())}
 
     def program(self) -> list[str]:
-        """The command that starts a proxy."""
+        """The command line that starts a proxy."""
         return [sys.executable, "-m", "threadhill", "serve"]
 
     async def start(self, **environment: str) -> asyncio.subprocess.Process:
-        """A proxy process as the platform starts one."""
+        """Start a proxy process as the platform does."""
         words = self.program()
         if self.operator:
             (self.folder / "operator.toml").write_text(self.operator)
@@ -346,7 +346,7 @@
         given: tuple[int, ...] = ()
         if self.listener is not None:
             given = (self.listener.fileno(),)
-            words = [sys.executable, "-c", INHERIT, str(given[0]), *words]
+            words = [sys.executable, "-c", INHERIT_SOCKET, str(given[0]), *words]
             environment["LB_LISTEN_FD"] = "7"
         return await asyncio.create_subprocess_exec(
             *words,
@@ -359,7 +359,7 @@
         )
 
     def configure(self, **more: Any) -> None:
-        """Write the configuration file, or replace it."""
+        """Write or replace the configuration file."""
         config = {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -406,12 +406,12 @@
         return [ask for box in self.boxes for ask in box.asked]
 
     async def wait_for_events(self) -> None:
-        """Wait until the proxy has applied all events, as its counters say."""
+        """Wait until the proxy's counters show that it has applied all events."""
         end = len(self.journal.events)
         await until(lambda: self.journal.events and self.counter("journal", "events") >= end, "the journal's events")
 
     def counter(self, name: str, label: str) -> int:
-        """A counter; each look asks for a fresh report, which the next look reads."""
+        """The value of a counter in the last report. Each call requests a new report, which a later call reads."""
         self.process.send_signal(signal.SIGUSR1)
         reports = [line for line in self.log.splitlines() if line.startswith("{")]
         return json.loads(reports[-1]).get(name, {}).get(label, 0) if reports else 0
