--- a/tests/script.py
+++ b/tests/script.py
@@ -87,25 +87,25 @@
     def wait(self, time: int) -> None:
         self.now += time
 
-    def give(self, event: api.Event) -> list[api.Action]:
+    def handle(self, event: api.Event) -> list[api.Action]:
         return self.router.handle(self.now, event)
 
     def list(self, entries: list[api.Entry], kind: api.ListKind = api.ListKind.CHANGES) -> list[api.Action]:
-        return self.give(api.ListNews(kind, tuple(entries)))
+        return self.handle(api.ListNews(kind, tuple(entries)))
 
     def ask(self, name: str = "a", cls: str = "reads", **more: object) -> list[api.Action]:
         """Send a new request; returns its actions except the deadline timer."""
         self.asked += 1
         left = more.pop("time_left", CLASSES[cls].deadline)
         event = api.Request(f"q{self.asked}", cls, name, left, **more)
-        return [a for a in self.give(event) if not isinstance(a, api.SetTimer)]
+        return [a for a in self.handle(event) if not isinstance(a, api.SetTimer)]
 
     def end(
         self, sent: api.Fetch, outcome: api.Outcome = api.Outcome.SERVED, attempt: int = 0, **more: object
     ) -> list[api.Action]:
         more.setdefault("request_closed", outcome is api.Outcome.SERVED)
         more.setdefault("duration", 50 * MS)
-        return self.give(api.AttemptEnded(sent.id, attempt, sent.server, outcome, **more))
+        return self.handle(api.AttemptEnded(sent.id, attempt, sent.server, outcome, **more))
 
     def serve(self, name: str = "a", cls: str = "reads", **more: object) -> api.Fetch:
         """Send a request and let its attempt succeed at once."""
@@ -114,11 +114,11 @@
         self.end(sent)
         return sent
 
-    def spread(self, name: str, requests: int) -> set[int]:
+    def servers_used(self, name: str, requests: int) -> set[int]:
         """The servers that get this many simultaneous requests for an object."""
         return {self.serve(name).server for _ in range(requests)}
 
-    def heat(self, name: str, seconds: int, rate: int) -> None:
+    def send_steadily(self, name: str, seconds: int, rate: int) -> None:
         """Send requests for one object for some seconds, at `rate` requests per second."""
         for _ in range(seconds * rate):
             self.serve(name)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -41,14 +41,14 @@
 
 
 def test_one_copy_in_the_first_interval_however_many_ask() -> None:
-    assert len(Script().spread("hot", 100)) == 1
+    assert len(Script().servers_used("hot", 100)) == 1
 
 
 def test_copies_grow_by_one_an_interval_up_to_all_caches() -> None:
     script = Script()
     seen = []
     for _ in range(7):
-        seen.append(len(script.spread("hot", 60)))
+        seen.append(len(script.servers_used("hot", 60)))
         script.wait(SECOND)
     assert seen[:4] == [1, 2, 3, 4]
     assert seen[4:] == [4, 4, 4]
@@ -56,8 +56,8 @@
 
 def test_copies_shrink_again_when_the_rate_falls() -> None:
     script = Script()
-    script.heat("hot", 8, 40)
-    assert len(script.spread("hot", 60)) == 4
+    script.send_steadily("hot", 8, 40)
+    assert len(script.servers_used("hot", 60)) == 4
     for _ in range(12):
         script.wait(5 * SECOND)
         script.serve("hot")
@@ -75,7 +75,7 @@
 
 def test_requests_spread_evenly_over_the_copies() -> None:
     script = Script()
-    script.heat("hot", 8, 40)
+    script.send_steadily("hot", 8, 40)
     counts = dict.fromkeys(CACHES, 0)
     for _ in range(1200):
         counts[script.serve("hot").server] += 1
@@ -317,17 +317,17 @@
         actions = script.end(action, outcome, attempt)
     assert isinstance(action, api.Refuse | api.Fail)
     assert attempt <= SETTINGS.max_attempts
-    assert script.give(api.TimerDue("q1")) == []
+    assert script.handle(api.TimerDue("q1")) == []
 
 
 def test_an_open_request_is_ended_before_its_deadline() -> None:
     script = Script()
-    timers = [a for a in script.give(api.Request("x", "reads", "a", 900 * MS)) if isinstance(a, api.SetTimer)]
+    timers = [a for a in script.handle(api.Request("x", "reads", "a", 900 * MS)) if isinstance(a, api.SetTimer)]
     assert len(timers) == 1 and timers[0].delay < 900 * MS
     script.wait(timers[0].delay)
-    (end,) = script.give(api.TimerDue(timers[0].token))
+    (end,) = script.handle(api.TimerDue(timers[0].token))
     assert isinstance(end, api.Refuse) and choice.COME_BACK / 2 <= end.retry_after <= choice.COME_BACK
-    assert script.give(api.AttemptEnded("x", 0, 11, Outcome.CANCELLED)) == []
+    assert script.handle(api.AttemptEnded("x", 0, 11, Outcome.CANCELLED)) == []
 
 
 def test_no_list_at_all_refuses_at_once() -> None:
@@ -339,16 +339,16 @@
     script = Script()
     sent = script.serve("a")
     assert script.end(sent) == []
-    assert script.give(api.ClientGone("nobody")) == []
-    assert script.give(api.TimerDue("nothing")) == []
-    assert script.give(api.AttemptEnded("nobody", 0, 999, Outcome.SERVED)) == []
-    assert script.give(api.PeerSays(1, b"x")) == []
+    assert script.handle(api.ClientGone("nobody")) == []
+    assert script.handle(api.TimerDue("nothing")) == []
+    assert script.handle(api.AttemptEnded("nobody", 0, 999, Outcome.SERVED)) == []
+    assert script.handle(api.PeerSays(1, b"x")) == []
 
 
 def test_a_client_that_left_is_not_answered() -> None:
     script = Script()
     (sent,) = script.ask("a")
-    assert script.give(api.ClientGone(sent.id)) == []
+    assert script.handle(api.ClientGone(sent.id)) == []
     assert script.end(sent, Outcome.REFUSED) == []
 
 
@@ -387,7 +387,7 @@
     for name in ("a", "b", "c", "d", "e"):
         script = Script(with_class(keyed), entries)
         sends: list[int] = []
-        actions = script.give(api.Request("k", "keyed", name, 2 * SECOND))
+        actions = script.handle(api.Request("k", "keyed", name, 2 * SECOND))
         for attempt in range(9):
             (action,) = [a for a in actions if not isinstance(a, api.SetTimer)]
             if not isinstance(action, api.Fetch):
@@ -440,7 +440,7 @@
     assert script.started == [api.FollowList(True)]
     (timer,) = script.list([], api.ListKind.FAILED)
     script.wait(timer.delay)
-    assert script.give(api.TimerDue(timer.token)) == [api.FollowList(True)]
+    assert script.handle(api.TimerDue(timer.token)) == [api.FollowList(True)]
     assert isinstance(script.ask("a")[0], api.Fetch)
 
 
@@ -484,7 +484,7 @@
 
 def test_a_server_that_returns_under_its_number_is_cold_again() -> None:
     script = Script()
-    script.heat("a", 5, 20)
+    script.send_steadily("a", 5, 20)
     home = script.serve("a").server
     script.list([cache(home, reported_start=script.now)])
     sends = [script.serve("a").server for _ in range(60)]
@@ -496,7 +496,7 @@
 
 def test_after_a_purge_no_copy_from_before_it_will_do() -> None:
     script = Script()
-    script.give(api.Purge("a", 3, 100 * MS))
+    script.handle(api.Purge("a", 3, 100 * MS))
     for wait in (0, SECOND, 3 * SECOND):
         script.wait(wait)
         sent = script.serve("a")
@@ -507,7 +507,7 @@
 
 def test_a_purged_group_covers_its_objects_and_no_others() -> None:
     script = Script()
-    script.give(api.Purge(None, 3, 0))
+    script.handle(api.Purge(None, 3, 0))
     script.wait(SECOND)
     assert script.serve("x", group=3).max_age == SECOND
     assert script.serve("y", group=4).max_age == 0
@@ -515,21 +515,21 @@
 
 def test_where_purges_may_be_missing_no_copy_older_than_that_will_do() -> None:
     script = Script()
-    script.give(api.Purge("a", 3, 5 * SECOND))
-    script.give(api.Unsure(2 * SECOND))
+    script.handle(api.Purge("a", 3, 5 * SECOND))
+    script.handle(api.Unsure(2 * SECOND))
     for wait in (0, SECOND, 3 * SECOND):  # it holds as long as it is told, and a purge that is newer holds with it
         script.wait(wait)
         assert script.serve("a").max_age == script.serve("b").max_age == 2 * SECOND
-    script.give(api.Purge("a", 3, SECOND))
+    script.handle(api.Purge("a", 3, SECOND))
     assert (script.serve("a").max_age, script.serve("b").max_age) == (SECOND, 2 * SECOND)
-    script.give(api.Unsure(0))
+    script.handle(api.Unsure(0))
     assert script.serve("b").max_age == 0
 
 
 def test_the_age_sent_is_never_over_the_fresh_time() -> None:
     fresh = replace(READS, name="reads", freshness_lifetime=2 * SECOND)
     script = Script(with_class(fresh))
-    script.give(api.Purge("a", None, 0))
+    script.handle(api.Purge("a", None, 0))
     script.wait(4 * SECOND)
     assert script.serve("a").max_age <= 2 * SECOND
 
@@ -539,7 +539,7 @@
 
 def test_a_silent_cache_is_ejected_and_its_attempts_called_off() -> None:
     script = Script()
-    script.heat("warm", 1, 20)
+    script.send_steadily("warm", 1, 20)
     home = script.serve("a").server
     hung = [script.ask("a")[0] for _ in range(5)]
     assert {h.server for h in hung} == {home}
@@ -843,7 +843,7 @@
     free = [script.ask(f"f{n}", hand_over=True)[0] for n in range(30)]
     assert {type(a) for a in free} == {api.HandOver}  # its room is a guess while nothing was heard of it
     for action in free:
-        script.give(api.AttemptEnded(action.id, 0, 11, Outcome.HANDED_OVER, request_closed=True))
+        script.handle(api.AttemptEnded(action.id, 0, 11, Outcome.HANDED_OVER, request_closed=True))
     server.heard = 1
     handed = [script.ask(f"o{n}", hand_over=True)[0] for n in range(30)]
     named = [a for a in handed if isinstance(a, api.HandOver)]
@@ -853,13 +853,13 @@
     script.wait(10 * SECOND)
     for action in named:
         ended = api.AttemptEnded(action.id, 0, 11, Outcome.HANDED_OVER, request_closed=True)
-        assert not script.give(ended)
+        assert not script.handle(ended)
     assert (server.open, server.unheard, server.doubt, server.heard) == (0, 0, 0.0, 1)
     server.ejections = 1  # on trial: nothing comes back of a client that goes there itself
     (other,) = script.ask("o1", hand_over=True)
     assert isinstance(other, api.HandOver) and other.server != 11
     server.ejections = 0
-    script.give(api.Purge("o1", None, 0))
+    script.handle(api.Purge("o1", None, 0))
     (after,) = script.ask("o1", hand_over=True)
     assert isinstance(after, api.HandOver) and after.server == 31
 
@@ -892,7 +892,7 @@
     assert named and not any(a.server == 11 for a in named)
     held = script.router.fleet.servers[named[0].server]
     assert held.open >= 200
-    script.give(
+    script.handle(
         api.AttemptEnded(named[0].id, 0, named[0].server, Outcome.HANDED_OVER, request_closed=True, weight=200.0)
     )
     assert held.open == 200 * (sum(a.server == named[0].server for a in named) - 1)
@@ -944,7 +944,7 @@
         script.serve("hot")
         script.serve(f"rare-{n}")
         script.wait(SECOND)
-    assert len(script.spread("hot", 60)) == 4
+    assert len(script.servers_used("hot", 60)) == 4
     assert {script.router.rates[f"rare-{n}"].copies for n in range(10, 60)} == {1}  # asked for once each
     script.serve("rare-9")
     assert script.router.rates["rare-9"].copies == 1  # twice within a minute is no news
@@ -970,7 +970,7 @@
     script = Script()
     for _ in range(5):
         script.end(script.ask("other")[0], load={"link": 1.5})
-        assert len(script.spread("hot", 60)) == 1
+        assert len(script.servers_used("hot", 60)) == 1
         script.wait(SECOND)
 
 
@@ -1019,7 +1019,7 @@
 
 def test_unknown_class_is_treated_as_unsafe() -> None:
     script = Script()
-    actions = script.give(api.Request("x", "never heard of", "a", SECOND))
+    actions = script.handle(api.Request("x", "never heard of", "a", SECOND))
     (sent,) = [a for a in actions if isinstance(a, api.Fetch)]
     assert script.end(sent, Outcome.ERROR) == [api.Fail("x")]
 
@@ -1060,7 +1060,7 @@
             elif step == "wait":
                 script.wait(n * MS)
             elif step == "purge":
-                take(script.give(api.Purge(f"o{n % 7}" if n % 2 else None, n % 4, n)))
+                take(script.handle(api.Purge(f"o{n % 7}" if n % 2 else None, n % 4, n)))
             elif step == "list":
                 state = list(State)[n % 3]
                 take(script.list([cache(CACHES[n % 4], state=state, reported_start=script.now - n * MS)]))
@@ -1079,7 +1079,7 @@
 def test_every_effect_gets_an_answer_when_nobody_is_left(effect: RetrySafety) -> None:
     cls = api.RequestClass("c", retry_safety=effect, deadline=SECOND)
     script = Script(with_class(cls), [])
-    actions = [a for a in script.give(api.Request("x", "c", "a", SECOND)) if not isinstance(a, api.SetTimer)]
+    actions = [a for a in script.handle(api.Request("x", "c", "a", SECOND)) if not isinstance(a, api.SetTimer)]
     assert isinstance(actions[0], api.Refuse) and 0 < actions[0].retry_after <= min(
         choice.COME_BACK, SETTINGS.max_retry_after
     )
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -130,7 +130,7 @@
     script = Script()
     report = Report(script.router)
     for _ in range(3):
-        script.heat("hot", 1, 20)
+        script.send_steadily("hot", 1, 20)
         script.serve("rare")
     script.ask("hot")
     told = report.told(script.now)
@@ -141,14 +141,14 @@
 
 def test_a_hint_gives_a_hot_object_its_copies_before_this_router_saw_it() -> None:
     script = Script()
-    script.heat("other", 3, 20)
-    script.give(api.Hints({"hot": 80.0}, {}, {}, 100 * MS))
+    script.send_steadily("other", 3, 20)
+    script.handle(api.Hints({"hot": 80.0}, {}, {}, 100 * MS))
     script.wait(SECOND)
     script.serve("hot")
-    assert len(script.spread("hot", 60)) == 4
+    assert len(script.servers_used("hot", 60)) == 4
     script = Script()
-    script.heat("other", 3, 20)
-    script.give(api.Hints({"hot": 80.0}, {}, {}, 9 * SECOND))  # too old to say anything
+    script.send_steadily("other", 3, 20)
+    script.handle(api.Hints({"hot": 80.0}, {}, {}, 9 * SECOND))  # too old to say anything
     script.wait(SECOND)
     assert script.serve("hot") and script.router.rates["hot"].copies == 1
 
@@ -157,10 +157,10 @@
     script = Script()
     script.list([api.Entry(11, api.State.DRAINING, "here", "box", 1)])
     for _ in range(40):
-        script.give(api.Hints({"a": 1e5}, {11: 0.0}, {n: 1.0 for n in (12, 13, 14)}, 0))
+        script.handle(api.Hints({"a": 1e5}, {11: 0.0}, {n: 1.0 for n in (12, 13, 14)}, 0))
         assert script.serve("a").server != 11
-    script.give(api.Purge("a", None, 0))
-    script.give(api.Hints({"a": 1e5}, {}, {}, 0))
+    script.handle(api.Purge("a", None, 0))
+    script.handle(api.Hints({"a": 1e5}, {}, {}, 0))
     assert script.serve("a").max_age > 0
     cold, credit = Script(), []
     for told in (False, True):
@@ -185,7 +185,7 @@
         script.router.eject(server)
         server.doubt = 7.0
         for _ in range(4):
-            script.give(api.Hints({}, {11: 2.0}, {11: share}, 0))
+            script.handle(api.Hints({}, {11: 2.0}, {11: share}, 0))
         server.ejected_until = script.now
         assert (server.doubt > 3) == out
         (sent,) = script.ask("o")
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -216,7 +216,7 @@
 def body() -> dict[str, Any]:
     script, memory = warmed(), Memory()
     memory.note([api.Entry(9, State.DRAINING, reported_start=4)])
-    script.give(api.Purge("o1", 3, 0))
+    script.handle(api.Purge("o1", 3, 0))
     return saved.content(script.router, memory, 57, ["s-00000007"], script.now)
 
 
