--- a/tests/faults/test_beyond.py
+++ b/tests/faults/test_beyond.py
@@ -203,7 +203,7 @@
 
 def test_purges_and_drains_after_a_quiet_time_hold_at_once() -> None:
     script = quiet(Script())
-    script.give(api.Purge("a", None, 100 * MS))
+    script.handle(api.Purge("a", None, 100 * MS))
     script.list([cache(11, state=api.State.DRAINING)])
     for _ in range(20):
         (sent,) = script.ask("a")
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -171,7 +171,7 @@
         sent = 0
         for n in range(200):
             if told:
-                cold.give(api.Hints({}, {11: 0.0, 12: 0.0}, {11: 0.0, 12: 0.0}, 0))
+                cold.handle(api.Hints({}, {11: 0.0, 12: 0.0}, {11: 0.0, 12: 0.0}, 0))
             sent += sum(isinstance(a, api.Fetch) and a.server in (11, 12) for a in cold.ask(f"o{n}"))
             cold.wait(5 * MS)
         credit.append(sent)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -167,7 +167,7 @@
     fresh = Script()
     home = old.serve("o1").server
     fresh.list([api.Entry(home, State.DRAINING, cache(home).zone, cache(home).kind)], kind=api.ListKind.CHANGES)
-    fresh.give(api.Purge("o1", 3, 0))
+    fresh.handle(api.Purge("o1", 3, 0))
     learned.prime(fresh.router, known, 0, fresh.now)
     fresh.wait(SECOND)
     sent = [fresh.serve("o1") for _ in range(20)]
