--- a/benchmarks/owner_model.py
+++ b/benchmarks/owner_model.py
@@ -11,12 +11,12 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from threadhill.ownership.tenure import Tenure, Timing, Wish
+from threadhill.ownership.tenure import LeaseState, NextCommand, Timing
 from threadhill.ownership.terms import Register
 
 NAMES = ("a", "b", "c")
 RATES = (1.0, 1.02, 0.98)  # how fast each one's clock runs
-TIMING = Timing(lease=3.0, drift=0.05, margin=0.1, renew=0.3, turn=0.0)
+TIMING = Timing(lease=3.0, drift=0.05, margin=0.1, renew_fraction=0.3, claim_stagger=0.0)
 GUARDS = (
     "claims name what was seen",
     "others wait for the lease",
@@ -41,7 +41,7 @@
 
     time: int
     register: tuple[int, str, int]  # term, owner, beat
-    members: tuple[tuple[int, float, tuple[int, int], float, float | None], ...]  # a Tenure's term, until, seen...
+    members: tuple[tuple[int, float, tuple[int, int], float, float | None], ...]  # fields of a LeaseState
     running: tuple[bool, ...]
     inbox: tuple[tuple[tuple[int, str, int], ...], ...]  # registers agreed and not yet heard, by member
     answers: tuple[tuple[int, bool, int], ...]  # member, took effect, term
@@ -66,14 +66,14 @@
     def local(self, member: int, time: int) -> float:
         return time * RATES[member]
 
-    def tenure(self, state: State, member: int) -> Tenure:
-        one = Tenure(NAMES[member], TIMING, 0.0)
-        one.term, one.until, one.seen, one.seen_at, one.sent_at = state.members[member]
+    def lease(self, state: State, member: int) -> LeaseState:
+        one = LeaseState(NAMES[member], TIMING, 0.0)
+        one.term, one.expires_at, one.last_seen, one.last_seen_at, one.sent_at = state.members[member]
         return one
 
     @staticmethod
-    def packed(one: Tenure) -> tuple[int, float, tuple[int, int], float, float | None]:
-        return one.term, one.until, one.seen, one.seen_at, one.sent_at
+    def packed(one: LeaseState) -> tuple[int, float, tuple[int, int], float, float | None]:
+        return one.term, one.expires_at, one.last_seen, one.last_seen_at, one.sent_at
 
     @staticmethod
     def register(told: tuple[int, str, int]) -> Register:
@@ -89,7 +89,7 @@
                 todo[n], todo[-1] = todo[-1], todo[n]
             state = todo.pop()
             found.states += 1
-            owners = [NAMES[m] for m in range(3) if self.tenure(state, m).holds(self.local(m, state.time))]
+            owners = [NAMES[m] for m in range(3) if self.lease(state, m).is_held(self.local(m, state.time))]
             if len(owners) > 1:
                 found.faults.append(f"at {state.time}: {' and '.join(owners)} own")
             fresh = [after for after in self.steps(state, found) if after not in seen]
@@ -105,7 +105,7 @@
         for m in range(3):
             if state.running[m]:
                 yield from self.acts(state, m)
-                if state.stops < 1 and self.tenure(state, m).term:
+                if state.stops < 1 and self.lease(state, m).term:
                     yield self.with_(state, running=self.put(state.running, m, False), stops=state.stops + 1)
             else:
                 yield self.with_(state, running=self.put(state.running, m, True))
@@ -113,18 +113,18 @@
             rest = state.sent[:n] + state.sent[n + 1 :]
             yield self.agreed(self.with_(state, sent=rest), sent, found)
             if sent.kind == "renew":  # lost on its way: its sender hears nothing
-                one = self.tenure(state, sent.by)
-                one.lost()
+                one = self.lease(state, sent.by)
+                one.command_lost()
                 yield self.with_(state, sent=rest, members=self.put(state.members, sent.by, self.packed(one)))
         for n, (m, ok, term) in enumerate(state.answers):
             if state.running[m] and not state.inbox[m]:
-                one = self.tenure(state, m)
+                one = self.lease(state, m)
                 if ok:
                     if self.without == GUARDS[2]:
                         one.sent_at = self.local(m, state.time)
-                    one.granted(term)
+                    one.command_granted(term)
                 else:
-                    one.refused()
+                    one.command_refused()
                 yield self.with_(
                     state,
                     answers=state.answers[:n] + state.answers[n + 1 :],
@@ -132,28 +132,28 @@
                 )
 
     def acts(self, state: State, m: int) -> Iterator[State]:
-        """What a running member may do: hear what was agreed, send what its tenure wishes, or write."""
-        now, one = self.local(m, state.time), self.tenure(state, m)
+        """What a running member may do: hear what was agreed, send the next command of its lease, or write."""
+        now, one = self.local(m, state.time), self.lease(state, m)
         if state.inbox[m]:
             told, *rest = state.inbox[m]
-            one.agreed(self.register(told), now)
+            one.observe(self.register(told), now)
             yield self.with_(
                 state, inbox=self.put(state.inbox, m, tuple(rest)), members=self.put(state.members, m, self.packed(one))
             )
             return
-        known = Register(one.seen[0], "", one.seen[1], members={name: {} for name in NAMES})
-        wish = one.wish(known, now)
-        if wish is Wish.NOTHING and self.without == GUARDS[1] and not one.term and one.sent_at is None:
-            wish = Wish.CLAIM
-        if wish is not Wish.NOTHING and len(state.sent) < 2:
-            term, beat = one.seen if wish is Wish.CLAIM else (one.term, 0)
-            one.sent(now)
+        known = Register(one.last_seen[0], "", one.last_seen[1], members={name: {} for name in NAMES})
+        command = one.next_command(known, now)
+        if command is NextCommand.NOTHING and self.without == GUARDS[1] and not one.term and one.sent_at is None:
+            command = NextCommand.CLAIM
+        if command is not NextCommand.NOTHING and len(state.sent) < 2:
+            term, beat = one.last_seen if command is NextCommand.CLAIM else (one.term, 0)
+            one.command_sent(now)
             yield self.with_(
                 state,
-                sent=(*state.sent, Sent(wish.value, m, term, beat)),
+                sent=(*state.sent, Sent(command.value, m, term, beat)),
                 members=self.put(state.members, m, self.packed(one)),
             )
-        if one.holds(now) and len(state.sent) < 2 and not any(s.kind == "write" for s in state.sent):
+        if one.is_held(now) and len(state.sent) < 2 and not any(s.kind == "write" for s in state.sent):
             yield self.with_(state, sent=(*state.sent, Sent("write", m, one.term, 0)))
 
     def agreed(self, state: State, sent: Sent, found: Found) -> State:
@@ -167,13 +167,13 @@
         if sent.kind == "claim":
             beat = register.beat if self.without == GUARDS[0] else sent.beat
             term = register.term if self.without == GUARDS[0] else sent.term
-            verdict = register.claim(name, term, beat, "model")
+            outcome = register.claim(name, term, beat, "model")
         else:
-            verdict = register.renew(name, sent.term)
+            outcome = register.renew(name, sent.term)
         told = (register.term, register.owner, register.beat)
         inbox = tuple(box + ((told,) if told != state.register else ()) for box in state.inbox)
         return self.with_(
-            state, register=told, inbox=inbox, answers=(*state.answers, (sent.by, verdict.ok, verdict.term))
+            state, register=told, inbox=inbox, answers=(*state.answers, (sent.by, outcome.ok, outcome.term))
         )
 
     @staticmethod
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -26,9 +26,9 @@
 from threadhill.control.members_file import read
 from threadhill.control.store import Apply, Change, StepState, Version
 from threadhill.ownership.feeds import Feeds, Fence
-from threadhill.ownership.tenure import Tenure, Timing, Wish
+from threadhill.ownership.tenure import LeaseState, NextCommand, Timing
 from threadhill.ownership.terms import Register
-from threadhill.ownership.works import snapshots_by, works
+from threadhill.ownership.works import list_tasks, snapshot_member
 from threadhill.plans.rules import Phase, Record
 from threadhill.recovery import saved
 from threadhill.recovery.numbers import Memory
@@ -55,37 +55,45 @@
     assert not register.release("a", 1, "").ok and register.release("b", 2, "a").ok
     assert not register.write("b", 2).ok and register.owner == ""
     assert register.leave("b").ok and not register.leave("a").ok
-    assert not register.join("c", {"api": "x"}).ok or register.join("d", {"api": "x"}).why
-    assert Register.of(json.loads(json.dumps(register.document()))) == register
+    assert not register.join("c", {"api": "x"}).ok or register.join("d", {"api": "x"}).reason
+    assert Register.from_document(json.loads(json.dumps(register.document()))) == register
 
 
 def test_an_owner_stops_before_the_next_may_begin_and_an_heir_does_not_wait() -> None:
-    timing = Timing(lease=1.0, drift=0.02, margin=0.1, turn=0.1)
+    timing = Timing(lease=1.0, drift=0.02, margin=0.1, claim_stagger=0.1)
     register = Register(members={"a": {}, "b": {}, "c": {}})
-    owner, other = Tenure("a", timing, 0.0), Tenure("b", timing, 0.0)
-    owner.sent(10.0)
-    assert owner.wish(register, 10.5) is Wish.NOTHING  # one at a time
+    owner, other = LeaseState("a", timing, 0.0), LeaseState("b", timing, 0.0)
+    owner.command_sent(10.0)
+    assert owner.next_command(register, 10.5) is NextCommand.NOTHING  # one at a time
     register.claim("a", 0, 0, "")
-    owner.granted(1)
-    owner.agreed(register, 10.05)
-    other.agreed(register, 10.05)
-    assert owner.holds(10.89) and not owner.holds(10.9)  # from before it was sent, less the margin
-    assert owner.wish(register, 10.1) is Wish.NOTHING and owner.wish(register, 10.3) is Wish.RENEW
-    assert other.wish(register, 11.2) is Wish.NOTHING and other.wish(register, 11.28) is Wish.CLAIM
+    owner.command_granted(1)
+    owner.observe(register, 10.05)
+    other.observe(register, 10.05)
+    assert owner.is_held(10.89) and not owner.is_held(10.9)  # from before it was sent, less the margin
+    assert (
+        owner.next_command(register, 10.1) is NextCommand.NOTHING
+        and owner.next_command(register, 10.3) is NextCommand.RENEW
+    )
+    assert (
+        other.next_command(register, 11.2) is NextCommand.NOTHING
+        and other.next_command(register, 11.28) is NextCommand.CLAIM
+    )
     register.release("a", 1, "b")
     for one in (owner, other):
-        one.agreed(register, 10.4)
-    assert not owner.holds(10.4) and other.wish(register, 10.4) is Wish.CLAIM
-    owner.sent(10.5)
-    owner.refused()
+        one.observe(register, 10.4)
+    assert not owner.is_held(10.4) and other.next_command(register, 10.4) is NextCommand.CLAIM
+    owner.command_sent(10.5)
+    owner.command_refused()
     assert owner.term == 0
 
 
 def test_works_say_by_whom_they_are_done_and_when_they_are_late() -> None:
-    assert snapshots_by("a", ["a", "c", "b"]) == "b" and snapshots_by("a", ["a"]) == "a"
+    assert snapshot_member("a", ["a", "c", "b"]) == "b" and snapshot_member("a", ["a"]) == "a"
     found = [
         work.document(100_000)
-        for work in works("a", ["a", "b"], {"number": 3, "done": 1, "steps": 4, "moved": 10_000}, 2, 10, 5, 90_000, 7)
+        for work in list_tasks(
+            "a", ["a", "b"], {"number": 3, "done": 1, "steps": 4, "moved": 10_000}, 2, 10, 5, 90_000, 7
+        )
     ]
     assert found[0] | {"due": 0} == {
         "name": "apply 3",
@@ -100,11 +108,11 @@
 
 def test_a_proxy_goes_round_all_feeds_in_an_order_of_its_own_and_believes_no_older_term() -> None:
     places = [("127.0.0.1", port) for port in (1, 2, 3)]
-    firsts = {Feeds(places, seed).here() for seed in range(40)}
+    firsts = {Feeds(places, seed).current() for seed in range(40)}
     assert firsts == set(places)
     feeds = Feeds(places, 7)
-    seen = [feeds.here()]
-    rounds = [feeds.elsewhere() and not seen.append(feeds.here()) or seen.append(feeds.here()) for _ in range(3)]
+    seen = [feeds.current()]
+    rounds = [feeds.advance() and not seen.append(feeds.current()) or seen.append(feeds.current()) for _ in range(3)]
     assert set(seen[:3]) == set(places) and seen[3] == seen[0] and len(rounds) == 3
     fence = Fence(4)
     assert [fence.admits(term) for term in (4, 6, 5, 6)] == [True, True, False, True] and fence.refused == 1
--- a/threadhill/control/agreed.py
+++ b/threadhill/control/agreed.py
@@ -25,7 +25,7 @@
 
 from threadhill.control.sqlite import NAME, Sqlite
 from threadhill.control.store import Apply, Change, StepState, Unwritable, Version
-from threadhill.ownership.terms import Register, Verdict
+from threadhill.ownership.terms import CommandOutcome, Register
 from threadhill.plans.rules import Phase, Record
 
 ANSWER = 1.0  # seconds that a change may take to be agreed: less than a lease, which is not renewed meanwhile
@@ -79,7 +79,7 @@
         self.count = 0  # commands so far
         self.recent: OrderedDict[str, tuple[bool, str, int]] = OrderedDict()  # id -> verdict
         self.broken = ""  # why this member can't go on
-        self.heard: Callable[[dict[str, Any], Verdict, bool], None] = lambda command, verdict, new: None
+        self.heard: Callable[[dict[str, Any], CommandOutcome, bool], None] = lambda command, outcome, new: None
         self.loaded: Callable[[], None] = lambda: None
 
     def do(self, raw: bytes) -> tuple[bool, str, int]:
@@ -90,14 +90,14 @@
             if command["id"] in self.recent:
                 return self.recent[command["id"]]
             new = self.count > self.sqlite.meta().get("agreed", 0)  # else it is in the file: the log is read again
-            verdict = self._do(command)
-            told = self.recent[command["id"]] = verdict.ok, verdict.why, verdict.term
+            outcome = self._do(command)
+            told = self.recent[command["id"]] = outcome.ok, outcome.reason, outcome.term
             if len(self.recent) > RECENT:
                 self.recent.popitem(last=False)
-            self.heard(command, verdict, new)
+            self.heard(command, outcome, new)
             return told
 
-    def _do(self, command: dict[str, Any]) -> Verdict:
+    def _do(self, command: dict[str, Any]) -> CommandOutcome:
         register, by, term = self.register, command["by"], command.get("term", 0)
         match command["kind"]:
             case "claim":
@@ -111,20 +111,20 @@
             case "leave":
                 return register.leave(command["name"])
             case "lead":  # the engine's matter alone: who removes a member must order commands
-                return Verdict(True, term=register.term)
+                return CommandOutcome(True, term=register.term)
             case "seed":
                 if register.written:
-                    return Verdict(False, "there is a state already", register.term)
-                verdict = register.write(by, term)
-                if verdict.ok:
+                    return CommandOutcome(False, "there is a state already", register.term)
+                outcome = register.write(by, term)
+                if outcome.ok:
                     self._write(lambda: self._replace(base64.b64decode(command["store"])), seed=True)
-                return verdict
-        verdict = register.write(by, term)
-        if verdict.ok:
+                return outcome
+        outcome = register.write(by, term)
+        if outcome.ok:
             change = decode(command["change"])
             change.meta = {**change.meta, "agreed": self.count}
             self._write(lambda: self.sqlite.commit(change))
-        return verdict
+        return outcome
 
     def _write(self, write: Callable[[], None], seed: bool = False) -> None:
         """Write what was agreed, unless this file has it. A member that can't can't go on: the others do."""
@@ -162,7 +162,7 @@
     def load(self, image: dict[str, Any]) -> None:
         """Take an image over; the file only where the image knows more than it."""
         with self.lock:
-            self.register, self.count = Register.of(image["register"]), image["count"]
+            self.register, self.count = Register.from_document(image["register"]), image["count"]
             self.recent = OrderedDict(image["recent"])
             if image["count"] > self.sqlite.meta().get("agreed", 0):
                 self._replace(image["store"])
@@ -226,7 +226,7 @@
         self.machine = Machine(folder, log)
         self._waiting: dict[str, bool] = {}  # own commands whose answer is awaited -> whether they were agreed
         self.machine.heard = self._heard
-        self._told: Callable[[dict[str, Any], Verdict, bool], None] = lambda command, verdict, new: None
+        self._told: Callable[[dict[str, Any], CommandOutcome, bool], None] = lambda command, outcome, new: None
         self._agree, self._others = agree, others
         self._conf = SyncObjConf(
             password=secret,
@@ -252,18 +252,18 @@
     def register(self) -> Register:
         return self.machine.register
 
-    def start(self, told: Callable[[dict[str, Any], Verdict, bool], None], loaded: Callable[[], None]) -> None:
+    def start(self, told: Callable[[dict[str, Any], CommandOutcome, bool], None], loaded: Callable[[], None]) -> None:
         """Begin. `told` hears of each command and whether its change is new to this member's file, but for changes that
         `propose` waits for; `loaded`, that the whole state was replaced. Both from the engine's thread."""
         self._told, self.machine.loaded = told, loaded
         self.replica = Replica(self._agree, self._others, self._conf, self.machine)
 
-    def _heard(self, command: dict[str, Any], verdict: Verdict, new: bool) -> None:
+    def _heard(self, command: dict[str, Any], outcome: CommandOutcome, new: bool) -> None:
         if command["id"] in self._waiting:
             self._waiting[command["id"]] = True
             if command["kind"] == "change":
                 return  # who waits for it takes it up itself
-        self._told(command, verdict, new)
+        self._told(command, outcome, new)
 
     def _command(self, kind: str, **more: Any) -> dict[str, Any]:
         return {"id": uuid.uuid4().hex, "by": self.name, "kind": kind, **more}
@@ -275,7 +275,7 @@
             self.replica.do(orjson.dumps(command), callback=lambda result, error: None)
         return command["id"]
 
-    def propose(self, kind: str, **more: Any) -> Verdict:
+    def propose(self, kind: str, **more: Any) -> CommandOutcome:
         """Propose and wait. Unwritable where no majority agreed in time, or where it had no effect."""
         command = self._command(kind, **more)
         id = command["id"]
@@ -299,12 +299,12 @@
                     "known; look again"
                 ) from None
         self._waiting.pop(id, None)
-        verdict = Verdict(*result)
-        if not verdict.ok:
-            raise Unwritable(verdict.why)
+        outcome = CommandOutcome(*result)
+        if not outcome.ok:
+            raise Unwritable(outcome.reason)
         if self.machine.broken:
             raise Unwritable(self.machine.broken)
-        return verdict
+        return outcome
 
     def count(self, agree: str, more: bool) -> None:
         """Let the engine count one member more, or one less. Only who orders commands now can; the others leave it to
--- a/threadhill/control/council.py
+++ b/threadhill/control/council.py
@@ -20,8 +20,8 @@
 from threadhill.control.members_file import MembersFile
 from threadhill.control.store import Change, Unwritable
 from threadhill.core.clock import unix_now
-from threadhill.ownership.tenure import Tenure, Wish
-from threadhill.ownership.terms import Register, Verdict
+from threadhill.ownership.tenure import LeaseState, NextCommand
+from threadhill.ownership.terms import CommandOutcome, Register
 from threadhill.settings import address
 
 TURN = 0.05  # seconds between looks
@@ -43,7 +43,7 @@
         self.file = file
         others = [member.agree for member in file.members if member.name != name]
         self.agreement = Agreement(folder, name, self.me.agree, others, secret, log)
-        self.tenure = Tenure(name, file.timing, time.monotonic())
+        self.lease = LeaseState(name, file.timing, time.monotonic())
         self.register = Register()  # as last taken up on the loop
         self.changed: Callable[[Change], None] = lambda change: None
         self.reloaded: Callable[[], None] = lambda: None
@@ -62,7 +62,7 @@
     async def close(self) -> None:
         for task in self._tasks:
             task.cancel()
-        if self.tenure.holds(time.monotonic()):
+        if self.lease.is_held(time.monotonic()):
             with suppress(Unwritable):
                 await asyncio.to_thread(self.hand_over, "")
 
@@ -70,9 +70,9 @@
 
     def term(self) -> int:
         """The term that this member owns now, 0 where it may not act as the owner."""
-        if self.agreement.machine.broken or not self.tenure.holds(time.monotonic()):
+        if self.agreement.machine.broken or not self.lease.is_held(time.monotonic()):
             return 0
-        return self.tenure.term
+        return self.lease.term
 
     def fresh(self) -> bool:
         """Whether what this member knows can be told as news: it has heard of an owner lately."""
@@ -80,7 +80,7 @@
             self.agreement.ready()
             and not self.agreement.machine.broken
             and bool(self.register.owner)
-            and self.tenure.stale(time.monotonic()) <= FRESH
+            and self.lease.owner_silence(time.monotonic()) <= FRESH
         )
 
     def must_own(self) -> None:
@@ -98,7 +98,7 @@
 
     def hand_over(self, heir: str) -> None:
         """Give up the term, for this member to take the next one at once; for any, where none is named."""
-        self.agreement.propose("release", term=self.tenure.term, heir=heir)
+        self.agreement.propose("release", term=self.lease.term, heir=heir)
 
     def add(self, name: str, places: dict[str, str]) -> None:
         """A member more. From then on the majority counts it, so that of two both must run."""
@@ -148,34 +148,34 @@
         with suppress(RuntimeError):  # the loop has ended
             self._loop.call_soon_threadsafe(call, *words)
 
-    def _told(self, command: dict[str, Any], verdict: Verdict, new: bool) -> None:
+    def _told(self, command: dict[str, Any], outcome: CommandOutcome, new: bool) -> None:
         kind, name = command["kind"], command.get("name", "")
         if kind == "lead" and name != self.name:
             self.agreement.give_order(self._agree(name))
-        elif verdict.ok and kind == "leave" and name != self.name:
+        elif outcome.ok and kind == "leave" and name != self.name:
             self.agreement.count(self._agree(name), False)
-        elif verdict.ok and kind == "join" and command.get("count") and name != self.name:
+        elif outcome.ok and kind == "join" and command.get("count") and name != self.name:
             self.agreement.count(command["places"]["agree"], True)
-        register = Register.of(orjson.loads(orjson.dumps(self.agreement.register.document())))
-        self._soon(self._take, command, verdict, new, register)
+        register = Register.from_document(orjson.loads(orjson.dumps(self.agreement.register.document())))
+        self._soon(self._take, command, outcome, new, register)
 
     # --- the loop
 
-    def _take(self, command: dict[str, Any], verdict: Verdict, new: bool, register: Register) -> None:
+    def _take(self, command: dict[str, Any], outcome: CommandOutcome, new: bool, register: Register) -> None:
         """One agreed command, in its order."""
         before, self.register = self.register, register
-        self.tenure.agreed(register, time.monotonic())
+        self.lease.observe(register, time.monotonic())
         if command["id"] == self._sent:  # by its id: the effect of one that was given up must not pass for this one's
             self._sent = ""
-            if verdict.ok:
-                self.tenure.granted(verdict.term)
+            if outcome.ok:
+                self.lease.command_granted(outcome.term)
             else:
-                self.tenure.refused()
+                self.lease.command_refused()
         if register.owner != before.owner or register.term != before.term:
             self._owner_changed(before)
-        if verdict.ok and new and command["kind"] == "change":
+        if outcome.ok and new and command["kind"] == "change":
             self.changed(decode(command["change"]))
-        elif verdict.ok and new and command["kind"] == "seed":
+        elif outcome.ok and new and command["kind"] == "seed":
             self.reloaded()
 
     def _owner_changed(self, before: Register) -> None:
@@ -187,8 +187,8 @@
         self.log("owner", term=now.term, owner=now.owner or None, was=before.owner or None, cause=now.cause)
 
     def _loaded(self) -> None:
-        self.register = Register.of(orjson.loads(orjson.dumps(self.agreement.register.document())))
-        self.tenure.agreed(self.register, time.monotonic())
+        self.register = Register.from_document(orjson.loads(orjson.dumps(self.agreement.register.document())))
+        self.lease.observe(self.register, time.monotonic())
         self.reloaded()
 
     async def _turns(self) -> None:
@@ -204,17 +204,17 @@
         if self.name not in register.members and not register.term:
             self._enlist()
             return
-        if self._sent and now - self.tenure.sent_at > self.tenure.timing.lease:
+        if self._sent and now - self.lease.sent_at > self.lease.timing.lease:
             self._sent = ""
-            self.tenure.lost()
-        wish = self.tenure.wish(register, now)
-        if wish is Wish.NOTHING:
+            self.lease.command_lost()
+        command = self.lease.next_command(register, now)
+        if command is NextCommand.NOTHING:
             return
-        self.tenure.sent(now)
-        if wish is Wish.RENEW:
-            self._sent = self.agreement.send("renew", term=self.tenure.term)
+        self.lease.command_sent(now)
+        if command is NextCommand.RENEW:
+            self._sent = self.agreement.send("renew", term=self.lease.term)
             return
-        silent = self.tenure.stale(now)
+        silent = self.lease.owner_silence(now)
         cause = (
             "handed over"
             if register.heir == self.name
@@ -284,7 +284,7 @@
             "term": register.term,
             "owns": bool(self.term()),
             "fresh": self.fresh(),
-            "as_of_ms": round(self.tenure.stale(now) * 1e3),
+            "as_of_ms": round(self.lease.owner_silence(now) * 1e3),
             "members": register.members,
             "broken": self.agreement.machine.broken,
             "refused": register.refused,
--- a/threadhill/control/members_file.py
+++ b/threadhill/control/members_file.py
@@ -10,7 +10,7 @@
 
 from threadhill.files import check_private
 from threadhill.ownership.tenure import Timing
-from threadhill.ownership.terms import MEMBERS
+from threadhill.ownership.terms import MAX_MEMBERS
 from threadhill.settings import Malformed, address
 
 SECRET = 32  # characters at least
@@ -50,7 +50,7 @@
 
     secret_file: str
     lease_ms: Annotated[int, Field(ge=500, le=60_000)] = 1_500
-    members: Annotated[list[Member], Field(min_length=1, max_length=MEMBERS)]
+    members: Annotated[list[Member], Field(min_length=1, max_length=MAX_MEMBERS)]
 
     @model_validator(mode="after")
     def differ(self) -> MembersFile:
--- a/threadhill/control/server.py
+++ b/threadhill/control/server.py
@@ -28,7 +28,7 @@
 from threadhill.log import Log
 from threadhill.net.door import Door, Guest
 from threadhill.net.turns import Turns
-from threadhill.ownership.works import SNAPSHOT_EVERY_MS, snapshots_by, works
+from threadhill.ownership.works import SNAPSHOT_INTERVAL_MS, list_tasks, snapshot_member
 from threadhill.plans.rules import Phase
 from threadhill.recovery.phases import FleetPhases
 
@@ -195,8 +195,8 @@
                     )
             if not self.council.agreement.register.written and self.ledger.pos:
                 self._seed()
-        due = self.now() - self._snapshot_at >= SNAPSHOT_EVERY_MS
-        mine = snapshots_by(self.council.register.owner, self._fresh()) == self.council.name
+        due = self.now() - self._snapshot_at >= SNAPSHOT_INTERVAL_MS
+        mine = snapshot_member(self.council.register.owner, self._fresh()) == self.council.name
         if due and mine and self._snapping is None:
             self._snapping = asyncio.create_task(self._snap())
 
@@ -242,7 +242,7 @@
         )
         waits = sum(record.phase in (Phase.DRAINING, Phase.COLD) for record in ledger.fleet.records.values())
         owner = self.council.register.owner if self.council is not None else "this one"
-        found = works(
+        found = list_tasks(
             owner,
             self._fresh(),
             told,
@@ -252,7 +252,7 @@
             self._snapshot_at,
             len(ledger.members.by_name),
         )
-        return [work.document(self.now()) for work in found]
+        return [task.document(self.now()) for task in found]
 
     def _report(self, raw: dict[str, Any]) -> bool:
         """Take a proxy's report; whether it says what it knows of the fleet."""
--- a/threadhill/net/journal.py
+++ b/threadhill/net/journal.py
@@ -94,12 +94,12 @@
         elsewhere is left at once, with the dial that may be under way there: it has nothing more to tell. Where there
         are several that tell the same, another is taken whenever the one here is silent, cut off or not reached."""
         if others and where is not None:
-            if self.feeds is not None and self.feeds.same(list(others)):
+            if self.feeds is not None and self.feeds.same_addresses(list(others)):
                 return
             from threadhill.ownership.feeds import Feeds
 
             self.feeds = Feeds(list(others), number_of(self.name))
-            where = self.feeds.here()
+            where = self.feeds.current()
         elif where == self.address and self.feeds is None:
             return
         else:
@@ -140,9 +140,9 @@
     def _elsewhere(self) -> None:
         """Another of the services that tell the same, where there is one. A round of all is no reason to wait less."""
         if self.feeds is not None:
-            if not self.feeds.elsewhere():
+            if not self.feeds.advance():
                 self._wait = AGAIN
-            self.address = self.feeds.here()
+            self.address = self.feeds.current()
 
     def _backed_off(self) -> int:
         """How long to wait before another try; longer each time that nothing new was told since the last."""
--- a/threadhill/ownership/__init__.py
+++ b/threadhill/ownership/__init__.py
@@ -1,2 +1,2 @@
-"""Who does the fleet's work: terms of ownership, when one is lost and may be taken, what the works are, and which of
-several feeds a proxy listens to. Nothing here does I/O or knows how members agree."""
+"""Ownership of the fleet's background tasks: terms and leases, what the tasks are, and which member's feed a proxy reads.
+Free of I/O, and independent of the consensus protocol."""
--- a/threadhill/ownership/feeds.py
+++ b/threadhill/ownership/feeds.py
@@ -1,34 +1,34 @@
-"""Which of several feeds a proxy listens to, and which terms it still believes. Free of I/O."""
+"""Which member's feed a proxy reads, and which terms it still accepts. Free of I/O."""
 
 from __future__ import annotations
 
 import random
 
-Place = tuple[str, int]
+Address = tuple[str, int]
 
 
 class Feeds:
-    """The addresses of all members' feeds, in an order of this proxy's own."""
+    """The feed addresses of all members, in an order that depends on the proxy."""
 
-    def __init__(self, places: list[Place], seed: int) -> None:
-        self.places = list(places)
-        random.Random(seed ^ 0xFEED).shuffle(self.places)  # so that the fleet spreads over all members
-        self.at = 0
+    def __init__(self, addresses: list[Address], seed: int) -> None:
+        self.addresses = list(addresses)
+        random.Random(seed ^ 0xFEED).shuffle(self.addresses)  # spreads the fleet's proxies over all members
+        self.index = 0
 
-    def here(self) -> Place:
-        return self.places[self.at % len(self.places)]
+    def current(self) -> Address:
+        return self.addresses[self.index % len(self.addresses)]
 
-    def elsewhere(self) -> bool:
-        """The one here is no good: take the next. Whether all have been tried since the last that was good."""
-        self.at += 1
-        return self.at % len(self.places) == 0
+    def advance(self) -> bool:
+        """Move on from an unusable address to the next. Returns whether the index is back at the first one."""
+        self.index += 1
+        return self.index % len(self.addresses) == 0
 
-    def same(self, places: list[Place]) -> bool:
-        return sorted(self.places) == sorted(places)
+    def same_addresses(self, addresses: list[Address]) -> bool:
+        return sorted(self.addresses) == sorted(addresses)
 
 
 class Fence:
-    """The greatest term that was told: who speaks in an older one is no owner any more."""
+    """Rejects messages of terms older than the newest one seen: their sender is no longer the owner."""
 
     def __init__(self, term: int = 0) -> None:
         self.term = term
--- a/threadhill/ownership/terms.py
+++ b/threadhill/ownership/terms.py
@@ -1,9 +1,8 @@
-"""The register of ownership: what all members agreed on, changed only by agreed commands, in the same order at each of
-them.
+"""The ownership register: replicated state that only committed commands change, in the same order at each member.
 
-One term at a time, each number greater than any before. Whoever claims a term names the last renewal that it has seen:
-if there was another since, the owner lives and the claim is void. Whatever is written names its term, and what names
-another than the current one is refused here, at every member alike, however late it comes.
+There is one term at a time, and term numbers only grow. A claim names the last renewal that its sender has seen: if
+there was another since, the owner is alive and the claim is refused. Each write names its term; a write of any term but
+the current one is refused here, at every member alike, however late it arrives.
 """
 
 from __future__ import annotations
@@ -11,21 +10,21 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MEMBERS = 9  # at most
+MAX_MEMBERS = 9
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """Whether a command took effect, and why not."""
+class CommandOutcome:
+    """Whether a command took effect; if not, why."""
 
     ok: bool
-    why: str = ""
+    reason: str = ""
     term: int = 0
 
 
 @dataclass(slots=True)
 class Register:
-    """One installation's. `beat` counts renewals within a term; `heir`: who may take the next term without waiting."""
+    """One installation's register. `beat` counts renewals within a term; `heir` may claim the next term at once."""
 
     term: int = 0
     owner: str = ""
@@ -33,77 +32,81 @@
     heir: str = ""
     cause: str = ""  # of the last change of owner
     members: dict[str, dict[str, str]] = field(default_factory=dict)  # name -> its addresses: agree, api, feed
-    written: int = 0  # changes of the state so far
-    refused: int = 0  # commands of older terms
+    written: int = 0  # committed changes of the state
+    refused: int = 0  # commands refused because their term is over
 
     # --- commands
 
-    def claim(self, member: str, term: int, beat: int, cause: str) -> Verdict:
-        """Take the next term, having last seen this renewal of this term."""
+    def claim(self, member: str, term: int, beat: int, cause: str) -> CommandOutcome:
+        """Take the next term. `term` and `beat` are the last renewal that the claimant has seen."""
         if member not in self.members:
-            return Verdict(False, f"{member} is no member", self.term)
+            return CommandOutcome(False, f"{member} is no member", self.term)
         if (term, beat) != (self.term, self.beat):
-            return Verdict(False, f"{self.owner or 'nobody'} holds term {self.term} since", self.term)
+            return CommandOutcome(
+                False, f"the claim is out of date: {self.owner or 'nobody'} holds term {self.term}", self.term
+            )
         self.term, self.owner, self.beat, self.heir, self.cause = self.term + 1, member, 0, "", cause
-        return Verdict(True, term=self.term)
+        return CommandOutcome(True, term=self.term)
 
-    def renew(self, member: str, term: int) -> Verdict:
-        """The owner lives."""
-        verdict = self.current(member, term)
-        if verdict.ok:
+    def renew(self, member: str, term: int) -> CommandOutcome:
+        """Extend the owner's lease."""
+        outcome = self.check_owner(member, term)
+        if outcome.ok:
             self.beat += 1
-        return verdict
+        return outcome
 
-    def release(self, member: str, term: int, heir: str) -> Verdict:
-        """The owner gives up its term, for a certain member to take the next one at once."""
-        verdict = self.current(member, term)
-        if not verdict.ok:
-            return verdict
+    def release(self, member: str, term: int, heir: str) -> CommandOutcome:
+        """Give up the owner's term; `heir`, if any, may claim the next one at once."""
+        outcome = self.check_owner(member, term)
+        if not outcome.ok:
+            return outcome
         if heir and heir not in self.members:
-            return Verdict(False, f"{heir} is no member", self.term)
+            return CommandOutcome(False, f"{heir} is no member", self.term)
         self.beat, self.owner, self.heir = self.beat + 1, "", heir
-        return verdict
+        return outcome
 
-    def write(self, member: str, term: int) -> Verdict:
-        """Something is to be written in this term."""
-        verdict = self.current(member, term)
-        if verdict.ok:
+    def write(self, member: str, term: int) -> CommandOutcome:
+        """Admit and count a change of the state in this term."""
+        outcome = self.check_owner(member, term)
+        if outcome.ok:
             self.written += 1
-        return verdict
+        return outcome
 
-    def current(self, member: str, term: int) -> Verdict:
-        """Whether this member owns this term now."""
+    def check_owner(self, member: str, term: int) -> CommandOutcome:
+        """Whether this member owns this term now; counts a refusal."""
         if (member, term) == (self.owner, self.term) and term:
-            return Verdict(True, term=term)
+            return CommandOutcome(True, term=term)
         self.refused += 1
-        return Verdict(False, f"term {term} of {member} is over: {self.owner or 'nobody'} holds {self.term}", self.term)
-
-    def join(self, member: str, places: dict[str, str]) -> Verdict:
-        """A member, or one at another address."""
-        if member not in self.members and len(self.members) >= MEMBERS:
-            return Verdict(False, f"there are {MEMBERS} members", self.term)
+        return CommandOutcome(
+            False, f"term {term} of {member} is over: {self.owner or 'nobody'} holds term {self.term}", self.term
+        )
+
+    def join(self, member: str, addresses: dict[str, str]) -> CommandOutcome:
+        """Add a member, or change the addresses of one."""
+        if member not in self.members and len(self.members) >= MAX_MEMBERS:
+            return CommandOutcome(False, f"there are {MAX_MEMBERS} members, which is the most", self.term)
         taken = [
             name
             for name, other in self.members.items()
-            if name != member and set(other.values()) & set(places.values())
+            if name != member and set(other.values()) & set(addresses.values())
         ]
         if taken:
-            return Verdict(False, f"an address of {member} is {taken[0]}'s", self.term)
-        self.members[member] = places
-        return Verdict(True, term=self.term)
+            return CommandOutcome(False, f"an address of {member} is {taken[0]}'s", self.term)
+        self.members[member] = addresses
+        return CommandOutcome(True, term=self.term)
 
-    def leave(self, member: str) -> Verdict:
-        """A member less. The owner hands over first."""
+    def leave(self, member: str) -> CommandOutcome:
+        """Remove a member. An owner must release its term first."""
         if member not in self.members:
-            return Verdict(False, f"{member} is no member", self.term)
+            return CommandOutcome(False, f"{member} is no member", self.term)
         if member == self.owner:
-            return Verdict(False, f"{member} owns term {self.term}: hand over first", self.term)
+            return CommandOutcome(False, f"{member} owns term {self.term}: hand over first", self.term)
         if len(self.members) == 1:
-            return Verdict(False, "the last member stays", self.term)
+            return CommandOutcome(False, "the last member cannot be removed", self.term)
         del self.members[member]
-        return Verdict(True, term=self.term)
+        return CommandOutcome(True, term=self.term)
 
-    # --- for the log of agreed commands
+    # --- serialization, for images of the replicated state
 
     def document(self) -> dict[str, Any]:
         return {
@@ -118,5 +121,5 @@
         }
 
     @classmethod
-    def of(cls, raw: dict[str, Any]) -> Register:
+    def from_document(cls, raw: dict[str, Any]) -> Register:
         return cls(**raw)
--- a/threadhill/ownership/works.py
+++ b/threadhill/ownership/works.py
@@ -1,8 +1,8 @@
-"""The works that are done for the fleet: by whom, how far they are, and what happens if one is done twice. Free of I/O.
+"""The fleet's background tasks: which member runs each, its progress, and whether repeating it does harm. Free of I/O.
 
-All but one are the owner's. Snapshots are taken by the first other member that is up to date, so that the owner's disk
-is spared, and by the owner where it is alone. Each goes on from what is recorded, so that a new owner takes it up where
-it stands.
+The owner runs all but one. Snapshots are taken by the first up-to-date member that is not the owner, to spare the
+owner's disk, or by the owner if there is no other. Each task continues from recorded state, so a new owner resumes it
+where it stands.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 from dataclasses import dataclass
 from typing import Any
 
-ONCE, HARMLESS = "once", "harmless twice"
-LATE_APPLY_MS = 60_000  # an apply that confirms nothing for so long wants a look
-SNAPSHOT_EVERY_MS = 60_000
+ONCE, IDEMPOTENT = "once", "harmless twice"
+LATE_APPLY_MS = 60_000  # an apply that confirms no step for this long is shown as late
+SNAPSHOT_INTERVAL_MS = 60_000
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
-    """One of them, as it stands."""
+class Task:
+    """One background task and its progress."""
 
     name: str
     owner: str
-    effect: str  # once: its steps carry numbers of their own; or harmless twice
+    effect: str  # ONCE: its numbered steps take effect once; IDEMPOTENT: repeating it is harmless
     progress: str
-    due: int = 0  # Unix milliseconds by which it is to have gone on; 0: always
+    due: int = 0  # Unix milliseconds by which it should have made progress; 0: no deadline
 
     def document(self, now: int) -> dict[str, Any]:
         late = self.due and now > self.due
@@ -38,26 +38,27 @@
         }
 
 
-def snapshots_by(owner: str, fresh: Sequence[str]) -> str:
-    """Who takes snapshots: a member that is up to date and not the owner, if there is one."""
-    return next((name for name in sorted(fresh) if name != owner), owner)
+def snapshot_member(owner: str, up_to_date: Sequence[str]) -> str:
+    """The member that takes snapshots: one that is up to date and not the owner, if there is one."""
+    return next((name for name in sorted(up_to_date) if name != owner), owner)
 
 
-def works(
+def list_tasks(
     owner: str,
-    fresh: Sequence[str],
+    up_to_date: Sequence[str],
     apply: Mapping[str, Any] | None,
-    draining: int,
-    events: int,
-    oldest: int,
+    unconfirmed: int,
+    event_count: int,
+    oldest_event: int,
     snapshot_at: int,
     proxies: int,
-) -> list[Work]:
-    """All works: `apply` is the open one (number, done, steps, moved: when a step last did)."""
-    found = []
+) -> list[Task]:
+    """All background tasks. `apply` is the open apply: its number, steps done, steps in all, and when one was last
+    confirmed ("moved", in Unix milliseconds)."""
+    tasks = []
     if apply is not None:
-        found.append(
-            Work(
+        tasks.append(
+            Task(
                 f"apply {apply['number']}",
                 owner,
                 ONCE,
@@ -65,17 +66,17 @@
                 apply["moved"] + LATE_APPLY_MS,
             )
         )
-    found.append(Work("confirm drains and warm starts", owner, HARMLESS, f"{draining} servers to be confirmed"))
-    found.append(Work("retention", owner, HARMLESS, f"{events} events kept, from {oldest} on"))
-    by = snapshots_by(owner, fresh)
-    found.append(
-        Work(
+    tasks.append(Task("confirm drains and warm starts", owner, IDEMPOTENT, f"{unconfirmed} servers to be confirmed"))
+    tasks.append(Task("retention", owner, IDEMPOTENT, f"{event_count} events kept, from {oldest_event} on"))
+    member = snapshot_member(owner, up_to_date)
+    tasks.append(
+        Task(
             "snapshots",
-            by,
-            HARMLESS,
+            member,
+            IDEMPOTENT,
             "none yet" if not snapshot_at else "taken",
-            snapshot_at + 2 * SNAPSHOT_EVERY_MS if snapshot_at else 0,
+            snapshot_at + 2 * SNAPSHOT_INTERVAL_MS if snapshot_at else 0,
         )
     )
-    found.append(Work("knowledge", owner, HARMLESS, f"reports of {proxies} proxies"))
-    return found
+    tasks.append(Task("knowledge", owner, IDEMPOTENT, f"reports of {proxies} proxies"))
+    return tasks
