--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -22,7 +22,7 @@
 from benchmarks.trio import NAMES, Trio
 from tests.test_recovery import warmed
 from threadhill.control import client
-from threadhill.control.agreed import Machine, decode, encode
+from threadhill.control.agreed import StateMachine, decode, encode
 from threadhill.control.members_file import read
 from threadhill.control.store import Apply, Change, StepState, Version
 from threadhill.ownership.feeds import Feeds, Fence
@@ -147,35 +147,35 @@
 
 def test_a_log_that_is_read_again_and_an_image_write_nothing_twice(tmp_path: Path) -> None:
     log = commands(change(1), change(2), change(3, term=0), {"kind": "renew", "term": 1}, change(4))
-    first = Machine(tmp_path / "a", lambda event, **more: None)
-    told = [first.do(raw) for raw in log]
+    first = StateMachine(tmp_path / "a", lambda event, **more: None)
+    told = [first.apply(raw) for raw in log]
     assert [ok for ok, _, _ in told] == [True, True, True, True, False, True, True]
     assert [pos for pos, _ in first.sqlite.events(0, 9)] == [1, 2, 4] and first.register.refused == 1
-    image = pickle.loads(pickle.dumps(first.image()))
+    image = pickle.loads(pickle.dumps(first.dump_image()))
     first.sqlite.close()
-    again = Machine(tmp_path / "a", lambda event, **more: None)
+    again = StateMachine(tmp_path / "a", lambda event, **more: None)
     new: list[bool] = []
-    again.heard = lambda command, verdict, fresh: new.append(fresh)
-    assert [again.do(raw) for raw in log] == told and not any(new)
+    again.on_command = lambda command, verdict, fresh: new.append(fresh)
+    assert [again.apply(raw) for raw in log] == told and not any(new)
     assert [pos for pos, _ in again.sqlite.events(0, 9)] == [1, 2, 4] and again.register == first.register
-    other = Machine(tmp_path / "b", lambda event, **more: None)
-    other.load(image)
+    other = StateMachine(tmp_path / "b", lambda event, **more: None)
+    other.load_image(image)
     assert [pos for pos, _ in other.sqlite.events(0, 9)] == [1, 2, 4] and other.register == first.register
-    assert other.do(commands(change(5))[-1])[0] and other.sqlite.meta()["agreed"] == other.count == 8
+    assert other.apply(commands(change(5))[-1])[0] and other.sqlite.meta()["agreed"] == other.applied == 8
 
 
 def test_a_member_whose_disk_is_full_says_so_and_writes_no_more(tmp_path: Path) -> None:
     said: list[str] = []
-    machine = Machine(tmp_path, lambda event, **more: said.append(more["why"]))
+    machine = StateMachine(tmp_path, lambda event, **more: said.append(more["why"]))
     log = commands(change(1), change(2))
     for raw in log[:3]:
-        machine.do(raw)
+        machine.apply(raw)
     machine.sqlite.db.execute(f"PRAGMA max_page_count = {machine.sqlite.db.execute('PRAGMA page_count').fetchone()[0]}")
     big = change(2)
     big["change"]["events"][0][1] = "x" * 100_000
-    assert machine.do(commands(big)[-1])[0]  # it was agreed all the same
+    assert machine.apply(commands(big)[-1])[0]  # it was agreed all the same
     assert "can't be written" in machine.broken and said == [machine.broken]
-    machine.do(commands(change(3))[-1])
+    machine.apply(commands(change(3))[-1])
     assert [pos for pos, _ in machine.sqlite.events(0, 9)] == [1]
 
 
--- a/threadhill/control/agreed.py
+++ b/threadhill/control/agreed.py
@@ -1,9 +1,12 @@
-"""The state kept by a majority: one member's end of the agreement, and the `Store` on top of it.
+"""Replicated state: one member's end of the Raft group, and the `Store` on top of it.
 
-The engine is pysyncobj (Raft): it carries commands in one order to all members, keeps them in a log on each one's disk,
-and elects who orders them. What a command does is decided in ownership/terms.py and written to this member's own SQLite
-file, which is what the ledger reads. Commands are JSON; the engine's own messages are pickled, so it speaks only under
-the installation's secret: without it nothing that comes is unpickled (docs/ownership.md).
+pysyncobj implements Raft: it delivers commands to all members in one order, keeps them in a log on each member's disk,
+and elects the leader that orders them. ownership/terms.py decides what a command does; the result is written to this
+member's own SQLite file, which the ledger reads. Commands are JSON. pysyncobj pickles its own messages, so it encrypts
+them with the installation's secret: nothing that arrives without it is unpickled (docs/ownership.md).
+
+Pickled dumps and messages between members of different builds hold the names of this module, of `Replica`, `Image`,
+`Replica.do` and `Replica.image`.
 """
 
 from __future__ import annotations
@@ -28,12 +31,14 @@
 from threadhill.ownership.terms import CommandOutcome, Register
 from threadhill.plans.rules import Phase, Record
 
-ANSWER = 1.0  # seconds that a change may take to be agreed: less than a lease, which is not renewed meanwhile
-AGAIN = 0.05  # seconds until a command that found no leader, or lost it, is proposed again
-RECENT = 1_000  # commands remembered by their ids: one that is proposed twice has effect once
-LOG = 3_000  # commands in the log, or
-LOG_S = 600  # seconds, after which it is replaced by an image of the state
-IMAGE = "agreed.image"
+COMMIT_TIMEOUT = (
+    1.0  # seconds that a change may take to be committed: less than a lease, which is not renewed meanwhile
+)
+RETRY_INTERVAL = 0.05  # seconds until a command that found no leader, or lost it, is proposed again
+MAX_REMEMBERED = 1_000  # commands remembered by id, so that one that is proposed twice takes effect once
+LOG_COMPACTION_ENTRIES = 3_000  # the log is replaced by an image of the state after so many commands,
+LOG_COMPACTION_S = 600  # or after so many seconds
+IMAGE_FILE = "agreed.image"
 
 
 def encode(change: Change) -> dict[str, Any]:
@@ -68,36 +73,36 @@
     )
 
 
-class Machine:
-    """What agreed commands do, on this member: the register, and the file. Called from the engine's thread."""
+class StateMachine:
+    """Applies committed commands on this member: to the register, and to the SQLite file. Called from Raft's thread."""
 
     def __init__(self, folder: Path, log: Callable[..., None]) -> None:
         self.folder, self.log = folder, log
         self.lock = threading.RLock()
         self.sqlite = Sqlite(folder, threads=True)
         self.register = Register()
-        self.count = 0  # commands so far
-        self.recent: OrderedDict[str, tuple[bool, str, int]] = OrderedDict()  # id -> verdict
-        self.broken = ""  # why this member can't go on
-        self.heard: Callable[[dict[str, Any], CommandOutcome, bool], None] = lambda command, outcome, new: None
-        self.loaded: Callable[[], None] = lambda: None
-
-    def do(self, raw: bytes) -> tuple[bool, str, int]:
-        """One agreed command; the verdict is the same at every member."""
+        self.applied = 0  # commands applied so far
+        self.recent: OrderedDict[str, tuple[bool, str, int]] = OrderedDict()  # command id -> outcome
+        self.broken = ""  # why this member cannot continue; "": it can
+        self.on_command: Callable[[dict[str, Any], CommandOutcome, bool], None] = lambda command, outcome, new: None
+        self.on_image_loaded: Callable[[], None] = lambda: None
+
+    def apply(self, raw: bytes) -> tuple[bool, str, int]:
+        """Apply one committed command. The outcome is the same at every member."""
         with self.lock:
             command = orjson.loads(raw)
-            self.count += 1
+            self.applied += 1
             if command["id"] in self.recent:
                 return self.recent[command["id"]]
-            new = self.count > self.sqlite.meta().get("agreed", 0)  # else it is in the file: the log is read again
-            outcome = self._do(command)
-            told = self.recent[command["id"]] = outcome.ok, outcome.reason, outcome.term
-            if len(self.recent) > RECENT:
+            new = self.applied > self.sqlite.meta().get("agreed", 0)  # else the log is replayed, and the file has it
+            outcome = self._dispatch(command)
+            result = self.recent[command["id"]] = outcome.ok, outcome.reason, outcome.term
+            if len(self.recent) > MAX_REMEMBERED:
                 self.recent.popitem(last=False)
-            self.heard(command, outcome, new)
-            return told
+            self.on_command(command, outcome, new)
+            return result
 
-    def _do(self, command: dict[str, Any]) -> CommandOutcome:
+    def _dispatch(self, command: dict[str, Any]) -> CommandOutcome:
         register, by, term = self.register, command["by"], command.get("term", 0)
         match command["kind"]:
             case "claim":
@@ -110,26 +115,27 @@
                 return register.join(command["name"], command["places"])
             case "leave":
                 return register.leave(command["name"])
-            case "lead":  # the engine's matter alone: who removes a member must order commands
+            case "lead":  # changes only Raft's leader: the member that removes another must be the leader
                 return CommandOutcome(True, term=register.term)
             case "seed":
                 if register.written:
-                    return CommandOutcome(False, "there is a state already", register.term)
+                    return CommandOutcome(False, "the members hold a state already", register.term)
                 outcome = register.write(by, term)
                 if outcome.ok:
-                    self._write(lambda: self._replace(base64.b64decode(command["store"])), seed=True)
+                    self._write_once(lambda: self._replace_store(base64.b64decode(command["store"])), seed=True)
                 return outcome
         outcome = register.write(by, term)
         if outcome.ok:
             change = decode(command["change"])
-            change.meta = {**change.meta, "agreed": self.count}
-            self._write(lambda: self.sqlite.commit(change))
+            change.meta = {**change.meta, "agreed": self.applied}
+            self._write_once(lambda: self.sqlite.commit(change))
         return outcome
 
-    def _write(self, write: Callable[[], None], seed: bool = False) -> None:
-        """Write what was agreed, unless this file has it. A member that can't can't go on: the others do."""
+    def _write_once(self, write: Callable[[], None], seed: bool = False) -> None:
+        """Write a committed command's effect unless the file has it. After a failed write this member stops; the others
+        continue."""
         meta = self.sqlite.meta()
-        if self.broken or self.count <= meta.get("agreed", 0):
+        if self.broken or self.applied <= meta.get("agreed", 0):
             return
         if not seed and meta["pos"] and "agreed" not in meta:
             self.broken = (
@@ -141,34 +147,34 @@
         try:
             write()
         except (Unwritable, OSError) as error:
-            self.broken = f"what was agreed can't be written: {error}"
+            self.broken = f"a committed change can't be written: {error}"
             self.log("member broken", why=self.broken)
 
-    # --- images of the whole state, for members that are far behind and in place of a long log
+    # --- images of the whole state, for members that are far behind and to replace a long log
 
     def image(self) -> dict[str, Any]:
         with self.lock:
-            path = self.folder / IMAGE
+            path = self.folder / IMAGE_FILE
             self.sqlite.snapshot(path)
             raw = path.read_bytes()
             path.unlink()
             return {
                 "register": self.register.document(),
-                "count": self.count,
+                "count": self.applied,
                 "store": raw,
                 "recent": list(self.recent.items()),
             }
 
     def load(self, image: dict[str, Any]) -> None:
-        """Take an image over; the file only where the image knows more than it."""
+        """Take over an image; the file is replaced only if the image is ahead of it."""
         with self.lock:
-            self.register, self.count = Register.from_document(image["register"]), image["count"]
+            self.register, self.applied = Register.from_document(image["register"]), image["count"]
             self.recent = OrderedDict(image["recent"])
             if image["count"] > self.sqlite.meta().get("agreed", 0):
-                self._replace(image["store"])
-        self.loaded()
+                self._replace_store(image["store"])
+        self.on_image_loaded()
 
-    def _replace(self, raw: bytes) -> None:
+    def _replace_store(self, raw: bytes) -> None:
         part = self.folder / f"{NAME}.part"
         part.write_bytes(raw)
         self.sqlite.close()
@@ -176,64 +182,64 @@
             (self.folder / name).unlink(missing_ok=True)
         os.replace(part, self.folder / NAME)
         self.sqlite = Sqlite(self.folder, threads=True)
-        self.sqlite.commit(Change(meta={"agreed": self.count}))
+        self.sqlite.commit(Change(meta={"agreed": self.applied}))
 
 
 class Image:
-    """Stands for the state in the engine's dumps."""
+    """Stands for the state in pysyncobj's dumps."""
 
-    def __init__(self, machine: Machine) -> None:
-        self.machine: Machine | None = machine
+    def __init__(self, machine: StateMachine) -> None:
+        self.machine: StateMachine | None = machine
         self.state: dict[str, Any] = {}
 
     def __getstate__(self) -> dict[str, Any]:
-        return self.machine.image()
+        return self.machine.dump_image()
 
     def __setstate__(self, state: dict[str, Any]) -> None:
         self.machine, self.state = None, state
 
 
 class Replica(SyncObj):
-    """The engine, with one command."""
+    """The Raft node, with one replicated method."""
 
-    def __init__(self, me: str, others: list[str], conf: SyncObjConf, machine: Machine) -> None:
+    def __init__(self, me: str, others: list[str], conf: SyncObjConf, machine: StateMachine) -> None:
         self.machine = machine
-        self.own: Image | None = None  # set before the engine's own: not part of its dumps
+        self.own_image: Image | None = None  # set before SyncObj.__init__, so that dumps leave it out
         super().__init__(me, others, conf)
-        self.image = self.own = Image(machine)
-        self.addOnTickCallback(self._look)
+        self.image = self.own_image = Image(machine)
+        self.addOnTickCallback(self._load_received_image)
 
-    def _look(self) -> None:
-        """Whether an image came in place of the log, at the start or from another member."""
-        if self.image is not self.own and self.image.machine is None:
-            state, self.image = self.image.state, self.own
-            self.machine.load(state)
+    def _load_received_image(self) -> None:
+        """Load the image that replaced the log, if one came: from the disk at the start, or from another member."""
+        if self.image is not self.own_image and self.image.machine is None:
+            state, self.image = self.image.state, self.own_image
+            self.machine.load_image(state)
 
     @replicated
     def do(self, raw: bytes) -> tuple[bool, str, int]:
-        self._look()
-        return self.machine.do(raw)
+        self._load_received_image()
+        return self.machine.apply(raw)
 
 
-class Agreement:
-    """One member: proposes commands, and hears of all that were agreed."""
+class Consensus:
+    """One member's access to the Raft group: proposes commands, and is told of all that were committed."""
 
     def __init__(
-        self, folder: Path, name: str, agree: str, others: list[str], secret: str, log: Callable[..., None]
+        self, folder: Path, name: str, address: str, others: list[str], secret: str, log: Callable[..., None]
     ) -> None:
         self.name = name
         folder.mkdir(parents=True, exist_ok=True)
-        self.machine = Machine(folder, log)
-        self._waiting: dict[str, bool] = {}  # own commands whose answer is awaited -> whether they were agreed
-        self.machine.heard = self._heard
-        self._told: Callable[[dict[str, Any], CommandOutcome, bool], None] = lambda command, outcome, new: None
-        self._agree, self._others = agree, others
+        self.machine = StateMachine(folder, log)
+        self._pending: dict[str, bool] = {}  # own commands whose answer is awaited -> whether they were committed
+        self.machine.on_command = self._command_applied
+        self._on_command: Callable[[dict[str, Any], CommandOutcome, bool], None] = lambda command, outcome, new: None
+        self._address, self._others = address, others
         self._conf = SyncObjConf(
             password=secret,
             journalFile=str(folder / "agreed.journal"),
             fullDumpFile=str(folder / "agreed.dump"),
-            logCompactionMinEntries=LOG,
-            logCompactionMinTime=LOG_S,
+            logCompactionMinEntries=LOG_COMPACTION_ENTRIES,
+            logCompactionMinTime=LOG_COMPACTION_S,
             useFork=False,
             autoTickPeriod=0.02,
             appendEntriesPeriod=0.05,
@@ -244,7 +250,7 @@
             commandsWaitLeader=False,
             dynamicMembershipChange=True,
             leaderFallbackTimeout=1.5,
-            bindAddress=agree,
+            bindAddress=address,
         )
         self.replica: Replica | None = None
 
@@ -252,53 +258,56 @@
     def register(self) -> Register:
         return self.machine.register
 
-    def start(self, told: Callable[[dict[str, Any], CommandOutcome, bool], None], loaded: Callable[[], None]) -> None:
-        """Begin. `told` hears of each command and whether its change is new to this member's file, but for changes that
-        `propose` waits for; `loaded`, that the whole state was replaced. Both from the engine's thread."""
-        self._told, self.machine.loaded = told, loaded
-        self.replica = Replica(self._agree, self._others, self._conf, self.machine)
-
-    def _heard(self, command: dict[str, Any], outcome: CommandOutcome, new: bool) -> None:
-        if command["id"] in self._waiting:
-            self._waiting[command["id"]] = True
+    def start(
+        self, on_command: Callable[[dict[str, Any], CommandOutcome, bool], None], on_image_loaded: Callable[[], None]
+    ) -> None:
+        """Join the group. `on_command` gets each committed command and whether its change is new to this member's file,
+        except changes that `propose` waits for; `on_image_loaded` is called when the whole state was replaced. Both are
+        called from Raft's thread."""
+        self._on_command, self.machine.on_image_loaded = on_command, on_image_loaded
+        self.replica = Replica(self._address, self._others, self._conf, self.machine)
+
+    def _command_applied(self, command: dict[str, Any], outcome: CommandOutcome, new: bool) -> None:
+        if command["id"] in self._pending:
+            self._pending[command["id"]] = True
             if command["kind"] == "change":
-                return  # who waits for it takes it up itself
-        self._told(command, outcome, new)
+                return  # the caller of `propose` takes it up itself
+        self._on_command(command, outcome, new)
 
     def _command(self, kind: str, **more: Any) -> dict[str, Any]:
         return {"id": uuid.uuid4().hex, "by": self.name, "kind": kind, **more}
 
     def send(self, kind: str, **more: Any) -> str:
-        """Propose without waiting; the command's id, under which it is told once it was agreed. It may never be."""
+        """Propose without waiting. Returns the command's id, which `on_command` gets once it is committed, if ever."""
         command = self._command(kind, **more)
         with suppress(SyncObjException):
             self.replica.do(orjson.dumps(command), callback=lambda result, error: None)
         return command["id"]
 
     def propose(self, kind: str, **more: Any) -> CommandOutcome:
-        """Propose and wait. Unwritable where no majority agreed in time, or where it had no effect."""
+        """Propose and wait. Raises Unwritable if no majority agreed in time, or if the command was refused."""
         command = self._command(kind, **more)
         id = command["id"]
-        self._waiting[id] = False
-        raw, end, result = orjson.dumps(command), time.monotonic() + ANSWER, None
+        self._pending[id] = False
+        raw, end, result = orjson.dumps(command), time.monotonic() + COMMIT_TIMEOUT, None
         while result is None:
             left = end - time.monotonic()
             try:
                 result = self.replica.do(raw, sync=True, timeout=max(0.05, left))
             except SyncObjException as error:
-                if left > 2 * AGAIN:  # an election: the same command once more, which has effect once
-                    time.sleep(AGAIN)
+                if left > 2 * RETRY_INTERVAL:  # an election: retry; a repeated command takes effect once
+                    time.sleep(RETRY_INTERVAL)
                     continue
                 with self.machine.lock:
-                    agreed = self._waiting.pop(id)
-                    result = self.machine.recent.get(id) if agreed else None
-                if result is not None:  # it was agreed as the time ran out
+                    committed = self._pending.pop(id)
+                    result = self.machine.recent.get(id) if committed else None
+                if result is not None:  # it was committed just as the time ran out
                     break
                 raise Unwritable(
-                    f"no majority agreed in {ANSWER:g} s ({error.errorCode}): whether it will is not "
-                    "known; look again"
+                    f"no majority agreed in {COMMIT_TIMEOUT:g} s ({error.errorCode}): the change may still take "
+                    "effect; check the state before trying again"
                 ) from None
-        self._waiting.pop(id, None)
+        self._pending.pop(id, None)
         outcome = CommandOutcome(*result)
         if not outcome.ok:
             raise Unwritable(outcome.reason)
@@ -306,27 +315,27 @@
             raise Unwritable(self.machine.broken)
         return outcome
 
-    def count(self, agree: str, more: bool) -> None:
-        """Let the engine count one member more, or one less. Only who orders commands now can; the others leave it to
-        that one. Where it is lost in an election, saying it again does no harm."""
-        if self.orders():
-            (self.replica.addNodeToCluster if more else self.replica.removeNodeFromCluster)(agree)
+    def change_membership(self, address: str, add: bool) -> None:
+        """Add a node to the Raft group, or remove one. Only the leader does this; elsewhere the call does nothing. If
+        the change is lost in an election, repeating it does no harm."""
+        if self.is_leader():
+            (self.replica.addNodeToCluster if add else self.replica.removeNodeFromCluster)(address)
 
-    def orders(self) -> bool:
-        """Whether this member orders commands now."""
+    def is_leader(self) -> bool:
+        """Whether this member is Raft's leader now."""
         return self.replica._isLeader()
 
-    def give_order(self, agree: str) -> None:
-        """Let the member at this address order commands, where this one does."""
-        if self.orders() and self.counted(agree):
-            self.replica.transferLeadership(agree)
+    def transfer_leadership(self, address: str) -> None:
+        """If this member is the leader, let the one at this address become it."""
+        if self.is_leader() and self.has_peer(address):
+            self.replica.transferLeadership(address)
 
-    def counted(self, agree: str) -> bool:
-        """Whether the engine counts the member at this address."""
-        return agree in {node.address for node in self.replica.otherNodes}
+    def has_peer(self, address: str) -> bool:
+        """Whether the member at this address belongs to the Raft group."""
+        return address in {node.address for node in self.replica.otherNodes}
 
-    def ready(self) -> bool:
-        """Whether this member has caught up with what was agreed when it came."""
+    def is_ready(self) -> bool:
+        """Whether this member has caught up with the commands committed when it joined."""
         return self.replica is not None and self.replica.isReady()
 
     def close(self) -> None:
@@ -339,16 +348,16 @@
             self.machine.sqlite.close()
 
 
-class AgreedStore:
-    """The `Store` of a member: written by agreement in the owner's term, read from this member's file."""
+class ReplicatedStore:
+    """The `Store` of a member: written through Raft in the owner's term, read from this member's file."""
 
-    def __init__(self, agreement: Agreement, term: Callable[[], int]) -> None:
-        self.agreement, self._term = agreement, term
+    def __init__(self, consensus: Consensus, term: Callable[[], int]) -> None:
+        self.consensus, self._term = consensus, term
 
-    def _read(self, call: Callable[[Sqlite], Any]) -> Any:
-        machine = self.agreement.machine
+    def _read(self, query: Callable[[Sqlite], Any]) -> Any:
+        machine = self.consensus.machine
         with machine.lock:
-            return call(machine.sqlite)
+            return query(machine.sqlite)
 
     def meta(self) -> dict[str, int]:
         return self._read(lambda db: db.meta())
@@ -380,11 +389,11 @@
     def commit(self, change: Change) -> None:
         term = self._term()
         if not term:
-            raise Unwritable("this member owns nothing now: nothing was changed")
-        self.agreement.propose("change", term=term, change=encode(change))
+            raise Unwritable("this member is not the owner now: nothing was changed")
+        self.consensus.propose("change", term=term, change=encode(change))
 
     def snapshot(self, path: Path) -> None:
         self._read(lambda db: db.snapshot(path))
 
     def close(self) -> None:
-        self.agreement.close()
+        self.consensus.close()
--- a/threadhill/control/api.py
+++ b/threadhill/control/api.py
@@ -34,7 +34,7 @@
 from threadhill.stats import Stats
 
 if TYPE_CHECKING:
-    from threadhill.control.council import Council
+    from threadhill.control.council import Cluster
 
 PAGE = 50
 OWNERS = (["observed"], ["recovery"], ["works"])  # what only the owner can tell
@@ -63,11 +63,11 @@
         log: Callable[..., None] = lambda event, **more: None,
         adoption: Adoption | None = None,
         recovery: Callable[[], dict[str, Any]] = dict,
-        council: Council | None = None,
+        cluster: Cluster | None = None,
         works: Callable[[], list[dict[str, Any]]] = list,
         report: Callable[[dict[str, Any]], bool] = lambda raw: False,
     ) -> None:
-        self.council, self._works, self._report = council, works, report
+        self.cluster, self._works, self._report = cluster, works, report
         self.ledger, self.stats, self._now, self._log = ledger, stats, now, log
         self.adoption, self._recovery = adoption, recovery
 
@@ -84,8 +84,8 @@
             raise Problem(405, "method-not-allowed", f"{call.method} is not for {call.path}", ", ".join(methods))
         try:
             # What proxies report goes to the owner; all else can be read at any member, with how old it may be.
-            if self.council is not None and (call.method == "POST" or path[1:] in OWNERS):
-                self.council.must_own()
+            if self.cluster is not None and (call.method == "POST" or path[1:] in OWNERS):
+                self.cluster.require_ownership()
             return methods[call.method](call)
         except Refused as error:
             raise Problem(CODES[error.code], error.code, str(error), **error.more) from None
@@ -101,13 +101,13 @@
                 return {"GET": lambda call: (200, ledger.observed(self._now()))}
             case ["stats"]:
                 return {"GET": lambda call: (200, self.stats.table())}
-            case ["members"] if self.council is not None:
-                return {"GET": lambda call: (200, self.council.document()), "POST": self._join}
-            case ["members", name, "remove"] if self.council is not None:
+            case ["members"] if self.cluster is not None:
+                return {"GET": lambda call: (200, self.cluster.document()), "POST": self._join}
+            case ["members", name, "remove"] if self.cluster is not None:
                 return {"POST": lambda call: self._leave(name)}
-            case ["owner", "hand-over"] if self.council is not None:
+            case ["owner", "hand-over"] if self.cluster is not None:
                 return {"POST": self._hand_over}
-            case ["reports"] if self.council is not None:
+            case ["reports"] if self.cluster is not None:
                 return {"POST": self._reports}
             case ["works"]:
                 return {"GET": lambda call: (200, {"works": self._works()})}
@@ -137,17 +137,17 @@
             member = Member.model_validate({key: body[key] for key in ("name", "agree", "api", "feed")})
         except ValueError as error:
             raise Problem(422, "invalid", str(error)) from None
-        self.council.add(member.name, member.places)
+        self.cluster.add_member(member.name, member.places)
         return 200, {"added": member.name}
 
     def _leave(self, name: str) -> tuple[int, Any]:
-        self.council.remove(name)
+        self.cluster.remove_member(name)
         return 200, {"removed": name}
 
     def _hand_over(self, call: Call) -> tuple[int, Any]:
         to = _body(call, to=str)["to"]
-        self.council.hand_over(to)
-        return 200, {"released": self.council.name, "to": to}
+        self.cluster.hand_over(to)
+        return 200, {"released": self.cluster.name, "to": to}
 
     def _reports(self, call: Call) -> tuple[int, Any]:
         raw = call.json()
@@ -165,9 +165,9 @@
 
     def _as_of(self) -> dict[str, Any]:
         """How old what is read here may be: another member may know more by now."""
-        if self.council is None:
+        if self.cluster is None:
             return {}
-        told = self.council.document()
+        told = self.cluster.document()
         return {"member": told["member"], "owner": told["owner"], "as_of_ms": told["as_of_ms"], "fresh": told["fresh"]}
 
     def _versions(self, query: str) -> tuple[int, Any]:
--- a/threadhill/control/feed.py
+++ b/threadhill/control/feed.py
@@ -17,7 +17,7 @@
 from threadhill.settings import Malformed
 
 if TYPE_CHECKING:
-    from threadhill.control.council import Council
+    from threadhill.control.council import Cluster
 
 LINE = 64 << 10  # bytes of a line of a proxy at most: a report names some hundred servers
 OUTBOUND = 8 << 20  # bytes that may wait: the whole list of a large installation, at once
@@ -60,11 +60,11 @@
         last = int(number)
         if last - self.feed.ledger.pos > AHEAD:
             raise ValueError("tail is far beyond the last number")
-        council = self.feed.council
-        if council is not None and not council.fresh():
+        cluster = self.feed.cluster
+        if cluster is not None and not cluster.up_to_date():
             self.close()  # it may miss what the others know: another member is asked
             return
-        known = council is not None or self.feed.adoption.named(last, self.feed.now())
+        known = cluster is not None or self.feed.adoption.named(last, self.feed.now())
         if known and last < self.feed.ledger.known_to:
             later = self.feed.later(self)
             if later:
@@ -88,8 +88,8 @@
         told = raw.get("recovery")
         if not isinstance(told, dict):
             return
-        if self.feed.council is not None and self.term != self.feed.council.register.term:
-            self.term = self.feed.council.register.term
+        if self.feed.cluster is not None and self.term != self.feed.cluster.register.term:
+            self.term = self.feed.cluster.register.term
             self.write(b'{"term":%d}\n' % self.term)
         if self.feed.adoption.on and not self.asked:
             self.asked = self.write(b'{"ask":"holds"}\n')
@@ -115,7 +115,7 @@
         level = (
             self.feed.adoption.on
             or self.cursor is not None
-            and (self.cursor >= known if self.feed.council is None else self.cursor == known)
+            and (self.cursor >= known if self.feed.cluster is None else self.cursor == known)
         )
         if self.cursor is not None and level and not self.slow:
             self.write(b"%d\n" % self.cursor)
@@ -135,10 +135,10 @@
         hint: Callable[[str], dict[str, Any] | None],
         adoption: Adoption,
         now: Callable[[], int],
-        council: Council | None = None,
+        cluster: Cluster | None = None,
     ) -> None:
         self.ledger, self.reported, self.hint = ledger, reported, hint
-        self.adoption, self.now, self.council = adoption, now, council
+        self.adoption, self.now, self.cluster = adoption, now, cluster
         self._lesson: tuple[object, bytes | None] = (None, None)
         self.pace = Pace()
         self.door = door_for(lambda door: FeedGuest(door, self))
@@ -173,7 +173,7 @@
         return self.pace.later(waiting, self.now())
 
     def _beat(self) -> None:
-        fresh = self.council is None or self.council.fresh()
+        fresh = self.cluster is None or self.cluster.up_to_date()
         for guest in list(self.door.guests):
             if fresh:
                 guest.beat()
--- a/threadhill/control/server.py
+++ b/threadhill/control/server.py
@@ -33,7 +33,7 @@
 from threadhill.recovery.phases import FleetPhases
 
 if TYPE_CHECKING:  # imported where it is one of several: the engine loads much
-    from threadhill.control.council import Council
+    from threadhill.control.council import Cluster
     from threadhill.control.members_file import MembersFile
 
 TICK = 100_000  # microseconds between looks at what time and reports have confirmed
@@ -77,13 +77,13 @@
     def __init__(self, places: Places, log: Any) -> None:
         self.places, self.log = places, log
         self.turns = Turns(Log(time.monotonic), continued_clock(places.data, log.warning))
-        self.council: Council | None = None
+        self.cluster: Cluster | None = None
         if places.members is not None:
-            from threadhill.control.agreed import AgreedStore
-            from threadhill.control.council import Council
+            from threadhill.control.agreed import ReplicatedStore
+            from threadhill.control.council import Cluster
 
-            self.council = Council(places.data, *places.members, places.member, places.token, log.warning)
-            self.store: Store = AgreedStore(self.council.agreement, self.council.term)
+            self.cluster = Cluster(places.data, *places.members, places.member, places.token, log.warning)
+            self.store: Store = ReplicatedStore(self.cluster.consensus, self.cluster.owned_term)
         else:
             self.store = open_or_set_aside(places.data, log.warning) if places.adopt else Sqlite(places.data)
         self.ledger = Ledger(self.store, self._published)
@@ -99,7 +99,7 @@
             lambda proxy: self.knowledge.hint(proxy, self.now()),
             self.adoption,
             self.now,
-            self.council,
+            self.cluster,
         )
         self.api = ControlApi(
             self.ledger,
@@ -108,7 +108,7 @@
             log.info,
             self.adoption,
             self.recovery,
-            self.council,
+            self.cluster,
             self.works,
             self._report,
         )
@@ -133,9 +133,9 @@
         feed = await self.feed.door.listen(*self.places.feed)
         api = await self.door.listen(*self.places.api)
         self.feed_address = f"{self.places.feed[0]}:{feed}"
-        if self.council is not None:
-            self.council.changed, self.council.reloaded = self._foreign, self._reloaded
-            self.council.start()
+        if self.cluster is not None:
+            self.cluster.on_change, self.cluster.on_reload = self._foreign, self._reloaded
+            self.cluster.start()
         else:
             self.adoption.named(self._filed(), self.now())
         self._write()
@@ -150,8 +150,8 @@
         )
         await self.done.wait()
         self.log.info("stopping", pos=self.ledger.pos)
-        if self.council is not None:
-            await self.council.close()
+        if self.cluster is not None:
+            await self.cluster.close()
         self.store.close()
 
     def _published(self) -> None:
@@ -163,7 +163,7 @@
     @property
     def owns(self) -> bool:
         """Whether what is done for the fleet is this control plane's to do."""
-        return self.council is None or bool(self.council.term())
+        return self.cluster is None or bool(self.cluster.owned_term())
 
     def _foreign(self, change: Change) -> None:
         """Another member's change was agreed."""
@@ -193,19 +193,19 @@
                         steps=told["steps"],
                         halted=told["halted"] or None,
                     )
-            if not self.council.agreement.register.written and self.ledger.pos:
+            if not self.cluster.consensus.register.written and self.ledger.pos:
                 self._seed()
         due = self.now() - self._snapshot_at >= SNAPSHOT_INTERVAL_MS
-        mine = snapshot_member(self.council.register.owner, self._fresh()) == self.council.name
+        mine = snapshot_member(self.cluster.register.owner, self._fresh()) == self.cluster.name
         if due and mine and self._snapping is None:
             self._snapping = asyncio.create_task(self._snap())
 
     def _fresh(self) -> list[str]:
         """Members that are up to date, as far as this one knows: itself, and the owner."""
-        council = self.council
-        if council is None:
+        cluster = self.cluster
+        if cluster is None:
             return [""]
-        return sorted({council.register.owner, *([council.name] if council.fresh() else [])} - {""})
+        return sorted({cluster.register.owner, *([cluster.name] if cluster.up_to_date() else [])} - {""})
 
     def _seed(self) -> None:
         """The state that this member had when it was alone becomes everybody's."""
@@ -213,7 +213,7 @@
         self.store.snapshot(path)
         raw = base64.b64encode(path.read_bytes()).decode()
         path.unlink()
-        self.council.agreement.propose("seed", term=self.council.term(), store=raw)
+        self.cluster.consensus.propose("seed", term=self.cluster.owned_term(), store=raw)
         self.log.warning("state seeded", pos=self.ledger.pos, version=self.ledger.meta["version"])
 
     async def _snap(self) -> None:
@@ -241,7 +241,7 @@
             else None
         )
         waits = sum(record.phase in (Phase.DRAINING, Phase.COLD) for record in ledger.fleet.records.values())
-        owner = self.council.register.owner if self.council is not None else "this one"
+        owner = self.cluster.register.owner if self.cluster is not None else "this one"
         found = list_tasks(
             owner,
             self._fresh(),
@@ -257,7 +257,7 @@
     def _report(self, raw: dict[str, Any]) -> bool:
         """Take a proxy's report; whether it says what it knows of the fleet."""
         if not self.owns:
-            self.council.report(raw)
+            self.cluster.queue_report(raw)
         name = raw.get("proxy")
         live = self.ledger.members.live(name, self.now()) if isinstance(name, str) else True
         if self.ledger.members.report(raw, self.now()) is not None and not live:
@@ -271,11 +271,11 @@
         try:
             for record, note in self.ledger.tick(self.now()) if self.owns else ():
                 self.log.info("confirmed", resource=record.id, phase=record.phase.value, note=note)
-            if self.council is not None:
+            if self.cluster is not None:
                 self._work()
         except (Unwritable, Refused) as error:
             self.log.error("not written", error=str(error))
-        if self.council is not None and self.council.agreement.machine.broken:
+        if self.cluster is not None and self.cluster.consensus.machine.broken:
             self.done.set()
         proxies = self.ledger.fleet.proxies
         if self.owns:
@@ -344,8 +344,8 @@
                 if config is None:
                     continue
                 config |= {"journal": self.feed_address, "seed": os.urandom(8).hex()}
-                if self.council is not None:
-                    config["journals"] = sorted(m["feed"] for m in self.council.register.members.values())
+                if self.cluster is not None:
+                    config["journals"] = sorted(m["feed"] for m in self.cluster.register.members.values())
                 part = folder / f".{name}.json.part"
                 part.write_bytes(orjson.dumps(config))
                 os.replace(part, folder / f"{name}.json")
