--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -22,9 +22,9 @@
 from tests.test_plans import BASE, OTHER, read
 from threadhill.control import client, sqlite
 from threadhill.control.adoption import Adoption
-from threadhill.control.ledger import LEASE, Ledger, Refused
+from threadhill.control.ledger import LEASE_MS, Ledger, Refused
 from threadhill.control.sqlite import Sqlite
-from threadhill.control.store import Change, Damaged, Unwritable
+from threadhill.control.store import Change, StoreDamaged, WriteFailed
 from threadhill.plans import planner, saved
 from threadhill.plans.planner import Observed
 
@@ -77,11 +77,11 @@
             if name in self.cut:
                 continue
             record = self.ledger.fleet.records.get(f"proxy.{name}")
-            for pos, line in self.ledger.lines(self.applied.get(name, 0)):
+            for pos, line in self.ledger.events_after(self.applied.get(name, 0)):
                 assert self.events.setdefault(pos, line) == line, f"event {pos} was told as two things"
                 self.applied[name] = pos
             config = record.attrs["config"] if record else "none"
-            self.ledger.members.report(
+            self.ledger.proxy_reports.take(
                 {
                     "proxy": name,
                     "applied": self.applied.get(name, 0),
@@ -156,11 +156,11 @@
                         assert (state != "left") == bool(seen[by_id[id]]), (n, after, id, state)
                 left = {s.id for s in planner.plan(read(changed, boxes=5), plane.ledger.fleet.records.values()).steps}
                 assert left == {id for id, state in told["steps"].items() if state == "left"}
-                plane.now += LEASE + 1
+                plane.now += LEASE_MS + 1
                 assert plane.finish(plane.ledger.resume(told["apply"], "two", plane.now))["state"] == "done"
             elif plane.ledger.meta["version"] == 1:  # killed before it began
                 plane.apply(changed, boxes=5)
-            assert not plane.plan(changed, boxes=5)["steps"] and plane.ledger.open is None
+            assert not plane.plan(changed, boxes=5)["steps"] and plane.ledger.open_apply is None
             assert effects(plane, start) == effects(reference, start), (n, after)
             plane.store.close()
 
@@ -214,13 +214,13 @@
     plane.turn(one)
     refused("leased", plane.ledger.resume, one.number, "two", plane.now)
     refused("leased", plane.ledger.abandon, one.number, "two", plane.now)
-    plane.now += LEASE + 1
+    plane.now += LEASE_MS + 1
     two = plane.ledger.resume(one.number, "two", plane.now)
-    before = plane.ledger.pos, dict(plane.ledger.states)
+    before = plane.ledger.pos, dict(plane.ledger.step_states)
     for _ in range(30):
         plane.now += 1_000  # long enough for the next step to be due
         refused("lease-lost", plane.ledger.advance, one.number, one.token, plane.now)
-    assert before == (plane.ledger.pos, plane.ledger.states)
+    assert before == (plane.ledger.pos, plane.ledger.step_states)
     assert plane.finish(two)["state"] == "done"
     refused("not-open", plane.ledger.advance, two.number, two.token, plane.now)
     refused("conflict", plane.begin, other)
@@ -238,7 +238,7 @@
     forged = {k: v for k, v in json.loads(raw).items() if k != "digest"}
     forged["steps"] = forged["steps"][1:]  # well formed, with a digest that fits, and not what its files lead to
     refused("bad-plan", plane.begin, forged | {"digest": planner.digest(forged)})
-    assert plane.ledger.open is None and plane.ledger.meta["version"] == 1
+    assert plane.ledger.open_apply is None and plane.ledger.meta["version"] == 1
     plane.apply(boxes=4)
     refused("conflict", plane.begin, plan)
     plane.finish(plane.begin(plane.plan(boxes=5)))
@@ -298,7 +298,7 @@
         plane.ledger.advance(apply.number, apply.token, plane.now)
         for name in plane.names:
             config = plane.ledger.fleet.records[f"proxy.{name}"].attrs["config"]
-            plane.ledger.members.report({"proxy": name, "applied": stuck[name], "config": config}, plane.now)
+            plane.ledger.proxy_reports.take({"proxy": name, "applied": stuck[name], "config": config}, plane.now)
         plane.now += 200
     assert plane.ledger.fleet.records["box.costa-3"].phase.value == "draining"
     assert plane.finish(apply)["state"] == "done"
@@ -395,12 +395,12 @@
     sqlite.restore(tmp_path / "b", tmp_path / "snapshot")
     other = Plane(tmp_path / "b")
     adoption = Adoption(other.ledger, lambda event, **more: None)
-    assert adoption.named(other.ledger.known_to, other.now) and not adoption.named(seen + 50, other.now)
-    assert other.ledger.lines(0) == other.ledger.lines(seen + 50) == []  # nobody is told anything, until:
+    assert adoption.named(other.ledger.newest_event, other.now) and not adoption.named(seen + 50, other.now)
+    assert other.ledger.events_after(0) == other.ledger.events_after(seen + 50) == []  # nobody is told anything, until:
     refused("held", other.begin, other.plan(boxes=5))
     refused("conflict", adoption.as_recorded, "00000000", other.now)
     adoption.as_recorded(adoption.proposal().digest(), other.now)
-    ((pos, line),) = other.ledger.lines(seen + 50)
+    ((pos, line),) = other.ledger.events_after(seen + 50)
     assert pos == seen + 51 and json.loads(line)["hosts"]["complete"]
     assert len(json.loads(line)["hosts"]["members"]) == 6
 
@@ -410,9 +410,9 @@
     plane.apply()
     plane.store.commit(Change(forget_events=4))
     plane.ledger = Ledger(plane.store)
-    ((pos, line),) = plane.ledger.lines(2)
+    ((pos, line),) = plane.ledger.events_after(2)
     assert pos == plane.ledger.pos and json.loads(line)["hosts"]["complete"]
-    assert [p for p, _ in plane.ledger.lines(4)] == list(range(5, plane.ledger.pos + 1))
+    assert [p for p, _ in plane.ledger.events_after(4)] == list(range(5, plane.ledger.pos + 1))
 
 
 # --- stores that are full, damaged or newer
@@ -425,13 +425,13 @@
     plane.store.db.execute(f"PRAGMA max_page_count = {pages}")
     before = plane.ledger.state()
     many = BASE + 'tenant "many" {\n  for_each = range(300)\n  zones = ["z${each.key}.example"]\n}\n'
-    with pytest.raises(Unwritable, match="full; nothing was changed"):
+    with pytest.raises(WriteFailed, match="full; nothing was changed"):
         plane.apply(many)
     plane.store.db.execute("PRAGMA max_page_count = 1000000")
-    assert plane.ledger.state() == before or plane.ledger.open is not None
+    assert plane.ledger.state() == before or plane.ledger.open_apply is not None
     plane.kill()
-    if plane.ledger.open is not None:
-        plane.finish(plane.ledger.resume(plane.ledger.open.number, "one", plane.now))
+    if plane.ledger.open_apply is not None:
+        plane.finish(plane.ledger.resume(plane.ledger.open_apply.number, "one", plane.now))
     else:
         assert plane.ledger.state() == before
         plane.apply(many)
@@ -459,7 +459,7 @@
         whole[:8_192] + os.urandom(8_192) + whole[16_384:],
     ):
         path.write_bytes(broken)
-        with pytest.raises(Damaged, match="state restore"):
+        with pytest.raises(StoreDamaged, match="state restore"):
             Sqlite(tmp_path)
         assert path.read_bytes() == broken  # nothing was written over it
     told = harmless = 0
@@ -469,7 +469,7 @@
             path.with_name(path.name + extra).unlink(missing_ok=True)
         try:
             store = Sqlite(tmp_path)
-        except Damaged:
+        except StoreDamaged:
             told += 1
             continue
         found = {r.id: r for r in store.records()}, store.events(0, 999), store.meta(), store.version(1)
@@ -478,17 +478,17 @@
         harmless += 1
     assert told > 20 and harmless
     path.unlink()
-    with pytest.raises(Damaged, match="missing"):
+    with pytest.raises(StoreDamaged, match="missing"):
         Sqlite(tmp_path)
-    with pytest.raises(Damaged):
+    with pytest.raises(StoreDamaged):
         sqlite.restore(tmp_path, tmp_path / "no such file")
     (tmp_path / "bad").write_bytes(whole[:5_000])
-    with pytest.raises(Damaged):
+    with pytest.raises(StoreDamaged):
         sqlite.restore(tmp_path, tmp_path / "bad")
     sqlite.restore(tmp_path, tmp_path / "good")
     plane.open()
     assert not plane.plan()["steps"]
-    with pytest.raises(Damaged, match="in use"):
+    with pytest.raises(StoreDamaged, match="in use"):
         Sqlite(tmp_path)
     plane.store.close()
 
@@ -509,7 +509,7 @@
     db.execute("UPDATE meta SET value = 99 WHERE name = 'schema'")
     db.commit()
     db.close()
-    with pytest.raises(Damaged, match="schema 99 and this program knows"):
+    with pytest.raises(StoreDamaged, match="schema 99 and this program knows"):
         Sqlite(tmp_path)
 
 
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -13,7 +13,7 @@
 
 from tests.world import ROOT
 from threadhill.control import progress
-from threadhill.control.membership import Members
+from threadhill.control.membership import ProxyReports
 from threadhill.control.store import StepState
 from threadhill.decision import interface as api
 from threadhill.plans import configuration, fmt, forecast, options, planner, rules, saved, syntax
@@ -400,7 +400,7 @@
         return
     states: dict[str, StepState] = {}
     while len([s for s in states.values() if s.state == "done"]) < len(plan.steps):
-        moves = progress.advance(plan.steps, states, fleet, Members(), 0)
+        moves = progress.advance(plan.steps, states, fleet, ProxyReports(), 0)
         assert not moves.halted, moves.halted
         for step in moves.begin:
             planner.begin(fleet, step)
--- a/threadhill/control/adoption.py
+++ b/threadhill/control/adoption.py
@@ -40,7 +40,7 @@
         """Tell nothing from now on."""
         if not self.why:
             self.why, self.since = why, now
-            self.ledger.held = why
+            self.ledger.hold_reason = why
             self.log(
                 "held",
                 why=why,
@@ -51,8 +51,8 @@
     def named(self, number: int, now: int) -> bool:
         """A proxy named the last number that it applied; whether this store knows that number."""
         self.seen = max(self.seen, number)
-        if number > self.ledger.known_to:
-            self.hold(f"a proxy applied number {number}, and the newest event here is {self.ledger.known_to}", now)
+        if number > self.ledger.newest_event:
+            self.hold(f"a proxy applied number {number}, and the newest event here is {self.ledger.newest_event}", now)
         return not self.on
 
     def said(self, raw: Any) -> None:
@@ -71,7 +71,7 @@
             records,
             self.ledger.pos,
             self.seen,
-            f"version {self.ledger.meta['version']}, number {self.ledger.known_to}",
+            f"version {self.ledger.meta['version']}, number {self.ledger.newest_event}",
         )
 
     def status(self) -> dict[str, Any]:
@@ -120,5 +120,5 @@
         self.ledger.adopt(pos, change)
         self.held.clear()
         self.log("held no more", was=self.why, pos=pos)
-        self.why, self.ledger.held = "", ""
-        self.ledger.published()
+        self.why, self.ledger.hold_reason = "", ""
+        self.ledger.on_publish()
--- a/threadhill/control/agreed.py
+++ b/threadhill/control/agreed.py
@@ -27,7 +27,7 @@
 from pysyncobj.syncobj import SyncObjException
 
 from threadhill.control.sqlite import NAME, Sqlite
-from threadhill.control.store import Apply, Change, StepState, Unwritable, Version
+from threadhill.control.store import Apply, Change, StepState, Version, WriteFailed
 from threadhill.ownership.terms import CommandOutcome, Register
 from threadhill.plans.rules import Phase, Record
 
@@ -146,7 +146,7 @@
             return
         try:
             write()
-        except (Unwritable, OSError) as error:
+        except (WriteFailed, OSError) as error:
             self.broken = f"a committed change can't be written: {error}"
             self.log("member broken", why=self.broken)
 
@@ -303,16 +303,16 @@
                     result = self.machine.recent.get(id) if committed else None
                 if result is not None:  # it was committed just as the time ran out
                     break
-                raise Unwritable(
+                raise WriteFailed(
                     f"no majority agreed in {COMMIT_TIMEOUT:g} s ({error.errorCode}): the change may still take "
                     "effect; check the state before trying again"
                 ) from None
         self._pending.pop(id, None)
         outcome = CommandOutcome(*result)
         if not outcome.ok:
-            raise Unwritable(outcome.reason)
+            raise WriteFailed(outcome.reason)
         if self.machine.broken:
-            raise Unwritable(self.machine.broken)
+            raise WriteFailed(self.machine.broken)
         return outcome
 
     def change_membership(self, address: str, add: bool) -> None:
@@ -389,7 +389,7 @@
     def commit(self, change: Change) -> None:
         term = self._term()
         if not term:
-            raise Unwritable("this member is not the owner now: nothing was changed")
+            raise WriteFailed("this member is not the owner now: nothing was changed")
         self.consensus.propose("change", term=term, change=encode(change))
 
     def snapshot(self, path: Path) -> None:
--- a/threadhill/control/api.py
+++ b/threadhill/control/api.py
@@ -30,7 +30,7 @@
 from threadhill.control.adoption import Adoption
 from threadhill.control.ledger import Ledger, Refused
 from threadhill.control.members_file import Member
-from threadhill.control.store import Apply, Unwritable
+from threadhill.control.store import Apply, WriteFailed
 from threadhill.stats import Stats
 
 if TYPE_CHECKING:
@@ -89,7 +89,7 @@
             return methods[call.method](call)
         except Refused as error:
             raise Problem(CODES[error.code], error.code, str(error), **error.more) from None
-        except Unwritable as error:
+        except WriteFailed as error:
             raise Problem(507, "not-written", str(error)) from None
 
     def _methods(self, path: list[str], query: str) -> dict[str, Callable[[Call], tuple[int, Any]]]:
--- a/threadhill/control/commands.py
+++ b/threadhill/control/commands.py
@@ -17,7 +17,7 @@
 
 from threadhill.cli_codes import CHANGES, CONFLICT, DONE, ERROR, HALTED
 from threadhill.control import client
-from threadhill.control.store import Damaged, Unwritable
+from threadhill.control.store import StoreDamaged, WriteFailed
 from threadhill.plans import forecast, saved, syntax
 from threadhill.plans.faults import Fault, Invalid
 from threadhill.plans.fmt import canonical
@@ -63,7 +63,7 @@
             raise typer.Exit(CONFLICT if error.code in CONFLICTS else ERROR) from None
         except BrokenPipeError:  # who read the output has had enough
             os.dup2(os.open(os.devnull, os.O_WRONLY), 1)
-        except (Damaged, Unwritable, Malformed, saved.BadPlan, OSError) as error:
+        except (StoreDamaged, WriteFailed, Malformed, saved.BadPlan, OSError) as error:
             _complain(error)
             raise typer.Exit(ERROR) from None
 
--- a/threadhill/control/council.py
+++ b/threadhill/control/council.py
@@ -19,7 +19,7 @@
 from threadhill.control.agreed import Consensus, decode
 from threadhill.control.ledger import Refused
 from threadhill.control.members_file import MembersFile
-from threadhill.control.store import Change, Unwritable
+from threadhill.control.store import Change, WriteFailed
 from threadhill.core.clock import unix_now
 from threadhill.ownership.tenure import LeaseState, NextCommand
 from threadhill.ownership.terms import CommandOutcome, Register
@@ -64,7 +64,7 @@
         for task in self._tasks:
             task.cancel()
         if self.lease.is_held(time.monotonic()):
-            with suppress(Unwritable):
+            with suppress(WriteFailed):
                 await asyncio.to_thread(self.hand_over, "")
 
     # --- ownership and membership
@@ -119,7 +119,7 @@
         end = time.monotonic() + MEMBERSHIP_TIMEOUT
         while self.consensus.has_peer(raft_address):
             if time.monotonic() > end:
-                raise Unwritable(
+                raise WriteFailed(
                     f"{name} still counts towards the majority: look at `threadhill members`, add it and try again"
                 )
             time.sleep(TICK)
--- a/threadhill/control/feed.py
+++ b/threadhill/control/feed.py
@@ -65,7 +65,7 @@
             self.close()  # it may miss what the others know: another member is asked
             return
         known = cluster is not None or self.feed.adoption.named(last, self.feed.now())
-        if known and last < self.feed.ledger.known_to:
+        if known and last < self.feed.ledger.newest_event:
             later = self.feed.later(self)
             if later:
                 self.write(b'{"later":%d}\n' % later)
@@ -100,7 +100,7 @@
     def pump(self) -> None:
         """Send what lies behind the cursor, while the peer takes it."""
         while self.cursor is not None and not self.slow and self.transport is not None and not self.feed.adoption.on:
-            lines = self.feed.ledger.lines(self.cursor)
+            lines = self.feed.ledger.events_after(self.cursor)
             if not lines or not self.write(b"".join(line for _, line in lines)):
                 return
             self.cursor = lines[-1][0]
@@ -110,7 +110,7 @@
             self.pump()
 
     def beat(self, hints: bool = True) -> None:
-        known = self.feed.ledger.known_to
+        known = self.feed.ledger.newest_event
         # Where a member is behind a proxy it says nothing until it has caught up; alone, the proxy's number is held.
         level = (
             self.feed.adoption.on
@@ -159,7 +159,7 @@
 
     def lesson(self) -> bytes | None:
         """What the warm proxies learned, the same bytes for all that come within a second."""
-        made = self.ledger.members.taught(self.now())
+        made = self.ledger.proxy_reports.merged_knowledge(self.now())
         if made is None:
             return None
         if self._lesson[0] is not made:
--- a/threadhill/control/ledger.py
+++ b/threadhill/control/ledger.py
@@ -16,16 +16,16 @@
 import orjson
 
 from threadhill.control import progress
-from threadhill.control.membership import Members
+from threadhill.control.membership import ProxyReports
 from threadhill.control.store import Apply, Change, StepState, Store, Version
 from threadhill.plans import options, planner, rules, saved
 from threadhill.plans.planner import Observed, Step
 from threadhill.plans.resource import Resource
 from threadhill.plans.rules import SERVERS, Fleet, Phase, Record
 
-LEASE = 5_000  # milliseconds that an applier keeps its lease without a word
-RECENT = 10_000  # events kept in memory; older ones come from the store
-MOST_EVENTS = 200_000  # kept in the store; past that the older half is let go
+LEASE_MS = 5_000  # milliseconds that an applier keeps its lease without a word
+MAX_RECENT_EVENTS = 10_000  # events kept in memory; older ones come from the store
+MAX_STORED_EVENTS = 200_000  # kept in the store; past that the older half is let go
 SERVING, DRAINING, DELETED = "SERVING", "DRAINING", "DELETED"
 
 
@@ -41,32 +41,34 @@
     """One installation's state. `published` is called after new events are in the store."""
 
     def __init__(
-        self, store: Store, published: Callable[[], None] = lambda: None, members: Members | None = None
+        self, store: Store, on_publish: Callable[[], None] = lambda: None, proxy_reports: ProxyReports | None = None
     ) -> None:
-        self.store, self.published = store, published
+        self.store, self.on_publish = store, on_publish
         self.meta = store.meta()
         self.pos = self.meta["pos"]
-        self.members = members or Members()
-        self.recent: deque[tuple[int, bytes]] = deque(store.events(max(0, self.pos - RECENT), RECENT), RECENT)
-        self.oldest = store.oldest_event()
-        self.open = store.open_apply()
-        self.steps: list[Step] = saved.steps_of(self.open.plan) if self.open else []
-        self.states = store.steps(self.open.number) if self.open else {}
+        self.proxy_reports = proxy_reports or ProxyReports()
+        self.recent_events: deque[tuple[int, bytes]] = deque(
+            store.events(max(0, self.pos - MAX_RECENT_EVENTS), MAX_RECENT_EVENTS), MAX_RECENT_EVENTS
+        )
+        self.oldest_event = store.oldest_event()
+        self.open_apply = store.open_apply()
+        self.steps: list[Step] = saved.steps_of(self.open_apply.plan) if self.open_apply else []
+        self.step_states = store.steps(self.open_apply.number) if self.open_apply else {}
         self.fleet = Fleet.of(store.records(), {})
-        self._whole: bytes | None = None  # all servers and tenants as one event, while nothing has changed
-        self._refresh()
+        self._full_state_line: bytes | None = None  # all servers and tenants as one event, while nothing has changed
+        self._refresh_derived()
         # The newest event here. Where the last number is beyond it a snapshot was put back: what proxies were told in
         # between is not what this store knows, and one that comes with such a number makes it held (adoption.py).
-        self.known_to = self.recent[-1][0] if self.recent else 0
-        self.held = ""  # why nothing may be told or changed now
+        self.newest_event = self.recent_events[-1][0] if self.recent_events else 0
+        self.hold_reason = ""  # why nothing may be told or changed now
 
-    def _refresh(self) -> None:
+    def _refresh_derived(self) -> None:
         """What follows from the records and the open apply: what holds where, and how long silence is waited for."""
-        wanted = saved.resources_of(self.open.plan["wanted"]) if self.open else self.resources()
+        wanted = saved.resources_of(self.open_apply.plan["wanted"]) if self.open_apply else self.resources()
         self.fleet.places = rules.places(wanted.values())
-        attrs = progress.settings(self.fleet)
+        attrs = progress.fleet_settings(self.fleet)
         if attrs is not None:
-            self.members.silent = int(attrs["silent_s"] * 1_000)
+            self.proxy_reports.silence_limit = int(attrs["silent_s"] * 1_000)
 
     def resources(self) -> dict[str, Resource]:
         """What is recorded, as resources."""
@@ -74,39 +76,39 @@
 
     # --- writing down
 
-    def _commit(self, change: Change, moves_on: bool = True) -> None:
+    def _commit(self, change: Change, bump_serial: bool = True) -> None:
         """Write the change, then take it up. Raises Unwritable, and then nothing has changed. What time alone
         brings does not move the state on: a plan made before it holds."""
         serial = self.meta["serial"] + (
-            moves_on and bool(change.records or change.dropped or change.version or change.steps)
+            bump_serial and bool(change.records or change.dropped or change.version or change.steps)
         )
         change.meta = {**change.meta, "serial": serial}
         if change.events:
             change.meta["pos"] = change.events[-1][0]
-            if self.oldest and change.events[-1][0] - self.oldest > MOST_EVENTS:
-                change.forget_events = change.events[-1][0] - MOST_EVENTS // 2
+            if self.oldest_event and change.events[-1][0] - self.oldest_event > MAX_STORED_EVENTS:
+                change.forget_events = change.events[-1][0] - MAX_STORED_EVENTS // 2
         self.store.commit(change)
-        self._take_up(change)
+        self._update_state(change)
 
-    def foreign(self, change: Change) -> None:
+    def apply_committed(self, change: Change) -> None:
         """Another member's change, as it is in this one's store now."""
-        self._take_up(change)
+        self._update_state(change)
         apply = change.apply
         if apply is not None and apply.state == "open":
-            if self.open is None or self.open.number != apply.number:
-                self.steps, self.states = saved.steps_of(apply.plan), {s.id: s for s in change.steps}
-            self.open = apply
+            if self.open_apply is None or self.open_apply.number != apply.number:
+                self.steps, self.step_states = saved.steps_of(apply.plan), {s.id: s for s in change.steps}
+            self.open_apply = apply
         elif apply is not None:
-            self.open, self.steps, self.states = None, [], {}
-        self._refresh()
+            self.open_apply, self.steps, self.step_states = None, [], {}
+        self._refresh_derived()
         if change.events:
-            self.published()
+            self.on_publish()
 
     def reload(self) -> None:
         """The whole store was replaced."""
-        self.__init__(self.store, self.published, self.members)  # type: ignore[misc]
+        self.__init__(self.store, self.on_publish, self.proxy_reports)  # type: ignore[misc]
 
-    def _take_up(self, change: Change) -> None:
+    def _update_state(self, change: Change) -> None:
         self.meta |= change.meta
         for record in change.records:
             self.fleet.put(record)
@@ -114,25 +116,29 @@
             if id in self.fleet.records:
                 self.fleet.drop(id)
         for state in change.steps:
-            self.states[state.id] = state
+            self.step_states[state.id] = state
         if change.events:
-            self.pos = self.known_to = change.events[-1][0]
-            self.recent.extend(change.events)
-            self.oldest = change.forget_events + 1 if change.forget_events else self.oldest or change.events[0][0]
+            self.pos = self.newest_event = change.events[-1][0]
+            self.recent_events.extend(change.events)
+            self.oldest_event = (
+                change.forget_events + 1 if change.forget_events else self.oldest_event or change.events[0][0]
+            )
         if change.records or change.dropped:
-            self._whole = None
+            self._full_state_line = None
 
-    def _free(self) -> None:
-        if self.held:
-            raise Refused("held", f"nothing is changed or told: {self.held}; look at `threadhill recovery status`")
+    def _require_not_held(self) -> None:
+        if self.hold_reason:
+            raise Refused(
+                "held", f"nothing is changed or told: {self.hold_reason}; look at `threadhill recovery status`"
+            )
 
     def tick(self, now: int) -> list[tuple[Record, str]]:
         """Record the phases that time and reports have confirmed; what was moved, with notes."""
-        if self.held:
+        if self.hold_reason:
             return []
-        moved = progress.settle(self.fleet, self.members, now)
+        moved = progress.confirm_phases(self.fleet, self.proxy_reports, now)
         if moved:
-            self._commit(Change(records=[record for record, _ in moved]), moves_on=False)
+            self._commit(Change(records=[record for record, _ in moved]), bump_serial=False)
         return moved
 
     # --- applying
@@ -143,14 +149,18 @@
             plan = saved.check(raw)
         except saved.BadPlan as error:
             raise Refused("bad-plan", f"the plan {error}") from None
-        self._free()
-        if self.open is not None and (self.open.holder, self.open.plan["digest"]) == (holder, plan["digest"]):
-            return self.open  # asked again, as the answer was lost
-        if self.open is not None:
+        self._require_not_held()
+        if self.open_apply is not None and (self.open_apply.holder, self.open_apply.plan["digest"]) == (
+            holder,
+            plan["digest"],
+        ):
+            return self.open_apply  # asked again, as the answer was lost
+        if self.open_apply is not None:
             raise Refused(
                 "unfinished",
-                f"apply {self.open.number} by {self.open.holder} is not finished: resume or " "abandon it first",
-                apply=self.open.number,
+                f"apply {self.open_apply.number} by {self.open_apply.holder} is not finished: resume or "
+                "abandon it first",
+                apply=self.open_apply.number,
             )
         if (plan["base"], plan["serial"]) != (self.meta["version"], self.meta["serial"]):
             raise Refused(
@@ -160,7 +170,7 @@
                 version=self.meta["version"],
             )
         wanted = saved.resources_of(plan["wanted"])
-        observed = Observed(progress.gone_ids(self.fleet, self.members, now))
+        observed = Observed(progress.unreachable_ids(self.fleet, self.proxy_reports, now))
         again, steps = planner.plan(wanted, self.fleet.records.values(), observed), saved.steps_of(plan)
         if _effects(again.steps) != _effects(steps) or again.blocked:
             raise Refused(
@@ -169,7 +179,7 @@
                 "are blocked: plan again",
             )
         number, version = self.meta["apply"] + 1, self.meta["version"] + 1
-        apply = Apply(number, version, plan, "open", holder, self.meta["token"] + 1, now + LEASE, now)
+        apply = Apply(number, version, plan, "open", holder, self.meta["token"] + 1, now + LEASE_MS, now)
         self._commit(
             Change(
                 meta={"apply": number, "version": version, "token": apply.token},
@@ -177,45 +187,45 @@
                 apply=apply,
             )
         )
-        self.open, self.steps, self.states = apply, steps, {}
-        self._refresh()
+        self.open_apply, self.steps, self.step_states = apply, steps, {}
+        self._refresh_derived()
         return apply
 
     def resume(self, number: int, holder: str, now: int) -> Apply:
         """Take over an open apply whose lease has run out."""
-        apply = self._opened(number)
+        apply = self._require_open(number)
         if now < apply.expires and holder != apply.holder:
             raise Refused(
                 "leased",
                 f"apply {number} is {apply.holder}'s for another {(apply.expires - now) / 1e3:.1f} " "s at least",
                 wait_ms=apply.expires - now,
             )
-        apply = replace(apply, holder=holder, token=self.meta["token"] + 1, expires=now + LEASE)
+        apply = replace(apply, holder=holder, token=self.meta["token"] + 1, expires=now + LEASE_MS)
         self._commit(Change(meta={"token": apply.token}, apply=apply))
-        self.open = apply
+        self.open_apply = apply
         return apply
 
-    def _opened(self, number: int) -> Apply:
-        if self.open is None or self.open.number != number:
+    def _require_open(self, number: int) -> Apply:
+        if self.open_apply is None or self.open_apply.number != number:
             raise Refused("not-open", f"apply {number} is not open")
-        return self.open
+        return self.open_apply
 
     def advance(self, number: int, token: int, now: int) -> dict[str, Any]:
         """Carry the apply on as far as it goes now. Only who has the newest lease may; each call renews it."""
-        apply = self._opened(number)
-        self._free()
+        apply = self._require_open(number)
+        self._require_not_held()
         if token != apply.token:
             raise Refused("lease-lost", f"apply {number} was taken over by {apply.holder}: this one's lease ran out")
         self.tick(now)
-        moves = progress.advance(self.steps, self.states, self.fleet, self.members, now)
-        change = Change(steps=list(moves.done))
-        if apply.expires - now < LEASE // 2:  # not with each call: each is a write to the disk
-            change.apply = replace(apply, expires=now + LEASE)
-        trial = Fleet.of(self.fleet.records.values(), self.fleet.places) if moves.begin else self.fleet
+        transitions = progress.advance(self.steps, self.step_states, self.fleet, self.proxy_reports, now)
+        change = Change(steps=list(transitions.done))
+        if apply.expires - now < LEASE_MS // 2:  # not with each call: each is a write to the disk
+            change.apply = replace(apply, expires=now + LEASE_MS)
+        trial = Fleet.of(self.fleet.records.values(), self.fleet.places) if transitions.begin else self.fleet
         records: dict[str, Record | None] = {}
         pos = self.pos
-        for step in moves.begin:
-            told = self._event(step, trial, now)
+        for step in transitions.begin:
+            told = self._step_event(step, trial, now)
             if told is not None:
                 pos += 1
                 change.events.append((pos, orjson.dumps({"pos": pos, **told}) + b"\n"))
@@ -226,36 +236,36 @@
         change.dropped = [id for id, r in records.items() if r is None]
         if change.steps or change.apply:
             self._commit(change)
-            self.open = change.apply or apply
+            self.open_apply = change.apply or apply
         if change.events:
-            self.published()
-        finished = all(s.id in self.states and self.states[s.id].state == "done" for s in self.steps)
-        told = {"done": sum(s.state == "done" for s in self.states.values()), "steps": len(self.steps)}
+            self.on_publish()
+        finished = all(s.id in self.step_states and self.step_states[s.id].state == "done" for s in self.steps)
+        told = {"done": sum(s.state == "done" for s in self.step_states.values()), "steps": len(self.steps)}
         if finished:
-            self._close("done", now)
+            self._close_apply("done", now)
         return {
             **told,
             "apply": number,
-            "state": "done" if finished else "halted" if moves.halted else "open",
-            "halted": moves.halted,
-            "begun": [s.id for s in moves.begin],
-            "confirmed": [[s.id, s.note] for s in moves.done],
-            "waits": dict(list(moves.waits.items())[:20]),
+            "state": "done" if finished else "halted" if transitions.halted else "open",
+            "halted": transitions.halted,
+            "begun": [s.id for s in transitions.begin],
+            "confirmed": [[s.id, s.note] for s in transitions.done],
+            "waits": dict(list(transitions.waits.items())[:20]),
         }
 
     def abandon(self, number: int, who: str, now: int) -> None:
         """End an open apply where it stands: what is done stays, what is under way comes to its end by itself."""
-        apply = self._opened(number)
+        apply = self._require_open(number)
         if now < apply.expires and who != apply.holder:
             raise Refused(
                 "leased",
                 f"apply {number} is {apply.holder}'s for another {(apply.expires - now) / 1e3:.1f} " "s at least",
                 wait_ms=apply.expires - now,
             )
-        self._close("abandoned", now)
+        self._close_apply("abandoned", now)
 
-    def _close(self, state: str, now: int) -> None:
-        apply = replace(self.open, state=state, expires=now, token=self.meta["token"] + 1)
+    def _close_apply(self, state: str, now: int) -> None:
+        apply = replace(self.open_apply, state=state, expires=now, token=self.meta["token"] + 1)
         version = self.store.version(apply.version)
         self._commit(
             Change(
@@ -264,10 +274,10 @@
                 version=replace(version, state="applied" if state == "done" else state),
             )
         )
-        self.open, self.steps, self.states = None, [], {}
-        self._refresh()
+        self.open_apply, self.steps, self.step_states = None, [], {}
+        self._refresh_derived()
 
-    def _event(self, step: Step, fleet: Fleet, now: int) -> dict[str, Any] | None:
+    def _step_event(self, step: Step, fleet: Fleet, now: int) -> dict[str, Any] | None:
         """What the proxies are told of a step; None where it is nothing of theirs."""
         if step.kind == "tenant":
             if step.action == "unset":
@@ -291,7 +301,7 @@
 
     # --- what proxies are told
 
-    def whole(self, node: str = "", fleet: Fleet | None = None) -> dict[str, Any]:
+    def full_state(self, node: str = "", fleet: Fleet | None = None) -> dict[str, Any]:
         """All servers and tenants as one event with the last number: where a proxy begins. With a node, of the boxes
         only that node's: no proxy sends to others."""
         members, tenants = [], []
@@ -302,48 +312,48 @@
             elif r.kind == "tenant":
                 tenants.append(tenant(r.name, r.attrs))
         return {
-            "pos": self.known_to,
+            "pos": self.newest_event,
             "hosts": {"revision": self.meta["version"], "complete": True, "members": members},
             "tenants": {"complete": True, "set": tenants, "gone": []},
         }
 
-    def whole_line(self) -> bytes:
-        if self._whole is None:
-            self._whole = orjson.dumps(self.whole()) + b"\n"
-        return self._whole
+    def full_state_line(self) -> bytes:
+        if self._full_state_line is None:
+            self._full_state_line = orjson.dumps(self.full_state()) + b"\n"
+        return self._full_state_line
 
-    def lines(self, after: int, limit: int = 500) -> list[tuple[int, bytes]]:
+    def events_after(self, after: int, limit: int = 500) -> list[tuple[int, bytes]]:
         """Events behind this number. Where they are not all kept any more, the whole list stands for them."""
-        if self.held or after >= self.known_to:
+        if self.hold_reason or after >= self.newest_event:
             return []
-        if not self.recent or self.oldest > after + 1:
-            return [(self.known_to, self.whole_line())]
-        if after + 1 < self.recent[0][0]:
+        if not self.recent_events or self.oldest_event > after + 1:
+            return [(self.newest_event, self.full_state_line())]
+        if after + 1 < self.recent_events[0][0]:
             return self.store.events(after, limit)
-        begin = bisect.bisect_right(self.recent, after, key=lambda event: event[0])  # numbers may have jumped
-        return list(itertools.islice(self.recent, begin, begin + limit))
+        begin = bisect.bisect_right(self.recent_events, after, key=lambda event: event[0])  # numbers may have jumped
+        return list(itertools.islice(self.recent_events, begin, begin + limit))
 
     def adopt(self, pos: int, change: Change) -> None:
         """An operator decided what is true: write that, and tell it whole under this number, which is behind all that
         any proxy has seen, so that nobody takes a new event for an old one. An apply that was open ends."""
-        if self.open is not None:
-            self._close("abandoned", 0)
+        if self.open_apply is not None:
+            self._close_apply("abandoned", 0)
         trial = Fleet.of((r for r in self.fleet.records.values()), self.fleet.places)
         for record in change.records:
             trial.put(record)
         for id in change.dropped:
             trial.drop(id)  # those that are recorded
-        change.events = [(pos, orjson.dumps({**self.whole(fleet=trial), "pos": pos}) + b"\n")]
+        change.events = [(pos, orjson.dumps({**self.full_state(fleet=trial), "pos": pos}) + b"\n")]
         self._commit(change)
-        self._refresh()
+        self._refresh_derived()
 
-    def configuration(self, name: str) -> dict[str, Any] | None:
+    def proxy_configuration(self, name: str) -> dict[str, Any] | None:
         """What LB_CONFIG is to hold for this proxy, without where the journal service is."""
         record = self.fleet.records.get(f"proxy.{name}")
         if record is None or "settings.settings" not in self.fleet.records:
             return None
         resource = Resource("proxy", name, record.attrs)
-        event = self.whole(record.attrs["node"])
+        event = self.full_state(record.attrs["node"])
         return {
             "name": name,
             "listen": record.attrs["listen"],
@@ -353,7 +363,7 @@
                 "memory_mb": record.attrs["memory_mb"],
                 "sockets": record.attrs["sockets"],
             },
-            "known": {"pos": self.known_to, "entries": [event] if self.known_to else []},
+            "known": {"pos": self.newest_event, "entries": [event] if self.newest_event else []},
             "settings": options.options(self.resources(), resource),
         }
 
@@ -364,24 +374,24 @@
         odd = {}
         shown = []
         for record in (record for _, record in sorted(self.fleet.proxies.items())):
-            member = self.members.by_name.get(record.name)
-            live = self.members.live(record.name, now)
-            state = "live" if live else "silent" if member is not None else "never seen"
-            if record.phase is Phase.SET and live and member.config != record.attrs["config"]:
-                odd[record.id] = f"runs with configuration {member.config or 'none'}, not {record.attrs['config']}"
+            status = self.proxy_reports.by_name.get(record.name)
+            live = self.proxy_reports.is_live(record.name, now)
+            state = "live" if live else "silent" if status is not None else "never seen"
+            if record.phase is Phase.SET and live and status.config != record.attrs["config"]:
+                odd[record.id] = f"runs with configuration {status.config or 'none'}, not {record.attrs['config']}"
             if not live:
-                odd[record.id] = state if member is None else f"silent for {(now - member.seen) / 1e3:.1f} s"
+                odd[record.id] = state if status is None else f"silent for {(now - status.last_report_at) / 1e3:.1f} s"
             shown.append(
                 {
                     "name": record.name,
                     "state": state,
                     "node": record.attrs["node"],
-                    "applied": member.applied if member else None,
-                    "behind": self.known_to - member.applied if member else None,
-                    "seen_ms": now - member.seen if member else None,
-                    "phase": member.phase if member else None,
-                    "phase_cause": member.cause if member else None,
-                    "config": member.config if member else None,
+                    "applied": status.applied if status else None,
+                    "behind": self.newest_event - status.applied if status else None,
+                    "seen_ms": now - status.last_report_at if status else None,
+                    "phase": status.phase if status else None,
+                    "phase_cause": status.cause if status else None,
+                    "config": status.config if status else None,
                     "wanted_config": record.attrs["config"],
                 }
             )
@@ -389,7 +399,7 @@
             "pos": self.pos,
             "proxies": shown,
             "odd": odd,
-            "gone": sorted(progress.gone_ids(self.fleet, self.members, now)),
+            "gone": sorted(progress.unreachable_ids(self.fleet, self.proxy_reports, now)),
         }
 
     def state(self) -> dict[str, Any]:
@@ -415,15 +425,15 @@
 
     def unfinished(self) -> dict[str, Any] | None:
         """The open apply: its steps as done, in doubt (carried out and not yet confirmed) or left."""
-        if self.open is None:
+        if self.open_apply is None:
             return None
-        states = {s.id: self.states[s.id].state if s.id in self.states else "left" for s in self.steps}
+        states = {s.id: self.step_states[s.id].state if s.id in self.step_states else "left" for s in self.steps}
         named = {"done": "done", "intended": "in doubt", "left": "left"}
         return {
-            "apply": self.open.number,
-            "version": self.open.version,
-            "holder": self.open.holder,
-            "expires": self.open.expires,
+            "apply": self.open_apply.number,
+            "version": self.open_apply.version,
+            "holder": self.open_apply.holder,
+            "expires": self.open_apply.expires,
             "steps": {id: named[state] for id, state in states.items()},
         }
 
--- a/threadhill/control/membership.py
+++ b/threadhill/control/membership.py
@@ -2,7 +2,7 @@
 
 A proxy reports over its feed: the number of the last event that it has applied, its configuration, and which servers it
 reaches. One that reported within its lease is live, and is waited for. One that is silent can't be told from one that
-died; it is waited for until the time has passed after which PROTOCOL counts all news as told, and the step says so.
+died; it is waited for until the time has skipped after which PROTOCOL counts all news as told, and the step says so.
 A proxy that was recorded and never reported is treated the same.
 """
 
@@ -17,21 +17,21 @@
 from threadhill.recovery.phases import Phase
 from threadhill.settings import Malformed
 
-LEASE = 3_000  # milliseconds that one report makes a proxy live for; reports come every second
-GONE_AFTER = 1_000  # milliseconds that a server must be out of every proxy's reach to count as gone
-MOST = 10_000  # proxies that are remembered
+LIVE_MS = 3_000  # milliseconds that one report makes a proxy live for; reports come every second
+UNREACHABLE_AFTER_MS = 1_000  # milliseconds that a server must be out of every proxy's reach to count as gone
+MAX_PROXIES = 10_000  # proxies that are remembered
 PHASES = frozenset(phase.value for phase in Phase)
-TEACHERS = 25  # proxies whose documents are summed: a median needs no more, and each is some 20 KB
-TAUGHT_AGAIN = 1_000  # milliseconds for which a sum is told to all that come
-LEARNED_FOR = 60_000  # milliseconds after which what a proxy learned is not told any more
+MAX_MERGED = 25  # proxies whose documents are summed: a median needs no more, and each is some 20 KB
+MERGE_INTERVAL_MS = 1_000  # milliseconds for which a sum is told to all that come
+MAX_LEARNED_AGE_MS = 60_000  # milliseconds after which what a proxy learned is not told any more
 
 
 @dataclass(slots=True)
-class Member:
+class ProxyStatus:
     """One proxy as it last reported."""
 
     name: str
-    seen: int = 0
+    last_report_at: int = 0
     applied: int = 0
     config: str = ""
     up: frozenset[str] = frozenset()
@@ -42,88 +42,88 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """Whether an event has reached everyone who counts; `waits` are those that are still waited for."""
+class Delivery:
+    """Whether an event has reached everyone who counts; `waiting` are those that are still waited for."""
 
     done: bool
-    waits: tuple[str, ...] = ()
-    passed: tuple[str, ...] = ()  # silent ones that were not waited for any longer
+    waiting: tuple[str, ...] = ()
+    skipped: tuple[str, ...] = ()  # silent ones that were not waited for any longer
 
 
-class Members:
+class ProxyReports:
     """All proxies that ever reported, by name."""
 
-    def __init__(self, silent: int = 7_000) -> None:
-        self.silent = silent
-        self._sum: tuple[int, tuple[dict[str, Any], int] | None] = (-TAUGHT_AGAIN, None)
-        self.by_name: dict[str, Member] = {}
+    def __init__(self, silence_limit: int = 7_000) -> None:
+        self.silence_limit = silence_limit
+        self._merged: tuple[int, tuple[dict[str, Any], int] | None] = (-MERGE_INTERVAL_MS, None)
+        self.by_name: dict[str, ProxyStatus] = {}
 
-    def report(self, raw: Mapping[str, Any], now: int) -> Member | None:
+    def take(self, raw: Mapping[str, Any], now: int) -> ProxyStatus | None:
         """Take a report; None where it cannot be used."""
         name, applied, config = raw.get("proxy"), raw.get("applied"), raw.get("config")
         if not isinstance(name, str) or not name or type(applied) is not int or not isinstance(config, str):
             return None
-        if name not in self.by_name and len(self.by_name) >= MOST:
+        if name not in self.by_name and len(self.by_name) >= MAX_PROXIES:
             return None
-        member = self.by_name.setdefault(name, Member(name))
-        member.seen, member.applied, member.config = now, applied, config
-        member.up = frozenset(item for item in raw.get("up") or () if isinstance(item, str))
+        status = self.by_name.setdefault(name, ProxyStatus(name))
+        status.last_report_at, status.applied, status.config = now, applied, config
+        status.up = frozenset(item for item in raw.get("up") or () if isinstance(item, str))
         told = raw.get("recovery")
         told = told if isinstance(told, Mapping) else {}
         phase, cause = told.get("phase"), told.get("cause")
-        member.phase = phase if phase in PHASES else None
-        member.cause = cause[:200] if isinstance(cause, str) else ""
+        status.phase = phase if phase in PHASES else None
+        status.cause = cause[:200] if isinstance(cause, str) else ""
         if "learned" in told:
             with suppress(Malformed):  # what can't be read is left, and the older one stays
-                member.learned = now, check(told["learned"])
+                status.learned = now, check(told["learned"])
         down = [item for item in raw.get("down") or () if isinstance(item, str)]
-        member.down = {item: member.down.get(item, now) for item in down}
-        return member
+        status.down = {item: status.down.get(item, now) for item in down}
+        return status
 
-    def taught(self, now: int) -> tuple[dict[str, Any], int] | None:
+    def merged_knowledge(self, now: int) -> tuple[dict[str, Any], int] | None:
         """What the proxies in full service have learned, as one document, and its age in milliseconds; None where
         nobody is warm. Made once for all that come within a second."""
-        when, made = self._sum
-        if now - when >= TAUGHT_AGAIN:
+        when, made = self._merged
+        if now - when >= MERGE_INTERVAL_MS:
             known = [
                 (m.learned[1], now - m.learned[0])
                 for m in self.by_name.values()
-                if m.learned is not None and now - m.learned[0] <= LEARNED_FOR
+                if m.learned is not None and now - m.learned[0] <= MAX_LEARNED_AGE_MS
             ]
             known.sort(key=lambda item: item[1])
-            made = merge(known[:TEACHERS]) if known else None
-            self._sum = now, made
+            made = merge(known[:MAX_MERGED]) if known else None
+            self._merged = now, made
         return made
 
-    def live(self, name: str, now: int) -> bool:
-        member = self.by_name.get(name)
-        return member is not None and now - member.seen <= LEASE
+    def is_live(self, name: str, now: int) -> bool:
+        status = self.by_name.get(name)
+        return status is not None and now - status.last_report_at <= LIVE_MS
 
-    def told(self, names: Iterable[str], pos: int, at: int, now: int) -> Told:
+    def delivery(self, names: Iterable[str], pos: int, at: int, now: int) -> Delivery:
         """Whether the event `pos`, published at `at`, has reached the proxies of these names."""
-        waits, passed = [], []
+        waiting, skipped = [], []
         for name in names:
-            member = self.by_name.get(name)
-            if member is not None and member.applied >= pos:
+            status = self.by_name.get(name)
+            if status is not None and status.applied >= pos:
                 continue
-            if self.live(name, now) or now - at < self.silent:
-                waits.append(name)
+            if self.is_live(name, now) or now - at < self.silence_limit:
+                waiting.append(name)
             else:
-                passed.append(name)
-        return Told(not waits, tuple(waits), tuple(passed))
+                skipped.append(name)
+        return Delivery(not waiting, tuple(waiting), tuple(skipped))
 
-    def gone(self, now: int) -> frozenset[str]:
+    def unreachable(self, now: int) -> frozenset[str]:
         """Names of servers that no live proxy reaches, and one at least has tried to for a while."""
-        live = [member for member in self.by_name.values() if now - member.seen <= LEASE]
-        up = {name for member in live for name in member.up}
+        live = [status for status in self.by_name.values() if now - status.last_report_at <= LIVE_MS]
+        up = {name for status in live for name in status.up}
         return frozenset(
             name
-            for member in live
-            for name, since in member.down.items()
-            if name not in up and now - since >= GONE_AFTER
+            for status in live
+            for name, since in status.down.items()
+            if name not in up and now - since >= UNREACHABLE_AFTER_MS
         )
 
     def forget(self, names: set[str], now: int) -> None:
         """Let go of those that are not recorded any more and say nothing."""
-        for name in [n for n, m in self.by_name.items() if n not in names and now - m.seen > 100 * LEASE]:
+        for name in [n for n, m in self.by_name.items() if n not in names and now - m.last_report_at > 100 * LIVE_MS]:
             del self.by_name[name]
--- a/threadhill/control/progress.py
+++ b/threadhill/control/progress.py
@@ -10,17 +10,17 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from threadhill.control.membership import Members
+from threadhill.control.membership import ProxyReports
 from threadhill.control.store import StepState
 from threadhill.plans import options, planner
 from threadhill.plans.planner import Step
 from threadhill.plans.rules import SERVERS, Fleet, Phase, Record
 
-AT_ONCE = 500  # steps that begin in one call: a transaction stays short
+MAX_STEPS_PER_CALL = 500  # steps that begin in one call: a transaction stays short
 
 
 @dataclass(slots=True)
-class Moves:
+class Transitions:
     """What to write down."""
 
     records: list[Record] = field(default_factory=list)  # whose phase is confirmed
@@ -30,33 +30,33 @@
     halted: str = ""  # why nothing more will come of this without an operator
 
 
-def settings(fleet: Fleet) -> dict[str, Any] | None:
+def fleet_settings(fleet: Fleet) -> dict[str, Any] | None:
     record = fleet.records.get("settings.settings")
     return record.attrs if record is not None else None
 
 
-def gone_ids(fleet: Fleet, members: Members, now: int) -> frozenset[str]:
+def unreachable_ids(fleet: Fleet, reports: ProxyReports, now: int) -> frozenset[str]:
     """Ids of recorded servers that the proxies report out of reach."""
-    names = members.gone(now)
+    names = reports.unreachable(now)
     found = (f"{kind}.{name}" for name in names for kind in SERVERS)
     return frozenset(id for id in found if id in fleet.records)
 
 
-def confirmed(fleet: Fleet, record: Record, members: Members, now: int) -> tuple[Phase | None, str]:
+def confirmed_phase(fleet: Fleet, record: Record, reports: ProxyReports, now: int) -> tuple[Phase | None, str]:
     """The phase that this record's time and the proxies' reports confirm, or None and what is waited for; with a phase
     the text says who was not waited for."""
-    attrs = settings(fleet) or {}
+    attrs = fleet_settings(fleet) or {}
     if record.kind == "proxy":
-        member = members.by_name.get(record.name)
-        if member is not None and member.config == record.attrs["config"]:
+        status = reports.by_name.get(record.name)
+        if status is not None and status.config == record.attrs["config"]:
             return Phase.SET, ""
-        if not members.live(record.name, now):
+        if not reports.is_live(record.name, now):
             return Phase.SET, "not live: it will start with it"
         return None, f"{record.name} to be restarted: it runs with an older configuration"
-    told = members.told(fleet.proxies, record.pos, record.at, now)
-    if not told.done:
-        return None, f"proxies {', '.join(told.waits[:5])} to apply event {record.pos}"
-    note = f"silent, not waited for: {', '.join(told.passed[:5])}" if told.passed else ""
+    delivery = reports.delivery(fleet.proxies, record.pos, record.at, now)
+    if not delivery.done:
+        return None, f"proxies {', '.join(delivery.waiting[:5])} to apply event {record.pos}"
+    note = f"silent, not waited for: {', '.join(delivery.skipped[:5])}" if delivery.skipped else ""
     if record.phase is Phase.COLD:
         ramp = attrs.get("upper_cold_s" if record.kind == "parent" else "cold_s", 0) * 1_000
         if now < record.since + ramp:
@@ -68,82 +68,86 @@
     return Phase.DRAINED, note
 
 
-def settle(fleet: Fleet, members: Members, now: int) -> list[tuple[Record, str]]:
+def confirm_phases(fleet: Fleet, reports: ProxyReports, now: int) -> list[tuple[Record, str]]:
     """Records whose phase has come to be, as they are now; also while nothing is applied."""
     moved = []
     for record in fleet.records.values():
         if record.phase in (Phase.COLD, Phase.DRAINING, Phase.TELLING):
-            phase, note = confirmed(fleet, record, members, now)
+            phase, note = confirmed_phase(fleet, record, reports, now)
             if phase is not None:
                 moved.append((replace(record, phase=phase), note))
     return moved
 
 
-def step_done(fleet: Fleet, step: Step, state: StepState, members: Members, now: int) -> tuple[bool, str]:
+def step_confirmed(fleet: Fleet, step: Step, state: StepState, reports: ProxyReports, now: int) -> tuple[bool, str]:
     """Whether a step that was begun is confirmed; what it waits for, or who was passed over."""
     record = fleet.records.get(step.resource)
     if step.action in ("add", "drain") or step.kind == "proxy" and step.action == "set":
         wanted = {"add": Phase.WARM, "drain": Phase.DRAINED}.get(step.action, Phase.SET)
         if record is None or record.phase is wanted:
             return True, ""
-        return False, confirmed(fleet, record, members, now)[1]
+        return False, confirmed_phase(fleet, record, reports, now)[1]
     if not state.pos:
         return True, ""
-    told = members.told(fleet.proxies, state.pos, state.at, now)
-    if not told.done:
-        return False, f"proxies {', '.join(told.waits[:5])} to apply event {state.pos}"
-    return True, f"silent, not waited for: {', '.join(told.passed[:5])}" if told.passed else ""
+    delivery = reports.delivery(fleet.proxies, state.pos, state.at, now)
+    if not delivery.done:
+        return False, f"proxies {', '.join(delivery.waiting[:5])} to apply event {state.pos}"
+    return True, f"silent, not waited for: {', '.join(delivery.skipped[:5])}" if delivery.skipped else ""
 
 
-def advance(steps: Sequence[Step], states: Mapping[str, StepState], fleet: Fleet, members: Members, now: int) -> Moves:
+def advance(
+    steps: Sequence[Step], states: Mapping[str, StepState], fleet: Fleet, reports: ProxyReports, now: int
+) -> Transitions:
     """What may be written down now. Steps begin in their order, each as soon as what it needs is confirmed and its
     guard holds on the state as it then is."""
-    moves = Moves()
+    transitions = Transitions()
     done = {id for id, state in states.items() if state.state == "done"}
-    gone = gone_ids(fleet, members, now)
+    gone = unreachable_ids(fleet, reports, now)
     trial: Fleet | None = None
-    held: dict[str, str] = {}  # place -> a step that has not begun, which no later one of it may overtake
+    blocked_places: dict[str, str] = {}  # place -> a step that has not begun, which no later one of it may overtake
     for step in steps:
         state = states.get(step.id)
         if state is not None and state.state == "done":
             continue
         if state is not None:
-            confirmed_now, text = step_done(fleet, step, state, members, now)
+            confirmed_now, text = step_confirmed(fleet, step, state, reports, now)
             if confirmed_now:
                 done.add(step.id)
-                moves.done.append(replace(state, state="done", note=text))
+                transitions.done.append(replace(state, state="done", note=text))
             else:
-                moves.waits[step.id] = text
+                transitions.waits[step.id] = text
                 if step.action == "add" and step.resource in gone:
-                    moves.halted = f"{step.resource} was listed and no live proxy reaches it"
+                    transitions.halted = f"{step.resource} was listed and no live proxy reaches it"
             continue
         missing = next((need for need in step.needs if need not in done), None)
-        if missing is None and step.place in held:
-            missing = held[step.place]
+        if missing is None and step.place in blocked_places:
+            missing = blocked_places[step.place]
         if missing is not None:
-            moves.waits[step.id] = f"{missing} to be confirmed"
-            _hold(held, step)
+            transitions.waits[step.id] = f"{missing} to be confirmed"
+            _block_place(blocked_places, step)
             continue
         if trial is None:
             trial = Fleet.of(fleet.records.values(), fleet.places, gone)
         reason = planner.guard(trial, step)
         if reason is not None:
-            moves.waits[step.id] = reason
-            _hold(held, step)
-        elif len(moves.begin) < AT_ONCE:
+            transitions.waits[step.id] = reason
+            _block_place(blocked_places, step)
+        elif len(transitions.begin) < MAX_STEPS_PER_CALL:
             planner.begin(trial, step, 0, now)
-            moves.begin.append(step)
-    if not moves.halted and not moves.begin and not moves.done and moves.waits:
-        moves.halted = _stuck(steps, states, fleet, moves.waits)
-    return moves
+            transitions.begin.append(step)
+    if not transitions.halted and not transitions.begin and not transitions.done and transitions.waits:
+        transitions.halted = _stuck_reason(steps, states, fleet, transitions.waits)
+    return transitions
 
 
-def _hold(held: dict[str, str], step: Step) -> None:
+def _block_place(blocked_places: dict[str, str], step: Step) -> None:
     if step.place is not None:
-        held.setdefault(step.place, step.id)
+        blocked_places.setdefault(step.place, step.id)
 
 
-def _stuck(steps: Sequence[Step], states: Mapping[str, StepState], fleet: Fleet, waits: Mapping[str, str]) -> str:
+def _stuck_reason(
+    steps: Sequence[Step], states: Mapping[str, StepState], fleet: Fleet, waits: Mapping[str, str]
+) -> str:
     """Where nothing is under way and nothing may begin, only an operator can help."""
     under_way = any(state.state == "intended" for state in states.values()) or any(
         record.phase in (Phase.COLD, Phase.DRAINING, Phase.TELLING)
--- a/threadhill/control/server.py
+++ b/threadhill/control/server.py
@@ -23,7 +23,7 @@
 from threadhill.control.feed import Feed
 from threadhill.control.ledger import Ledger, Refused
 from threadhill.control.sqlite import Sqlite, keep_snapshot, open_or_set_aside
-from threadhill.control.store import Change, Damaged, Store, Unwritable
+from threadhill.control.store import Change, Store, StoreDamaged, WriteFailed
 from threadhill.knowledge.merge import Merged
 from threadhill.log import Log
 from threadhill.net.door import Door, Guest
@@ -146,7 +146,7 @@
             feed=self.feed_address,
             version=self.ledger.meta["version"],
             pos=self.ledger.pos,
-            unfinished=self.ledger.open.number if self.ledger.open else None,
+            unfinished=self.ledger.open_apply.number if self.ledger.open_apply else None,
         )
         await self.done.wait()
         self.log.info("stopping", pos=self.ledger.pos)
@@ -167,7 +167,7 @@
 
     def _foreign(self, change: Change) -> None:
         """Another member's change was agreed."""
-        self.ledger.foreign(change)
+        self.ledger.apply_committed(change)
         if change.steps:
             self._moved = self.now()
         self._soon()
@@ -180,7 +180,7 @@
         """What this control plane does for the fleet by itself, where it is one of several."""
         ledger = self.ledger
         if self.owns:
-            apply = ledger.open
+            apply = ledger.open_apply
             if apply is not None:
                 told = ledger.advance(apply.number, apply.token, self.now())
                 if told["begun"] or told["confirmed"] or told["state"] != "open":
@@ -221,15 +221,15 @@
         try:
             path = await asyncio.to_thread(keep_snapshot, self.places.data, self._snapshot_at // 1_000)
             self.log.info("snapshot", file=str(path[0]))
-        except (Damaged, Unwritable, OSError) as error:
+        except (StoreDamaged, WriteFailed, OSError) as error:
             self.log.error("snapshot not taken", error=str(error))
         finally:
             self._snapping = None
 
     def works(self) -> list[dict[str, Any]]:
         """The works, by whom they are done and how far they are."""
-        ledger, apply = self.ledger, self.ledger.open
-        states = [state.state for state in ledger.states.values()]
+        ledger, apply = self.ledger, self.ledger.open_apply
+        states = [state.state for state in ledger.step_states.values()]
         told = (
             {
                 "number": apply.number,
@@ -247,10 +247,10 @@
             self._fresh(),
             told,
             waits,
-            max(0, ledger.known_to - ledger.oldest + 1),
-            ledger.oldest,
+            max(0, ledger.newest_event - ledger.oldest_event + 1),
+            ledger.oldest_event,
             self._snapshot_at,
-            len(ledger.members.by_name),
+            len(ledger.proxy_reports.by_name),
         )
         return [task.document(self.now()) for task in found]
 
@@ -259,8 +259,8 @@
         if not self.owns:
             self.cluster.queue_report(raw)
         name = raw.get("proxy")
-        live = self.ledger.members.live(name, self.now()) if isinstance(name, str) else True
-        if self.ledger.members.report(raw, self.now()) is not None and not live:
+        live = self.ledger.proxy_reports.is_live(name, self.now()) if isinstance(name, str) else True
+        if self.ledger.proxy_reports.take(raw, self.now()) is not None and not live:
             self.log.info("proxy reports", proxy=name, applied=raw["applied"], config=raw["config"])
         if "knows" not in raw or not isinstance(name, str):
             return False
@@ -273,18 +273,20 @@
                 self.log.info("confirmed", resource=record.id, phase=record.phase.value, note=note)
             if self.cluster is not None:
                 self._work()
-        except (Unwritable, Refused) as error:
+        except (WriteFailed, Refused) as error:
             self.log.error("not written", error=str(error))
         if self.cluster is not None and self.cluster.consensus.machine.broken:
             self.done.set()
         proxies = self.ledger.fleet.proxies
         if self.owns:
             self._phases(list(proxies))
-        self.ledger.members.forget(set(proxies), self.now())
+        self.ledger.proxy_reports.forget(set(proxies), self.now())
         self.knowledge.forget(self.now())
-        live = {name for name in self.ledger.members.by_name if self.ledger.members.live(name, self.now())}
+        live = {
+            name for name in self.ledger.proxy_reports.by_name if self.ledger.proxy_reports.is_live(name, self.now())
+        }
         for name in sorted(self._live - live):
-            self.log.warning("proxy silent", proxy=name, waited_for_ms=self.ledger.members.silent)
+            self.log.warning("proxy silent", proxy=name, waited_for_ms=self.ledger.proxy_reports.silence_limit)
         self._live = live
         if {n: r.pos for n, r in proxies.items()} != {n: at for n, (at, _) in self._written.items()}:
             self._soon()
@@ -292,9 +294,9 @@
 
     def _phases(self, names: list[str]) -> None:
         """Whether the fleet is in full service; said once when it is no more, and once when it is again."""
-        members, now = self.ledger.members, self.now()
-        live = [name for name in names if members.live(name, now)]
-        line = self.phases.look(now, [members.by_name[name].phase for name in live], len(names) - len(live))
+        reports, now = self.ledger.proxy_reports, self.now()
+        live = [name for name in names if reports.is_live(name, now)]
+        line = self.phases.look(now, [reports.by_name[name].phase for name in live], len(names) - len(live))
         if line is not None:
             self.log.warning(line, **self.phases.by_phase)
 
@@ -340,7 +342,7 @@
                 wanted = (record.pos, self.ledger.pos)
                 if self._written.get(name) == wanted:
                     continue
-                config = self.ledger.configuration(name)
+                config = self.ledger.proxy_configuration(name)
                 if config is None:
                     continue
                 config |= {"journal": self.feed_address, "seed": os.urandom(8).hex()}
--- a/threadhill/control/service.py
+++ b/threadhill/control/service.py
@@ -12,7 +12,7 @@
 
 from threadhill.cli_codes import ERROR
 from threadhill.control import sqlite
-from threadhill.control.store import Damaged, Unwritable
+from threadhill.control.store import StoreDamaged, WriteFailed
 from threadhill.core.clock import unix_seconds
 from threadhill.settings import Malformed, address
 
@@ -24,7 +24,7 @@
     def run(*words: Any) -> None:
         try:
             command(*words)
-        except (Damaged, Unwritable, Malformed, OSError) as error:
+        except (StoreDamaged, WriteFailed, Malformed, OSError) as error:
             typer.echo(f"threadhill: {error}", err=True)
             raise typer.Exit(ERROR) from None
 
@@ -80,7 +80,7 @@
             path, gone = sqlite.keep_snapshot(data, unix_seconds())
             typer.echo(f"{path}: checked" + (f"; {len(gone)} older ones let go" if gone else ""))
             taken, failed = taken + 1, 0
-        except (Damaged, Unwritable, OSError) as error:
+        except (StoreDamaged, WriteFailed, OSError) as error:
             typer.echo(f"threadhill: {error}", err=True)
             failed += 1
             if count:
--- a/threadhill/control/sqlite.py
+++ b/threadhill/control/sqlite.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from threadhill.control.store import Apply, Change, Damaged, StepState, Unwritable, Version
+from threadhill.control.store import Apply, Change, StepState, StoreDamaged, Version, WriteFailed
 from threadhill.plans.rules import Phase, Record
 from threadhill.recovery.ages import to_drop
 
@@ -62,12 +62,12 @@
         mark = self.folder / MARK
         there = self.path.exists() and self.path.stat().st_size > 0
         if mark.exists() and not there:
-            raise Damaged(
+            raise StoreDamaged(
                 f"{self.path} is missing or empty, though there was a store: put a snapshot back with "
                 f"`threadhill state restore`, or remove {mark} to begin with nothing"
             )
         if not there and not create:
-            raise Damaged(f"{self.folder} holds no store")
+            raise StoreDamaged(f"{self.folder} holds no store")
         try:
             self.db = sqlite3.connect(self.path, isolation_level=None, timeout=5, check_same_thread=not self._threads)
             self.db.execute("PRAGMA journal_mode = WAL")
@@ -77,7 +77,7 @@
             else:
                 self._create()
         except (sqlite3.DatabaseError, ValueError, TypeError) as error:
-            raise Damaged(f"{self.path}: {error}: put a snapshot back with `threadhill state restore`") from None
+            raise StoreDamaged(f"{self.path}: {error}: put a snapshot back with `threadhill state restore`") from None
         mark.touch()
         self._migrate()
 
@@ -107,7 +107,7 @@
         except sqlite3.Error as error:
             with suppress(sqlite3.Error):
                 self.db.execute("ROLLBACK")
-            raise Unwritable(f"{self.path}: {error}; nothing was changed") from None
+            raise WriteFailed(f"{self.path}: {error}; nothing was changed") from None
         except BaseException:
             self.db.execute("ROLLBACK")
             raise
@@ -127,7 +127,7 @@
         )
         for pos, line, told in found:
             if _sum(pos, line) != told:
-                raise Damaged(
+                raise StoreDamaged(
                     f"{self.path} is damaged (event {pos} was changed): put a snapshot back with "
                     "`threadhill state restore`"
                 )
@@ -241,12 +241,12 @@
             folder.mkdir(parents=True, exist_ok=True)
         handle = os.open(folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
     except OSError as error:
-        raise Damaged(f"{folder}: {error.strerror}: name a folder that can be written") from None
+        raise StoreDamaged(f"{folder}: {error.strerror}: name a folder that can be written") from None
     try:
         fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
         os.close(handle)
-        raise Damaged(f"{folder} is in use: another control plane holds it; stop that one first") from None
+        raise StoreDamaged(f"{folder} is in use: another control plane holds it; stop that one first") from None
     return handle
 
 
@@ -256,26 +256,26 @@
     wanted = {"meta", "records", "events", "versions", "applies", "steps"}
     advice = "put a snapshot back with `threadhill state restore`"
     if not names >= wanted:
-        raise Damaged(f"{path} lacks {', '.join(sorted(wanted - names))}: it was made only in part; {advice}")
+        raise StoreDamaged(f"{path} lacks {', '.join(sorted(wanted - names))}: it was made only in part; {advice}")
     meta = dict(db.execute("SELECT name, value FROM meta"))
     if meta.get("schema", 0) > SCHEMA:
-        raise Damaged(
+        raise StoreDamaged(
             f"{path} has schema {meta['schema']} and this program knows {SCHEMA}: start the program that "
             "wrote it, or a newer one"
         )
     if not set(STARTED) | {"schema", "sum"} <= set(meta):
-        raise Damaged(f"{path} was made only in part; {advice}")
+        raise StoreDamaged(f"{path} was made only in part; {advice}")
     found = db.execute("PRAGMA quick_check(1)").fetchone()[0]
     if found != "ok":
-        raise Damaged(f"{path} is damaged ({found}); {advice}")
+        raise StoreDamaged(f"{path} is damaged ({found}); {advice}")
     newest = "SELECT * FROM events ORDER BY pos DESC LIMIT 2000"  # others are checked when they are read
     for *row, told in itertools.chain(db.execute("SELECT * FROM records"), db.execute(newest)):
         if _sum(*row) != told:
-            raise Damaged(f"{path} is damaged (the row of {row[0]} was changed); {advice}")
+            raise StoreDamaged(f"{path} is damaged (the row of {row[0]} was changed); {advice}")
     last = db.execute("SELECT max(pos) FROM events").fetchone()[0] or 0
     row = db.execute("SELECT * FROM versions ORDER BY number DESC LIMIT 1").fetchone()
     if last > meta["pos"] or meta["sum"] != _meta_sum(meta) or row is not None and str(_sum(*row[:-1])) != row[-1]:
-        raise Damaged(f"{path} does not fit together; {advice}")
+        raise StoreDamaged(f"{path} does not fit together; {advice}")
 
 
 def snapshot(db: sqlite3.Connection, path: Path) -> None:
@@ -294,7 +294,7 @@
         if copy is not None:
             copy.close()
         part.unlink(missing_ok=True)
-        raise Unwritable(f"{path}: {error}") from None
+        raise WriteFailed(f"{path}: {error}") from None
 
 
 def open_or_set_aside(folder: Path, log: Callable[..., None]) -> Sqlite:
@@ -302,7 +302,7 @@
     empty one. What was there is kept beside it. For a start in which nothing is told before an operator has decided."""
     try:
         return Sqlite(folder)
-    except Damaged as error:
+    except StoreDamaged as error:
         if f"{folder} is in use" in str(error):
             raise
         log("store lost", why=str(error))
@@ -312,7 +312,7 @@
             restore(folder, path)
             log("snapshot taken", file=str(path))
             return Sqlite(folder)
-        except Damaged as error:
+        except StoreDamaged as error:
             log("snapshot passed by", why=str(error))
     for name in (NAME, NAME + "-wal", NAME + "-shm"):
         if (folder / name).exists():
@@ -342,16 +342,16 @@
     """A snapshot of a store that a control plane may be serving from meanwhile."""
     source = folder / NAME
     if not source.exists():
-        raise Damaged(f"{folder} holds no store")
+        raise StoreDamaged(f"{folder} holds no store")
     try:
         db = sqlite3.connect(f"file:{source}?mode=ro", uri=True, timeout=5)
     except sqlite3.Error as error:
-        raise Damaged(f"{source}: {error}") from None
+        raise StoreDamaged(f"{source}: {error}") from None
     try:
         check(db, source)
         snapshot(db, path)
     except (sqlite3.DatabaseError, ValueError, TypeError) as error:
-        raise Damaged(f"{source}: {error}") from None
+        raise StoreDamaged(f"{source}: {error}") from None
     finally:
         db.close()
 
@@ -363,14 +363,14 @@
     once must never be told for something else. The counters of the new store are returned.
     """
     if not path.exists():
-        raise Damaged(f"{path}: there is no such file")
+        raise StoreDamaged(f"{path}: there is no such file")
     handle = _lock(folder, create=True)
     try:
         copy = sqlite3.connect(path)
         try:
             check(copy, path)
         except (sqlite3.DatabaseError, ValueError, TypeError) as error:
-            raise Damaged(f"{path}: {error}") from None
+            raise StoreDamaged(f"{path}: {error}") from None
         old, target = 0, folder / NAME
         if target.exists():
             with suppress(sqlite3.Error):
--- a/threadhill/control/store.py
+++ b/threadhill/control/store.py
@@ -10,11 +10,11 @@
 from threadhill.plans.rules import Record
 
 
-class Damaged(Exception):
+class StoreDamaged(Exception):
     """The store can't be served from; the text says what to do."""
 
 
-class Unwritable(Exception):
+class WriteFailed(Exception):
     """A change could not be kept, and nothing of it was; the state is as before."""
 
 
