--- a/threadhill/control/agreed.py
+++ b/threadhill/control/agreed.py
@@ -285,7 +285,7 @@
         return command["id"]
 
     def propose(self, kind: str, **more: Any) -> CommandOutcome:
-        """Propose and wait. Raises Unwritable if no majority agreed in time, or if the command was refused."""
+        """Propose and wait. Raises WriteFailed if no majority agreed in time, or if the command was refused."""
         command = self._command(kind, **more)
         id = command["id"]
         self._pending[id] = False
--- a/threadhill/control/ledger.py
+++ b/threadhill/control/ledger.py
@@ -1,7 +1,7 @@
-"""The ledger: the recorded state in memory as the store has it, and every way in which it changes.
+"""The ledger: the recorded state in memory, as the store has it, and every way in which it changes.
 
-Each change is one transaction: it is in the store before it is in memory, and before anybody hears of it. So what a
-proxy was told is always recorded, and a step that was begun is never begun again.
+Each change is one transaction, written to the store before memory changes and before it is published. So everything
+that proxies were told is recorded, and a step that has begun never begins again.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 from threadhill.plans.resource import Resource
 from threadhill.plans.rules import SERVERS, Fleet, Phase, Record
 
-LEASE_MS = 5_000  # milliseconds that an applier keeps its lease without a word
+LEASE_MS = 5_000  # how long an applier keeps its lease without renewing it
 MAX_RECENT_EVENTS = 10_000  # events kept in memory; older ones come from the store
-MAX_STORED_EVENTS = 200_000  # kept in the store; past that the older half is let go
+MAX_STORED_EVENTS = 200_000  # events kept in the store; beyond that the older half is deleted
 SERVING, DRAINING, DELETED = "SERVING", "DRAINING", "DELETED"
 
 
 class Refused(Exception):
-    """What was asked can't be done on this state; `code` names why for programs."""
+    """The request can't be carried out on this state; `code` gives the reason for programs."""
 
     def __init__(self, code: str, text: str, **more: Any) -> None:
         super().__init__(text)
@@ -38,7 +38,7 @@
 
 
 class Ledger:
-    """One installation's state. `published` is called after new events are in the store."""
+    """One installation's state. `on_publish` is called after new events are in the store."""
 
     def __init__(
         self, store: Store, on_publish: Callable[[], None] = lambda: None, proxy_reports: ProxyReports | None = None
@@ -55,15 +55,15 @@
         self.steps: list[Step] = saved.steps_of(self.open_apply.plan) if self.open_apply else []
         self.step_states = store.steps(self.open_apply.number) if self.open_apply else {}
         self.fleet = Fleet.of(store.records(), {})
-        self._full_state_line: bytes | None = None  # all servers and tenants as one event, while nothing has changed
+        self._full_state_line: bytes | None = None  # cached event of all servers and tenants, until a record changes
         self._refresh_derived()
-        # The newest event here. Where the last number is beyond it a snapshot was put back: what proxies were told in
-        # between is not what this store knows, and one that comes with such a number makes it held (adoption.py).
+        # The number of the newest event here. `pos` is beyond it after a snapshot was restored: this store lacks what
+        # proxies were told in between, and a proxy that comes with such a number puts the ledger on hold (adoption.py).
         self.newest_event = self.recent_events[-1][0] if self.recent_events else 0
-        self.hold_reason = ""  # why nothing may be told or changed now
+        self.hold_reason = ""  # why nothing may be published or changed now; "": not on hold
 
     def _refresh_derived(self) -> None:
-        """What follows from the records and the open apply: what holds where, and how long silence is waited for."""
+        """Recompute what follows from the records and the open apply: each place's rules, and the silence limit."""
         wanted = saved.resources_of(self.open_apply.plan["wanted"]) if self.open_apply else self.resources()
         self.fleet.places = rules.places(wanted.values())
         attrs = progress.fleet_settings(self.fleet)
@@ -71,14 +71,14 @@
             self.proxy_reports.silence_limit = int(attrs["silent_s"] * 1_000)
 
     def resources(self) -> dict[str, Resource]:
-        """What is recorded, as resources."""
+        """The recorded state as resources."""
         return {id: Resource(r.kind, r.name, r.attrs) for id, r in self.fleet.records.items()}
 
-    # --- writing down
+    # --- recording changes
 
     def _commit(self, change: Change, bump_serial: bool = True) -> None:
-        """Write the change, then take it up. Raises Unwritable, and then nothing has changed. What time alone
-        brings does not move the state on: a plan made before it holds."""
+        """Write the change, then update memory. If WriteFailed is raised, nothing has changed. Changes that time alone
+        brings leave the serial as it is, so that plans made before them stay valid."""
         serial = self.meta["serial"] + (
             bump_serial and bool(change.records or change.dropped or change.version or change.steps)
         )
@@ -91,7 +91,7 @@
         self._update_state(change)
 
     def apply_committed(self, change: Change) -> None:
-        """Another member's change, as it is in this one's store now."""
+        """Take up another member's change, which is in this member's store already."""
         self._update_state(change)
         apply = change.apply
         if apply is not None and apply.state == "open":
@@ -105,7 +105,7 @@
             self.on_publish()
 
     def reload(self) -> None:
-        """The whole store was replaced."""
+        """Read everything again after the whole store was replaced."""
         self.__init__(self.store, self.on_publish, self.proxy_reports)  # type: ignore[misc]
 
     def _update_state(self, change: Change) -> None:
@@ -133,13 +133,13 @@
             )
 
     def tick(self, now: int) -> list[tuple[Record, str]]:
-        """Record the phases that time and reports have confirmed; what was moved, with notes."""
+        """Record the phases that time and reports have confirmed. Returns the changed records, with notes."""
         if self.hold_reason:
             return []
-        moved = progress.confirm_phases(self.fleet, self.proxy_reports, now)
-        if moved:
-            self._commit(Change(records=[record for record, _ in moved]), bump_serial=False)
-        return moved
+        confirmed = progress.confirm_phases(self.fleet, self.proxy_reports, now)
+        if confirmed:
+            self._commit(Change(records=[record for record, _ in confirmed]), bump_serial=False)
+        return confirmed
 
     # --- applying
 
@@ -154,7 +154,7 @@
             holder,
             plan["digest"],
         ):
-            return self.open_apply  # asked again, as the answer was lost
+            return self.open_apply  # the same request again: its answer was lost
         if self.open_apply is not None:
             raise Refused(
                 "unfinished",
@@ -171,11 +171,11 @@
             )
         wanted = saved.resources_of(plan["wanted"])
         observed = Observed(progress.unreachable_ids(self.fleet, self.proxy_reports, now))
-        again, steps = planner.plan(wanted, self.fleet.records.values(), observed), saved.steps_of(plan)
-        if _effects(again.steps) != _effects(steps) or again.blocked:
+        replanned, steps = planner.plan(wanted, self.fleet.records.values(), observed), saved.steps_of(plan)
+        if _effects(replanned.steps) != _effects(steps) or replanned.blocked:
             raise Refused(
                 "bad-plan",
-                "the plan's steps are not what its files lead to on this state, or some of them "
+                "the plan's steps are not those that its configuration needs on this state, or some of them "
                 "are blocked: plan again",
             )
         number, version = self.meta["apply"] + 1, self.meta["version"] + 1
@@ -192,7 +192,7 @@
         return apply
 
     def resume(self, number: int, holder: str, now: int) -> Apply:
-        """Take over an open apply whose lease has run out."""
+        """Take over an open apply whose lease has expired."""
         apply = self._require_open(number)
         if now < apply.expires and holder != apply.holder:
             raise Refused(
@@ -211,27 +211,27 @@
         return self.open_apply
 
     def advance(self, number: int, token: int, now: int) -> dict[str, Any]:
-        """Carry the apply on as far as it goes now. Only who has the newest lease may; each call renews it."""
+        """Carry the apply on as far as it goes now. `token` must be the newest lease's; each call keeps that alive."""
         apply = self._require_open(number)
         self._require_not_held()
         if token != apply.token:
-            raise Refused("lease-lost", f"apply {number} was taken over by {apply.holder}: this one's lease ran out")
+            raise Refused("lease-lost", f"apply {number} was taken over by {apply.holder}: your lease expired")
         self.tick(now)
         transitions = progress.advance(self.steps, self.step_states, self.fleet, self.proxy_reports, now)
         change = Change(steps=list(transitions.done))
-        if apply.expires - now < LEASE_MS // 2:  # not with each call: each is a write to the disk
+        if apply.expires - now < LEASE_MS // 2:  # not at every call, since each renewal is a write to the disk
             change.apply = replace(apply, expires=now + LEASE_MS)
         trial = Fleet.of(self.fleet.records.values(), self.fleet.places) if transitions.begin else self.fleet
         records: dict[str, Record | None] = {}
         pos = self.pos
         for step in transitions.begin:
-            told = self._step_event(step, trial, now)
-            if told is not None:
+            event = self._step_event(step, trial, now)
+            if event is not None:
                 pos += 1
-                change.events.append((pos, orjson.dumps({"pos": pos, **told}) + b"\n"))
-            here = pos if told is not None else 0
-            records[step.resource] = planner.begin(trial, step, here, now)
-            change.steps.append(StepState(number, step.id, "intended", here, now))
+                change.events.append((pos, orjson.dumps({"pos": pos, **event}) + b"\n"))
+            event_pos = pos if event is not None else 0
+            records[step.resource] = planner.begin(trial, step, event_pos, now)
+            change.steps.append(StepState(number, step.id, "intended", event_pos, now))
         change.records = [r for r in records.values() if r is not None]
         change.dropped = [id for id, r in records.items() if r is None]
         if change.steps or change.apply:
@@ -240,11 +240,11 @@
         if change.events:
             self.on_publish()
         finished = all(s.id in self.step_states and self.step_states[s.id].state == "done" for s in self.steps)
-        told = {"done": sum(s.state == "done" for s in self.step_states.values()), "steps": len(self.steps)}
+        counts = {"done": sum(s.state == "done" for s in self.step_states.values()), "steps": len(self.steps)}
         if finished:
             self._close_apply("done", now)
         return {
-            **told,
+            **counts,
             "apply": number,
             "state": "done" if finished else "halted" if transitions.halted else "open",
             "halted": transitions.halted,
@@ -254,7 +254,7 @@
         }
 
     def abandon(self, number: int, who: str, now: int) -> None:
-        """End an open apply where it stands: what is done stays, what is under way comes to its end by itself."""
+        """End an open apply where it stands: steps that are done stay, and those under way end by themselves."""
         apply = self._require_open(number)
         if now < apply.expires and who != apply.holder:
             raise Refused(
@@ -278,7 +278,7 @@
         self._refresh_derived()
 
     def _step_event(self, step: Step, fleet: Fleet, now: int) -> dict[str, Any] | None:
-        """What the proxies are told of a step; None where it is nothing of theirs."""
+        """The event that tells proxies of a step; None if it does not concern them."""
         if step.kind == "tenant":
             if step.action == "unset":
                 return {"tenants": {"set": [], "gone": [step.name]}}
@@ -299,11 +299,11 @@
             }
         }
 
-    # --- what proxies are told
+    # --- for proxies
 
     def full_state(self, node: str = "", fleet: Fleet | None = None) -> dict[str, Any]:
-        """All servers and tenants as one event with the last number: where a proxy begins. With a node, of the boxes
-        only that node's: no proxy sends to others."""
+        """All servers and tenants as one event with the last number, which a proxy starts from. If a node is given,
+        only that node's boxes are included, since its proxies send to no others."""
         members, tenants = [], []
         for _, r in sorted((fleet or self.fleet).records.items()):
             if r.kind in SERVERS and (not node or r.kind != "box" or r.attrs["node"] == node):
@@ -323,32 +323,32 @@
         return self._full_state_line
 
     def events_after(self, after: int, limit: int = 500) -> list[tuple[int, bytes]]:
-        """Events behind this number. Where they are not all kept any more, the whole list stands for them."""
+        """Events after this number. If some of them are no longer stored, the full state takes their place."""
         if self.hold_reason or after >= self.newest_event:
             return []
         if not self.recent_events or self.oldest_event > after + 1:
             return [(self.newest_event, self.full_state_line())]
         if after + 1 < self.recent_events[0][0]:
             return self.store.events(after, limit)
-        begin = bisect.bisect_right(self.recent_events, after, key=lambda event: event[0])  # numbers may have jumped
+        begin = bisect.bisect_right(self.recent_events, after, key=lambda event: event[0])  # numbers may have gaps
         return list(itertools.islice(self.recent_events, begin, begin + limit))
 
     def adopt(self, pos: int, change: Change) -> None:
-        """An operator decided what is true: write that, and tell it whole under this number, which is behind all that
-        any proxy has seen, so that nobody takes a new event for an old one. An apply that was open ends."""
+        """Record the state that an operator decided on and publish it in full under `pos`, which is higher than any
+        number that a proxy has seen, so that no proxy takes a new event for an old one. An open apply is abandoned."""
         if self.open_apply is not None:
             self._close_apply("abandoned", 0)
         trial = Fleet.of((r for r in self.fleet.records.values()), self.fleet.places)
         for record in change.records:
             trial.put(record)
         for id in change.dropped:
-            trial.drop(id)  # those that are recorded
+            trial.drop(id)
         change.events = [(pos, orjson.dumps({**self.full_state(fleet=trial), "pos": pos}) + b"\n")]
         self._commit(change)
         self._refresh_derived()
 
     def proxy_configuration(self, name: str) -> dict[str, Any] | None:
-        """What LB_CONFIG is to hold for this proxy, without where the journal service is."""
+        """The contents of this proxy's LB_CONFIG, without the address of the journal service."""
         record = self.fleet.records.get(f"proxy.{name}")
         if record is None or "settings.settings" not in self.fleet.records:
             return None
@@ -367,12 +367,12 @@
             "settings": options.options(self.resources(), resource),
         }
 
-    # --- what operators ask
+    # --- for operators
 
     def observed(self, now: int) -> dict[str, Any]:
-        """What the proxies report, and what of it is not as recorded."""
+        """What the proxies report, and where it differs from the recorded state."""
         odd = {}
-        shown = []
+        rows = []
         for record in (record for _, record in sorted(self.fleet.proxies.items())):
             status = self.proxy_reports.by_name.get(record.name)
             live = self.proxy_reports.is_live(record.name, now)
@@ -381,7 +381,7 @@
                 odd[record.id] = f"runs with configuration {status.config or 'none'}, not {record.attrs['config']}"
             if not live:
                 odd[record.id] = state if status is None else f"silent for {(now - status.last_report_at) / 1e3:.1f} s"
-            shown.append(
+            rows.append(
                 {
                     "name": record.name,
                     "state": state,
@@ -397,13 +397,13 @@
             )
         return {
             "pos": self.pos,
-            "proxies": shown,
+            "proxies": rows,
             "odd": odd,
             "gone": sorted(progress.unreachable_ids(self.fleet, self.proxy_reports, now)),
         }
 
     def state(self) -> dict[str, Any]:
-        """The recorded state, with the open apply if there is one."""
+        """The recorded state, with the open apply, if any."""
         return {
             "version": self.meta["version"],
             "serial": self.meta["serial"],
@@ -424,7 +424,7 @@
         }
 
     def unfinished(self) -> dict[str, Any] | None:
-        """The open apply: its steps as done, in doubt (carried out and not yet confirmed) or left."""
+        """The open apply, with each step as done, in doubt (carried out but not yet confirmed) or left."""
         if self.open_apply is None:
             return None
         states = {s.id: self.step_states[s.id].state if s.id in self.step_states else "left" for s in self.steps}
@@ -439,10 +439,10 @@
 
 
 def _effects(steps: list[Step]) -> dict[str, dict[str, Any]]:
-    """What steps do, whatever their order: time may have brought some forward since the plan was saved."""
+    """The steps by id, without their order: time may have brought some forward since the plan was saved."""
     return {step.id: {**step.document(), "wave": 0} for step in steps}
 
 
 def tenant(name: str, attrs: dict[str, Any]) -> dict[str, Any]:
-    more = {"records": attrs["records"]} if attrs.get("records") else {}
-    return {"name": name, "zones": attrs["zones"], "quota": attrs["quota"], **more}
+    records = {"records": attrs["records"]} if attrs.get("records") else {}
+    return {"name": name, "zones": attrs["zones"], "quota": attrs["quota"], **records}
--- a/threadhill/control/membership.py
+++ b/threadhill/control/membership.py
@@ -1,9 +1,9 @@
-"""What the proxies say of themselves, and what their silence means. Free of I/O; all times in milliseconds.
+"""The proxies' reports, and how long a silent proxy is waited for. Free of I/O; all times in milliseconds.
 
-A proxy reports over its feed: the number of the last event that it has applied, its configuration, and which servers it
-reaches. One that reported within its lease is live, and is waited for. One that is silent can't be told from one that
-died; it is waited for until the time has skipped after which PROTOCOL counts all news as told, and the step says so.
-A proxy that was recorded and never reported is treated the same.
+A proxy reports over its feed the number of the last event that it has applied, its configuration, and which servers it
+reaches. One that reported within LIVE_MS is live, and is waited for. A silent one can't be told from one that died: it
+is waited for until the silence limit, after which PROTOCOL counts all events as delivered, and the step's note names
+it. A proxy that was recorded and never reported is treated the same.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from threadhill.recovery.phases import Phase
 from threadhill.settings import Malformed
 
-LIVE_MS = 3_000  # milliseconds that one report makes a proxy live for; reports come every second
-UNREACHABLE_AFTER_MS = 1_000  # milliseconds that a server must be out of every proxy's reach to count as gone
+LIVE_MS = 3_000  # how long a report makes a proxy live; reports come every second
+UNREACHABLE_AFTER_MS = 1_000  # how long a server must be out of every live proxy's reach to count as unreachable
 MAX_PROXIES = 10_000  # proxies that are remembered
 PHASES = frozenset(phase.value for phase in Phase)
-MAX_MERGED = 25  # proxies whose documents are summed: a median needs no more, and each is some 20 KB
-MERGE_INTERVAL_MS = 1_000  # milliseconds for which a sum is told to all that come
-MAX_LEARNED_AGE_MS = 60_000  # milliseconds after which what a proxy learned is not told any more
+MAX_MERGED = 25  # proxies whose documents are merged: a median needs no more, and each is some 20 KB
+MERGE_INTERVAL_MS = 1_000  # for how long one merged document is sent to all proxies that ask
+MAX_LEARNED_AGE_MS = 60_000  # a proxy's document that is older is no longer passed on
 
 
 @dataclass(slots=True)
 class ProxyStatus:
-    """One proxy as it last reported."""
+    """One proxy's last report."""
 
     name: str
     last_report_at: int = 0
@@ -36,22 +36,22 @@
     config: str = ""
     up: frozenset[str] = frozenset()
     down: dict[str, int] = field(default_factory=dict)  # server name -> since when it was not reached
-    phase: str | None = None  # of its recovery, where it says that, and what brought it there
-    cause: str = ""
-    learned: tuple[int, dict[str, Any]] | None = None  # when it told what it has learned, and what
+    phase: str | None = None  # its recovery phase, if it reports one
+    cause: str = ""  # of that phase
+    learned: tuple[int, dict[str, Any]] | None = None  # when it last sent what it has learned, and that document
 
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """Whether an event has reached everyone who counts; `waiting` are those that are still waited for."""
+    """Whether an event has reached all proxies that are waited for."""
 
     done: bool
-    waiting: tuple[str, ...] = ()
-    skipped: tuple[str, ...] = ()  # silent ones that were not waited for any longer
+    waiting: tuple[str, ...] = ()  # proxies that are still waited for
+    skipped: tuple[str, ...] = ()  # silent proxies that are no longer waited for
 
 
 class ProxyReports:
-    """All proxies that ever reported, by name."""
+    """The last report of each proxy, by name."""
 
     def __init__(self, silence_limit: int = 7_000) -> None:
         self.silence_limit = silence_limit
@@ -59,7 +59,7 @@
         self.by_name: dict[str, ProxyStatus] = {}
 
     def take(self, raw: Mapping[str, Any], now: int) -> ProxyStatus | None:
-        """Take a report; None where it cannot be used."""
+        """Take in a report; None if it is unusable."""
         name, applied, config = raw.get("proxy"), raw.get("applied"), raw.get("config")
         if not isinstance(name, str) or not name or type(applied) is not int or not isinstance(config, str):
             return None
@@ -74,16 +74,16 @@
         status.phase = phase if phase in PHASES else None
         status.cause = cause[:200] if isinstance(cause, str) else ""
         if "learned" in told:
-            with suppress(Malformed):  # what can't be read is left, and the older one stays
+            with suppress(Malformed):  # an unreadable document is ignored, and the older one stays
                 status.learned = now, check(told["learned"])
         down = [item for item in raw.get("down") or () if isinstance(item, str)]
         status.down = {item: status.down.get(item, now) for item in down}
         return status
 
     def merged_knowledge(self, now: int) -> tuple[dict[str, Any], int] | None:
-        """What the proxies in full service have learned, as one document, and its age in milliseconds; None where
-        nobody is warm. Made once for all that come within a second."""
-        when, made = self._merged
+        """What the proxies in full service have learned, merged into one document, and its age in milliseconds; None if
+        there is nothing to merge. Cached for MERGE_INTERVAL_MS."""
+        when, merged = self._merged
         if now - when >= MERGE_INTERVAL_MS:
             known = [
                 (m.learned[1], now - m.learned[0])
@@ -91,9 +91,9 @@
                 if m.learned is not None and now - m.learned[0] <= MAX_LEARNED_AGE_MS
             ]
             known.sort(key=lambda item: item[1])
-            made = merge(known[:MAX_MERGED]) if known else None
-            self._merged = now, made
-        return made
+            merged = merge(known[:MAX_MERGED]) if known else None
+            self._merged = now, merged
+        return merged
 
     def is_live(self, name: str, now: int) -> bool:
         status = self.by_name.get(name)
@@ -113,7 +113,7 @@
         return Delivery(not waiting, tuple(waiting), tuple(skipped))
 
     def unreachable(self, now: int) -> frozenset[str]:
-        """Names of servers that no live proxy reaches, and one at least has tried to for a while."""
+        """Names of servers that no live proxy reaches and at least one has failed to reach for UNREACHABLE_AFTER_MS."""
         live = [status for status in self.by_name.values() if now - status.last_report_at <= LIVE_MS]
         up = {name for status in live for name in status.up}
         return frozenset(
@@ -124,6 +124,6 @@
         )
 
     def forget(self, names: set[str], now: int) -> None:
-        """Let go of those that are not recorded any more and say nothing."""
+        """Drop proxies that are no longer recorded and have been silent for long."""
         for name in [n for n, m in self.by_name.items() if n not in names and now - m.last_report_at > 100 * LIVE_MS]:
             del self.by_name[name]
--- a/threadhill/control/progress.py
+++ b/threadhill/control/progress.py
@@ -1,7 +1,7 @@
-"""What of a change comes next: which steps are confirmed, which may begin, and what is waited for. Free of I/O.
+"""The progress of an apply: which steps are confirmed, which may begin, and what the others wait for. Free of I/O.
 
-Called again and again with the state, the proxies' reports and the time; what it returns is written down by the ledger
-before anything of it takes effect.
+The ledger calls `advance` repeatedly with the state, the proxies' reports and the time, and records what it returns
+before any of it takes effect.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from threadhill.plans.planner import Step
 from threadhill.plans.rules import SERVERS, Fleet, Phase, Record
 
-MAX_STEPS_PER_CALL = 500  # steps that begin in one call: a transaction stays short
+MAX_STEPS_PER_CALL = 500  # steps that begin in one call, to keep the transaction short
 
 
 @dataclass(slots=True)
 class Transitions:
-    """What to write down."""
+    """What to record now."""
 
-    records: list[Record] = field(default_factory=list)  # whose phase is confirmed
+    records: list[Record] = field(default_factory=list)  # records whose phase is confirmed
     done: list[StepState] = field(default_factory=list)
     begin: list[Step] = field(default_factory=list)
-    waits: dict[str, str] = field(default_factory=dict)  # step -> what it waits for
-    halted: str = ""  # why nothing more will come of this without an operator
+    waits: dict[str, str] = field(default_factory=dict)  # step id -> what it waits for
+    halted: str = ""  # why the apply can't go on without an operator
 
 
 def fleet_settings(fleet: Fleet) -> dict[str, Any] | None:
@@ -36,22 +36,22 @@
 
 
 def unreachable_ids(fleet: Fleet, reports: ProxyReports, now: int) -> frozenset[str]:
-    """Ids of recorded servers that the proxies report out of reach."""
+    """Ids of the recorded servers that no live proxy reaches."""
     names = reports.unreachable(now)
     found = (f"{kind}.{name}" for name in names for kind in SERVERS)
     return frozenset(id for id in found if id in fleet.records)
 
 
 def confirmed_phase(fleet: Fleet, record: Record, reports: ProxyReports, now: int) -> tuple[Phase | None, str]:
-    """The phase that this record's time and the proxies' reports confirm, or None and what is waited for; with a phase
-    the text says who was not waited for."""
+    """The phase that the time and the proxies' reports confirm, with a note on proxies that were not waited for; or
+    None, with what the record waits for."""
     attrs = fleet_settings(fleet) or {}
     if record.kind == "proxy":
         status = reports.by_name.get(record.name)
         if status is not None and status.config == record.attrs["config"]:
             return Phase.SET, ""
         if not reports.is_live(record.name, now):
-            return Phase.SET, "not live: it will start with it"
+            return Phase.SET, "not live: it will start with this configuration"
         return None, f"{record.name} to be restarted: it runs with an older configuration"
     delivery = reports.delivery(fleet.proxies, record.pos, record.at, now)
     if not delivery.done:
@@ -64,23 +64,23 @@
         return Phase.WARM, note
     due = record.at + attrs.get("drain_ms", 0) + options.settle_ms(attrs) if attrs else record.at
     if now < due:
-        return None, f"what it had taken, {(due - now) / 1e3:.1f} s at most"
+        return None, f"requests in progress to end, {(due - now) / 1e3:.1f} s at most"
     return Phase.DRAINED, note
 
 
 def confirm_phases(fleet: Fleet, reports: ProxyReports, now: int) -> list[tuple[Record, str]]:
-    """Records whose phase has come to be, as they are now; also while nothing is applied."""
-    moved = []
+    """Records whose next phase is confirmed, in that phase, with notes. Also called while no apply is open."""
+    confirmed = []
     for record in fleet.records.values():
         if record.phase in (Phase.COLD, Phase.DRAINING, Phase.TELLING):
             phase, note = confirmed_phase(fleet, record, reports, now)
             if phase is not None:
-                moved.append((replace(record, phase=phase), note))
-    return moved
+                confirmed.append((replace(record, phase=phase), note))
+    return confirmed
 
 
 def step_confirmed(fleet: Fleet, step: Step, state: StepState, reports: ProxyReports, now: int) -> tuple[bool, str]:
-    """Whether a step that was begun is confirmed; what it waits for, or who was passed over."""
+    """Whether a step that has begun is confirmed; and a note on skipped proxies, or what the step waits for."""
     record = fleet.records.get(step.resource)
     if step.action in ("add", "drain") or step.kind == "proxy" and step.action == "set":
         wanted = {"add": Phase.WARM, "drain": Phase.DRAINED}.get(step.action, Phase.SET)
@@ -98,13 +98,13 @@
 def advance(
     steps: Sequence[Step], states: Mapping[str, StepState], fleet: Fleet, reports: ProxyReports, now: int
 ) -> Transitions:
-    """What may be written down now. Steps begin in their order, each as soon as what it needs is confirmed and its
-    guard holds on the state as it then is."""
+    """What may be recorded now. Steps begin in their order, each as soon as the steps that it needs are confirmed and
+    its guard holds on the state at that moment."""
     transitions = Transitions()
     done = {id for id, state in states.items() if state.state == "done"}
     gone = unreachable_ids(fleet, reports, now)
     trial: Fleet | None = None
-    blocked_places: dict[str, str] = {}  # place -> a step that has not begun, which no later one of it may overtake
+    blocked_places: dict[str, str] = {}  # place -> a step there that has not begun; later steps there wait for it
     for step in steps:
         state = states.get(step.id)
         if state is not None and state.state == "done":
@@ -148,7 +148,7 @@
 def _stuck_reason(
     steps: Sequence[Step], states: Mapping[str, StepState], fleet: Fleet, waits: Mapping[str, str]
 ) -> str:
-    """Where nothing is under way and nothing may begin, only an operator can help."""
+    """Why the apply is stuck: no step is under way and none may begin, so only an operator can help. "": it is not."""
     under_way = any(state.state == "intended" for state in states.values()) or any(
         record.phase in (Phase.COLD, Phase.DRAINING, Phase.TELLING)
         for record in fleet.records.values()
--- a/threadhill/control/store.py
+++ b/threadhill/control/store.py
@@ -1,4 +1,4 @@
-"""The port between the control plane and whatever keeps its state. One `Change` is kept whole or not at all."""
+"""The interface between the control plane and the storage of its state. One `Change` is stored whole or not at all."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class StoreDamaged(Exception):
-    """The store can't be served from; the text says what to do."""
+    """The store can't be used; the text says what to do."""
 
 
 class WriteFailed(Exception):
-    """A change could not be kept, and nothing of it was; the state is as before."""
+    """A change could not be stored. Nothing of it was; the state is unchanged."""
 
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """One numbered state that somebody asked for. `wanted` holds attributes by resource id."""
+    """One numbered version of the desired state. `wanted` holds attributes by resource id."""
 
     number: int
     at: int  # Unix milliseconds
@@ -34,21 +34,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """One application of a plan, with the lease of who carries it out."""
+    """One application of a plan, with the lease of the client that carries it out."""
 
     number: int
     version: int
     plan: dict[str, Any]
     state: str = "open"  # open, done or abandoned
     holder: str = ""
-    token: int = 0  # grows with each lease: who comes with an older one has lost it
+    token: int = 0  # grows with each lease; a caller with an older token has lost its lease
     expires: int = 0  # Unix milliseconds
     at: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class StepState:
-    """A step of an apply that has begun: intended, then done."""
+    """A step of an apply that has begun: its state is intended, then done."""
 
     apply: int
     id: str
@@ -73,7 +73,7 @@
 
 
 class Store(Protocol):
-    """What the ledger needs. Methods raise Damaged or Unwritable and nothing else of their own."""
+    """What the ledger needs. Methods raise StoreDamaged or WriteFailed and no other errors of their own."""
 
     def meta(self) -> dict[str, int]:
         """Counters: `pos`, `serial`, `version`, `apply`, `token`."""
@@ -86,13 +86,13 @@
         ...
 
     def oldest_event(self) -> int:
-        """The least number kept; 0 where there is none."""
+        """The lowest event number stored; 0 if there is none."""
         ...
 
     def version(self, number: int) -> Version | None: ...
 
     def versions(self, before: int, limit: int) -> list[Version]:
-        """The newest below this number, newest first, without what they want."""
+        """The newest versions below this number, newest first, with `wanted` empty."""
         ...
 
     def apply(self, number: int) -> Apply | None: ...
@@ -104,7 +104,7 @@
     def commit(self, change: Change) -> None: ...
 
     def snapshot(self, path: Path) -> None:
-        """A whole copy in a file of its own."""
+        """Write a complete copy to a file."""
         ...
 
     def close(self) -> None: ...
