--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -48,7 +48,7 @@
 from benchmarks.rig import free_ports  # noqa: E402
 from benchmarks.spread import BEFORE, unpack  # noqa: E402
 from threadhill.control.ledger import Ledger  # noqa: E402
-from threadhill.control.sqlite import Sqlite  # noqa: E402
+from threadhill.control.sqlite import SqliteStore  # noqa: E402
 from threadhill.control.store import Change  # noqa: E402
 from threadhill.drills.verdict import back, shares  # noqa: E402
 from threadhill.plans.rules import Phase, Record  # noqa: E402
@@ -176,7 +176,7 @@
 async def feed_back(folder: Path, host: str) -> float:
     """Seconds until all of so many clients that come at once to a control plane's feed have the whole list."""
     folder.mkdir(parents=True)
-    store = Sqlite(folder)
+    store = SqliteStore(folder)
     attrs = {"address": f"{host}:1", "node": "node.costa", "cell": 0, "size": 4, "warm": True, "fills_from": []}
     records = [Record("box", f"b-{n}", attrs, Phase.WARM) for n in range(LISTED)]
     ledger = Ledger(store)
--- a/benchmarks/plan_apply.py
+++ b/benchmarks/plan_apply.py
@@ -39,7 +39,7 @@
 
 from benchmarks.rig import TOKEN, Load, Rig, Watcher, until  # noqa: E402
 from threadhill.control import client  # noqa: E402
-from threadhill.control.sqlite import NAME, Sqlite  # noqa: E402
+from threadhill.control.sqlite import STORE_FILE, SqliteStore  # noqa: E402
 from threadhill.control.store import Change  # noqa: E402
 from threadhill.plans import forecast  # noqa: E402
 from threadhill.standin.servers import Server, body_of  # noqa: E402
@@ -173,7 +173,7 @@
 def drain_lateness(folder: Path, rig: Rig, ended: list[Server]) -> tuple[int, float, int]:
     """Of all that was drained: what reached it, or named it as a source, between its drain and its return. The store
     has when each drain and each return was published."""
-    db = sqlite3.connect(folder / NAME)
+    db = sqlite3.connect(folder / STORE_FILE)
     published = list(db.execute("SELECT id, at FROM steps WHERE pos > 0 ORDER BY at, pos"))
     db.close()
     spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
@@ -335,7 +335,7 @@
 
 async def restart(folder: Path, events: int) -> dict[str, Any]:
     """Start a control plane on a long history, until its feed serves."""
-    store = Sqlite(folder)
+    store = SqliteStore(folder)
     line = b'{"pos":%d,"tenants":{"set":[],"gone":["nobody-%d"]}}\n'
     for begin in range(1, events + 1, 5_000):
         store.commit(
--- a/tests/faults/test_control_clock.py
+++ b/tests/faults/test_control_clock.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from threadhill.control.clock_file import NAME, continued_clock
+from threadhill.control.clock_file import CLOCK_FILE, continued_clock
 
 HOUR_NS = 3_600_000_000_000
 
@@ -33,14 +33,14 @@
 
 def test_after_a_restart_of_the_machine_the_wall_clock_is_taken_anew(tmp_path: Path) -> None:
     continued_clock(tmp_path, print, boot(tmp_path, "a"))
-    (tmp_path / NAME).write_text((tmp_path / NAME).read_text().replace('"anchor":', '"anchor":9'))
+    (tmp_path / CLOCK_FILE).write_text((tmp_path / CLOCK_FILE).read_text().replace('"anchor":', '"anchor":9'))
     again = continued_clock(tmp_path, print, boot(tmp_path, "b"))
     assert abs(again.now() - time.time_ns() // 1_000) < 1_000_000
 
 
 @pytest.mark.parametrize("content", [b"", b"{", b"[]", b'{"boot":1}', b'{"boot":"a","anchor":"x"}', b"\xff\xfe"])
 def test_a_file_that_cannot_be_read_is_said_and_costs_nothing_else(tmp_path: Path, content: bytes) -> None:
-    (tmp_path / NAME).write_bytes(content)
+    (tmp_path / CLOCK_FILE).write_bytes(content)
     lines: list[str] = []
     clock = continued_clock(tmp_path, lines.append, boot(tmp_path, "a"))
     assert "cannot be read" in lines[0] and abs(clock.now() - time.time_ns() // 1_000) < 1_000_000
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -21,9 +21,9 @@
 from tests.test_dns import SRV, Reply, query
 from tests.test_plans import BASE, OTHER, read
 from threadhill.control import client, sqlite
-from threadhill.control.adoption import Adoption
+from threadhill.control.adoption import AdoptionHold
 from threadhill.control.ledger import LEASE_MS, Ledger, Refused
-from threadhill.control.sqlite import Sqlite
+from threadhill.control.sqlite import SqliteStore
 from threadhill.control.store import Change, StoreDamaged, WriteFailed
 from threadhill.plans import planner, saved
 from threadhill.plans.planner import Observed
@@ -36,7 +36,7 @@
     """The process was killed there."""
 
 
-class Fragile(Sqlite):
+class Fragile(SqliteStore):
     """A store whose process dies at the n-th commit, before it or right after."""
 
     dies: tuple[int, bool] | None = None
@@ -54,7 +54,9 @@
 class Plane:
     """A ledger on a clock that the test moves, with proxies that apply at once what they are told unless cut off."""
 
-    def __init__(self, folder: Path, names: tuple[str, ...] = ("p-1", "p-2"), store: type[Sqlite] = Sqlite) -> None:
+    def __init__(
+        self, folder: Path, names: tuple[str, ...] = ("p-1", "p-2"), store: type[SqliteStore] = SqliteStore
+    ) -> None:
         self.folder, self.names, self.kind, self.now = folder, names, store, 1_000_000
         self.cut: set[str] = set()
         self.down: dict[str, list[str]] = {}
@@ -380,7 +382,7 @@
 def test_numbers_go_on_after_a_restart_and_behind_a_proxy_that_has_seen_more(tmp_path: Path) -> None:
     plane = Plane(tmp_path / "a")
     plane.apply()
-    sqlite.take_snapshot(tmp_path / "a", tmp_path / "snapshot")
+    sqlite.write_snapshot(tmp_path / "a", tmp_path / "snapshot")
     plane.apply(boxes=4)
     seen = plane.ledger.pos
     plane.store.close()
@@ -394,12 +396,14 @@
     plane.store.close()
     sqlite.restore(tmp_path / "b", tmp_path / "snapshot")
     other = Plane(tmp_path / "b")
-    adoption = Adoption(other.ledger, lambda event, **more: None)
-    assert adoption.named(other.ledger.newest_event, other.now) and not adoption.named(seen + 50, other.now)
+    adoption = AdoptionHold(other.ledger, lambda event, **more: None)
+    assert adoption.check_number(other.ledger.newest_event, other.now) and not adoption.check_number(
+        seen + 50, other.now
+    )
     assert other.ledger.events_after(0) == other.ledger.events_after(seen + 50) == []  # nobody is told anything, until:
     refused("held", other.begin, other.plan(boxes=5))
-    refused("conflict", adoption.as_recorded, "00000000", other.now)
-    adoption.as_recorded(adoption.proposal().digest(), other.now)
+    refused("conflict", adoption.keep_recorded, "00000000", other.now)
+    adoption.keep_recorded(adoption.proposal().digest(), other.now)
     ((pos, line),) = other.ledger.events_after(seen + 50)
     assert pos == seen + 51 and json.loads(line)["hosts"]["complete"]
     assert len(json.loads(line)["hosts"]["members"]) == 6
@@ -449,8 +453,8 @@
         plane.store.version(1),
     )
     plane.store.close()
-    path, whole = tmp_path / sqlite.NAME, (tmp_path / sqlite.NAME).read_bytes()
-    sqlite.take_snapshot(tmp_path, tmp_path / "good")
+    path, whole = tmp_path / sqlite.STORE_FILE, (tmp_path / sqlite.STORE_FILE).read_bytes()
+    sqlite.write_snapshot(tmp_path, tmp_path / "good")
     for broken in (
         whole[: len(whole) // 2],
         whole[:100],
@@ -460,7 +464,7 @@
     ):
         path.write_bytes(broken)
         with pytest.raises(StoreDamaged, match="state restore"):
-            Sqlite(tmp_path)
+            SqliteStore(tmp_path)
         assert path.read_bytes() == broken  # nothing was written over it
     told = harmless = 0
     for at in range(70, len(whole), 239):  # one byte changed: it is told, or it held nothing
@@ -468,7 +472,7 @@
         for extra in ("-wal", "-shm"):
             path.with_name(path.name + extra).unlink(missing_ok=True)
         try:
-            store = Sqlite(tmp_path)
+            store = SqliteStore(tmp_path)
         except StoreDamaged:
             told += 1
             continue
@@ -479,7 +483,7 @@
     assert told > 20 and harmless
     path.unlink()
     with pytest.raises(StoreDamaged, match="missing"):
-        Sqlite(tmp_path)
+        SqliteStore(tmp_path)
     with pytest.raises(StoreDamaged):
         sqlite.restore(tmp_path, tmp_path / "no such file")
     (tmp_path / "bad").write_bytes(whole[:5_000])
@@ -489,7 +493,7 @@
     plane.open()
     assert not plane.plan()["steps"]
     with pytest.raises(StoreDamaged, match="in use"):
-        Sqlite(tmp_path)
+        SqliteStore(tmp_path)
     plane.store.close()
 
 
@@ -497,10 +501,10 @@
     plane = Plane(tmp_path)
     plane.apply()
     plane.store.close()
-    db = sqlite3.connect(tmp_path / sqlite.NAME)
+    db = sqlite3.connect(tmp_path / sqlite.STORE_FILE)
     db.execute("DROP INDEX open_applies")
     db.execute("UPDATE meta SET value = 1 WHERE name = 'schema'")
-    sqlite._sign(db)
+    sqlite._update_meta_checksum(db)
     db.commit()
     plane.open()
     assert plane.store.meta()["schema"] == sqlite.SCHEMA and not plane.plan()["steps"]
@@ -510,7 +514,7 @@
     db.commit()
     db.close()
     with pytest.raises(StoreDamaged, match="schema 99 and this program knows"):
-        Sqlite(tmp_path)
+        SqliteStore(tmp_path)
 
 
 # --- whole, on loopback
@@ -555,7 +559,7 @@
                 await rig.apply(rig.make(names) + more)
             asking.cancel()
             transport.close()
-            db = sqlite3.connect(tmp_path / "rig" / sqlite.NAME)
+            db = sqlite3.connect(tmp_path / "rig" / sqlite.STORE_FILE)
             begun = dict(db.execute("SELECT apply || ' ' || id, at FROM steps WHERE pos > 0"))
             db.close()
             drained = [key for key in begun if " drain " in key]
@@ -742,21 +746,21 @@
         async with Rig(data, "127.0.34.1", proxies=3, operator=str(operator), settle_s=0.2) as rig:
             await rig.apply(rig.make(["0", "1", "2"]))
             await rig.live()
-            await asyncio.to_thread(sqlite.keep_snapshot, data, 1_000)
+            await asyncio.to_thread(sqlite.take_periodic_snapshot, data, 1_000)
             await rig.apply(rig.make(["0", "1", "3"]))
             await rig.live()
             rig.alone()
             seen = (await rig.get("/v1/state"))["pos"]
             records = (await rig.get("/v1/state"))["records"]
             await rig.kill_control()
-            for name in (sqlite.NAME, sqlite.NAME + "-wal", sqlite.NAME + "-shm"):
+            for name in (sqlite.STORE_FILE, sqlite.STORE_FILE + "-wal", sqlite.STORE_FILE + "-shm"):
                 (data / name).unlink(missing_ok=True)
             if loss == "older":
-                (data / sqlite.NAME).write_bytes((data / "snapshots" / "state-000000001000.db").read_bytes())
+                (data / sqlite.STORE_FILE).write_bytes((data / "snapshots" / "state-000000001000.db").read_bytes())
             elif loss == "empty":
-                (data / sqlite.MARK).unlink()
+                (data / sqlite.MARKER_FILE).unlink()
             else:
-                (data / sqlite.NAME).write_bytes(b"SQLite format 3" + b"\x00" * 5_000)
+                (data / sqlite.STORE_FILE).write_bytes(b"SQLite format 3" + b"\x00" * 5_000)
             files = {p.name: p.read_bytes() for p in (data / "proxies").iterdir()}
             fleet = rig.installation.fleet  # the box that drained would answer
             gone = fleet.servers.get("b-2") or await fleet.add("b-2", "box", (rig.host, rig.ports[2]))
@@ -805,12 +809,12 @@
     plane = Plane(tmp_path)
     plane.apply()
     for now in range(10_000, 10_015):
-        path, _ = sqlite.keep_snapshot(tmp_path, now)
+        path, _ = sqlite.take_periodic_snapshot(tmp_path, now)
     assert len(list((tmp_path / "snapshots").iterdir())) == 10 and path.name == "state-000000010014.db"
     plane.store.close()
-    (tmp_path / sqlite.NAME).write_bytes(b"")
+    (tmp_path / sqlite.STORE_FILE).write_bytes(b"")
     path.write_bytes(path.read_bytes()[:-4_096])
     said: list[str] = []
-    store = sqlite.open_or_set_aside(tmp_path, lambda event, **more: said.append(event))
+    store = sqlite.open_or_recover(tmp_path, lambda event, **more: said.append(event))
     assert said == ["store lost", "snapshot passed by", "snapshot taken"]
     assert len(list(store.records())) == len(plane.ledger.fleet.records)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -441,9 +441,9 @@
         for path in (one.data / back).iterdir():
             if path.is_file():
                 path.unlink()
-        from threadhill.control.sqlite import Sqlite
+        from threadhill.control.sqlite import SqliteStore
 
-        other = Sqlite(one.data / back)  # another installation's store
+        other = SqliteStore(one.data / back)  # another installation's store
         other.commit(Change(meta={"pos": 900}, events=[(900, b'{"pos":900}\n')]))
         other.close()
         await one.start_member(back)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -20,7 +20,7 @@
 from tests.script import CACHES, MS, SECOND, Script, cache
 from tests.test_links import PROXIES, RATE
 from tests.world import ROOT, until
-from threadhill.control.pace import Pace
+from threadhill.control.pace import CatchUpLimiter
 from threadhill.decision import interface as api
 from threadhill.decision.interface import State
 from threadhill.recovery import adopt, learned, saved
@@ -284,11 +284,11 @@
 
 
 def test_who_comes_when_too_many_wait_is_told_a_moment_of_its_own() -> None:
-    pace = Pace(waiting=5)
-    assert pace.later(4, 0) == 0
-    told = [pace.later(5, 0) for _ in range(500)]
+    limiter = CatchUpLimiter(max_waiting=5)
+    assert limiter.retry_delay(4, 0) == 0
+    told = [limiter.retry_delay(5, 0) for _ in range(500)]
     assert told == sorted(told) and told[0] >= 50 and 250 <= told[-1] <= 350
-    assert max(pace.later(5, 0) for _ in range(100_000)) == 3_000
+    assert max(limiter.retry_delay(5, 0) for _ in range(100_000)) == 3_000
 
 
 # --- a control plane that lost its state
--- a/threadhill/control/adoption.py
+++ b/threadhill/control/adoption.py
@@ -1,9 +1,9 @@
-"""A control plane that finds that proxies know newer news than its store: it tells nothing, until an operator decides.
+"""Holds back the state of a control plane whose proxies know newer events than its store, until an operator decides.
 
-Where the store was put back from an older snapshot, was lost or came up empty, its world is an older one: told to
-proxies it would put back what was drained, and remove what was added. So it is held: nothing is published, nothing
-applied, no file written. Meanwhile each proxy is asked what it holds, and what follows from that is shown
-(recovery/adopt.py).
+If the store was restored from an older snapshot, was lost or came up empty, its state is out of date: published to
+proxies, it would bring back servers that were drained and remove servers that were added. So the ledger is on hold:
+nothing is published or applied, and no file is written. Meanwhile each proxy is asked what it holds, and the state
+proposed from the answers is shown to the operator (recovery/adopt.py).
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 from threadhill.recovery.adopt import Held, Proposal
 from threadhill.settings import Malformed
 
-MOST = 10_000  # proxies whose worlds are remembered
+MAX_PROXIES = 10_000  # proxies whose reported states are kept
 
 
-class Adoption:
-    """Whether the ledger is held, and what its proxies say that they hold."""
+class AdoptionHold:
+    """Whether the ledger is on hold, and what its proxies report that they hold."""
 
     def __init__(self, ledger: Ledger, log: Callable[..., None]) -> None:
         self.ledger, self.log = ledger, log
-        self.held: dict[str, Held] = {}
-        self.seen = 0  # the greatest number that any proxy named
-        self.why = ""
+        self.holdings: dict[str, Held] = {}
+        self.highest_seen = 0  # the highest event number that any proxy named
+        self.reason = ""
         self.since = 0
 
     @property
-    def on(self) -> bool:
-        return bool(self.why)
+    def active(self) -> bool:
+        return bool(self.reason)
 
     def hold(self, why: str, now: int) -> None:
-        """Tell nothing from now on."""
-        if not self.why:
-            self.why, self.since = why, now
+        """Put the ledger on hold."""
+        if not self.reason:
+            self.reason, self.since = why, now
             self.ledger.hold_reason = why
             self.log(
                 "held",
@@ -48,18 +48,19 @@
                 advice="see `threadhill recovery status`, then `threadhill recovery adopt`",
             )
 
-    def named(self, number: int, now: int) -> bool:
-        """A proxy named the last number that it applied; whether this store knows that number."""
-        self.seen = max(self.seen, number)
+    def check_number(self, number: int, now: int) -> bool:
+        """Check the last number that a proxy applied: one beyond this store's puts the ledger on hold. Returns whether
+        the ledger is not on hold."""
+        self.highest_seen = max(self.highest_seen, number)
         if number > self.ledger.newest_event:
             self.hold(f"a proxy applied number {number}, and the newest event here is {self.ledger.newest_event}", now)
-        return not self.on
+        return not self.active
 
-    def said(self, raw: Any) -> None:
-        """A part of what a proxy holds. Raises Malformed where it is none."""
-        if len(self.held) >= MOST and raw.get("proxy") not in self.held:
-            raise Malformed("too many proxies say what they hold")
-        self.seen = max(self.seen, adopt.take(self.held, raw).pos)
+    def take_holding(self, raw: Any) -> None:
+        """Take in a part of what a proxy holds. Raises Malformed."""
+        if len(self.holdings) >= MAX_PROXIES and raw.get("proxy") not in self.holdings:
+            raise Malformed(f"over {MAX_PROXIES} proxies report what they hold")
+        self.highest_seen = max(self.highest_seen, adopt.take(self.holdings, raw).pos)
 
     def proposal(self) -> Proposal:
         records = {
@@ -67,22 +68,22 @@
             for id, r in self.ledger.fleet.records.items()
         }
         return adopt.propose(
-            self.held.values(),
+            self.holdings.values(),
             records,
             self.ledger.pos,
-            self.seen,
+            self.highest_seen,
             f"version {self.ledger.meta['version']}, number {self.ledger.newest_event}",
         )
 
     def status(self) -> dict[str, Any]:
-        told: dict[str, Any] = {"held": self.why, "since": self.since, "seen": self.seen}
-        if self.on:
-            told["proposal"] = self.proposal().document()
-        return told
-
-    def settle(self, digest: str, now: int) -> Proposal:
-        """Take the proposal that was shown, no other; numbers go on behind all that any proxy has seen."""
-        proposal = self._decided(digest)
+        status: dict[str, Any] = {"held": self.reason, "since": self.since, "seen": self.highest_seen}
+        if self.active:
+            status["proposal"] = self.proposal().document()
+        return status
+
+    def adopt_proposal(self, digest: str, now: int) -> Proposal:
+        """Record the proposal, which must be the one that was shown. Event numbers continue after the highest seen."""
+        proposal = self._check_digest(digest)
         records, found = [], set()
         for finding in proposal.findings:
             if finding.record is not None:
@@ -91,34 +92,34 @@
                 records.append(Record(r["kind"], r["name"], r["attrs"], Phase(r["phase"]), r["since"], pos, now))
                 found.add(finding.id)
         dropped = [id for id in self.ledger.fleet.records if id not in found]
-        self._go_on(proposal.pos, Change(records=records, dropped=dropped))
+        self._release(proposal.pos, Change(records=records, dropped=dropped))
         return proposal
 
-    def as_recorded(self, digest: str, now: int) -> Proposal:
-        """Take what the store holds as it is: the operator says that it is the truth, and what proxies hold is not."""
-        proposal = self._decided(digest)
-        records = self.ledger.fleet.records.values()  # who drains is waited for anew
-        self._go_on(
+    def keep_recorded(self, digest: str, now: int) -> Proposal:
+        """Keep the store's state as it is: the operator decided that it is right, and what the proxies hold is not."""
+        proposal = self._check_digest(digest)
+        records = self.ledger.fleet.records.values()  # drains are confirmed anew
+        self._release(
             proposal.pos,
             Change(records=[replace(r, pos=proposal.pos, at=now) for r in records if r.phase is Phase.DRAINING]),
         )
         return proposal
 
-    def _decided(self, digest: str) -> Proposal:
-        if not self.on:
-            raise Refused("not-held", "nothing is held: there is nothing to decide")
+    def _check_digest(self, digest: str) -> Proposal:
+        if not self.active:
+            raise Refused("not-held", "the state is not held back: there is nothing to decide")
         proposal = self.proposal()
         if digest != proposal.digest():
             raise Refused(
                 "conflict",
-                "more has become known since that proposal was shown: look at it again",
+                "the proposal has changed since it was shown: look at it again",
                 digest=proposal.digest(),
             )
         return proposal
 
-    def _go_on(self, pos: int, change: Change) -> None:
+    def _release(self, pos: int, change: Change) -> None:
         self.ledger.adopt(pos, change)
-        self.held.clear()
-        self.log("held no more", was=self.why, pos=pos)
-        self.why, self.ledger.hold_reason = "", ""
+        self.holdings.clear()
+        self.log("held no more", was=self.reason, pos=pos)
+        self.reason, self.ledger.hold_reason = "", ""
         self.ledger.on_publish()
--- a/threadhill/control/agreed.py
+++ b/threadhill/control/agreed.py
@@ -26,7 +26,7 @@
 from pysyncobj import SyncObj, SyncObjConf, replicated
 from pysyncobj.syncobj import SyncObjException
 
-from threadhill.control.sqlite import NAME, Sqlite
+from threadhill.control.sqlite import STORE_FILE, SqliteStore
 from threadhill.control.store import Apply, Change, StepState, Version, WriteFailed
 from threadhill.ownership.terms import CommandOutcome, Register
 from threadhill.plans.rules import Phase, Record
@@ -79,7 +79,7 @@
     def __init__(self, folder: Path, log: Callable[..., None]) -> None:
         self.folder, self.log = folder, log
         self.lock = threading.RLock()
-        self.sqlite = Sqlite(folder, threads=True)
+        self.sqlite = SqliteStore(folder, multithreaded=True)
         self.register = Register()
         self.applied = 0  # commands applied so far
         self.recent: OrderedDict[str, tuple[bool, str, int]] = OrderedDict()  # command id -> outcome
@@ -175,13 +175,13 @@
         self.on_image_loaded()
 
     def _replace_store(self, raw: bytes) -> None:
-        part = self.folder / f"{NAME}.part"
+        part = self.folder / f"{STORE_FILE}.part"
         part.write_bytes(raw)
         self.sqlite.close()
-        for name in (NAME + "-wal", NAME + "-shm"):
+        for name in (STORE_FILE + "-wal", STORE_FILE + "-shm"):
             (self.folder / name).unlink(missing_ok=True)
-        os.replace(part, self.folder / NAME)
-        self.sqlite = Sqlite(self.folder, threads=True)
+        os.replace(part, self.folder / STORE_FILE)
+        self.sqlite = SqliteStore(self.folder, multithreaded=True)
         self.sqlite.commit(Change(meta={"agreed": self.applied}))
 
 
@@ -354,7 +354,7 @@
     def __init__(self, consensus: Consensus, term: Callable[[], int]) -> None:
         self.consensus, self._term = consensus, term
 
-    def _read(self, query: Callable[[Sqlite], Any]) -> Any:
+    def _read(self, query: Callable[[SqliteStore], Any]) -> Any:
         machine = self.consensus.machine
         with machine.lock:
             return query(machine.sqlite)
--- a/threadhill/control/api.py
+++ b/threadhill/control/api.py
@@ -27,7 +27,7 @@
 from typing import TYPE_CHECKING, Any
 
 from threadhill.admin.http import Call, Problem
-from threadhill.control.adoption import Adoption
+from threadhill.control.adoption import AdoptionHold
 from threadhill.control.ledger import Ledger, Refused
 from threadhill.control.members_file import Member
 from threadhill.control.store import Apply, WriteFailed
@@ -61,7 +61,7 @@
         stats: Stats,
         now: Callable[[], int],
         log: Callable[..., None] = lambda event, **more: None,
-        adoption: Adoption | None = None,
+        adoption: AdoptionHold | None = None,
         recovery: Callable[[], dict[str, Any]] = dict,
         cluster: Cluster | None = None,
         works: Callable[[], list[dict[str, Any]]] = list,
@@ -158,7 +158,7 @@
 
     def _decide(self, how: str, call: Call) -> tuple[int, Any]:
         body = _body(call, digest=str, who=str)
-        decide = self.adoption.settle if how == "adopt" else self.adoption.as_recorded
+        decide = self.adoption.adopt_proposal if how == "adopt" else self.adoption.keep_recorded
         proposal = decide(body["digest"], self._now())
         self._log("decided", how=how, who=body["who"], pos=proposal.pos)
         return 200, {"pos": proposal.pos, "proposal": proposal.document()}
--- a/threadhill/control/clock_file.py
+++ b/threadhill/control/clock_file.py
@@ -1,9 +1,9 @@
-"""A control plane's time across its restarts.
+"""Keeps a control plane's time continuous across its restarts.
 
-What is recorded (when a server began to drain or to warm up, until when an apply is somebody's) is in the control
-plane's own time, and the next process goes on with it. The wall clock may be stepped between the two, so the time goes
-on by the machine's monotonic clock: the file holds by what the two clocks differed when the first process since the
-machine's start began. After a restart of the machine the wall clock is taken anew.
+Recorded times (when a server began to drain or to warm up, when an apply's lease expires) are in the control plane's
+own time, which the next process must continue. The wall clock may be stepped between the two processes, so time
+continues by the machine's monotonic clock: the file holds the offset between the two clocks, taken when the first
+process after the machine's boot started. After a reboot the offset is taken from the wall clock again.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from threadhill.core.clock import Clock
 from threadhill.files import replace_atomically
 
-NAME = "clock.json"
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")  # of this start of the machine, as Linux tells it
+CLOCK_FILE = "clock.json"
+BOOT_ID = Path("/proc/sys/kernel/random/boot_id")  # Linux: a new value at each boot
 
 
 def continued_clock(folder: Path, log: Callable[[str], None], boot_file: Path = BOOT_ID) -> Clock:
-    """The clock of a control plane whose state is in `folder`. A file that cannot be read or written is logged; then
-    the time starts from the wall clock, as after a restart of the machine."""
-    path, boot = folder / NAME, _boot_id(boot_file)
+    """The clock of a control plane whose state is in `folder`. A file that cannot be read or written is logged, and
+    time then starts from the wall clock, as after a reboot."""
+    path, boot = folder / CLOCK_FILE, _boot_id(boot_file)
     known = _read(path, log)
     if known is not None and boot and known[0] == boot:
         return Clock(anchor=known[1])
@@ -31,7 +31,7 @@
     try:
         replace_atomically(path, orjson.dumps({"boot": boot, "anchor": clock.anchor}))
     except OSError as error:
-        log(f"clock: {path}: not written: {error}; after a restart the time goes on by the wall clock")
+        log(f"clock: {path}: not written: {error}; after a restart the time continues from the wall clock")
     return clock
 
 
@@ -44,8 +44,8 @@
 
 def _read(path: Path, log: Callable[[str], None]) -> tuple[str, int] | None:
     try:
-        told = orjson.loads(path.read_bytes())
-        return str(told["boot"]), int(told["anchor"])
+        stored = orjson.loads(path.read_bytes())
+        return str(stored["boot"]), int(stored["anchor"])
     except FileNotFoundError:
         return None
     except (OSError, ValueError, KeyError, TypeError) as error:
--- a/threadhill/control/membership.py
+++ b/threadhill/control/membership.py
@@ -68,14 +68,14 @@
         status = self.by_name.setdefault(name, ProxyStatus(name))
         status.last_report_at, status.applied, status.config = now, applied, config
         status.up = frozenset(item for item in raw.get("up") or () if isinstance(item, str))
-        told = raw.get("recovery")
-        told = told if isinstance(told, Mapping) else {}
-        phase, cause = told.get("phase"), told.get("cause")
+        recovery = raw.get("recovery")
+        recovery = recovery if isinstance(recovery, Mapping) else {}
+        phase, cause = recovery.get("phase"), recovery.get("cause")
         status.phase = phase if phase in PHASES else None
         status.cause = cause[:200] if isinstance(cause, str) else ""
-        if "learned" in told:
+        if "learned" in recovery:
             with suppress(Malformed):  # an unreadable document is ignored, and the older one stays
-                status.learned = now, check(told["learned"])
+                status.learned = now, check(recovery["learned"])
         down = [item for item in raw.get("down") or () if isinstance(item, str)]
         status.down = {item: status.down.get(item, now) for item in down}
         return status
--- a/threadhill/control/server.py
+++ b/threadhill/control/server.py
@@ -17,12 +17,12 @@
 import structlog
 
 from threadhill.admin.http import HttpConnection
-from threadhill.control.adoption import Adoption
+from threadhill.control.adoption import AdoptionHold
 from threadhill.control.api import ControlApi
 from threadhill.control.clock_file import continued_clock
 from threadhill.control.feed import Feed
 from threadhill.control.ledger import Ledger, Refused
-from threadhill.control.sqlite import Sqlite, keep_snapshot, open_or_set_aside
+from threadhill.control.sqlite import SqliteStore, open_or_recover, take_periodic_snapshot
 from threadhill.control.store import Change, Store, StoreDamaged, WriteFailed
 from threadhill.knowledge.merge import Merged
 from threadhill.log import Log
@@ -85,10 +85,10 @@
             self.cluster = Cluster(places.data, *places.members, places.member, places.token, log.warning)
             self.store: Store = ReplicatedStore(self.cluster.consensus, self.cluster.owned_term)
         else:
-            self.store = open_or_set_aside(places.data, log.warning) if places.adopt else Sqlite(places.data)
+            self.store = open_or_recover(places.data, log.warning) if places.adopt else SqliteStore(places.data)
         self.ledger = Ledger(self.store, self._published)
         self.knowledge = Merged()
-        self.adoption = Adoption(self.ledger, log.warning)
+        self.adoption = AdoptionHold(self.ledger, log.warning)
         if places.adopt:
             self.adoption.hold("started with --adopt", self.now())
         self.phases = FleetPhases()
@@ -137,7 +137,7 @@
             self.cluster.on_change, self.cluster.on_reload = self._foreign, self._reloaded
             self.cluster.start()
         else:
-            self.adoption.named(self._filed(), self.now())
+            self.adoption.check_number(self._filed(), self.now())
         self._write()
         self._tick()
         self.log.info(
@@ -219,7 +219,7 @@
     async def _snap(self) -> None:
         self._snapshot_at = self.now()
         try:
-            path = await asyncio.to_thread(keep_snapshot, self.places.data, self._snapshot_at // 1_000)
+            path = await asyncio.to_thread(take_periodic_snapshot, self.places.data, self._snapshot_at // 1_000)
             self.log.info("snapshot", file=str(path[0]))
         except (StoreDamaged, WriteFailed, OSError) as error:
             self.log.error("snapshot not taken", error=str(error))
@@ -332,7 +332,7 @@
     def _write(self) -> None:
         """Write each proxy's configuration, whole or not at all, and take those away that are not recorded."""
         self._dirty = False
-        if self.adoption.on:
+        if self.adoption.active:
             return  # an older world is no file for a proxy to start with
         folder = self.places.data / "proxies"
         folder.mkdir(exist_ok=True)
--- a/threadhill/control/service.py
+++ b/threadhill/control/service.py
@@ -62,7 +62,7 @@
 
 @told
 def snapshot(data: Path, file: Path) -> None:
-    sqlite.take_snapshot(data, file)
+    sqlite.write_snapshot(data, file)
     typer.echo(f"{file}: {file.stat().st_size} bytes, checked")
 
 
@@ -77,7 +77,7 @@
     taken = failed = 0
     while not ends.is_set():
         try:
-            path, gone = sqlite.keep_snapshot(data, unix_seconds())
+            path, gone = sqlite.take_periodic_snapshot(data, unix_seconds())
             typer.echo(f"{path}: checked" + (f"; {len(gone)} older ones let go" if gone else ""))
             taken, failed = taken + 1, 0
         except (StoreDamaged, WriteFailed, OSError) as error:
@@ -95,6 +95,6 @@
     meta = sqlite.restore(data, file)
     typer.echo(
         f"{data}: state version {meta['version']}; event numbers go on from {meta['pos'] + 1}. What was there "
-        f"is kept as {data}/replaced.{sqlite.NAME}. If a proxy knows newer events than the snapshot, nothing is "
+        f"is kept as {data}/replaced.{sqlite.STORE_FILE}. If a proxy knows newer events than the snapshot, nothing is "
         "told until you decide: see `threadhill recovery status`"
     )
--- a/threadhill/control/sqlite.py
+++ b/threadhill/control/sqlite.py
@@ -1,4 +1,4 @@
-"""The embedded store: SQLite in WAL mode, in a folder of its own that one control plane holds at a time."""
+"""The embedded store: SQLite in WAL mode, in a folder of its own that one control plane locks at a time."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from threadhill.recovery.ages import to_drop
 
 SCHEMA = 2
-NAME = "state.db"
-MARK = "threadhill.store"  # says that there was a store: an empty file of the name above is no fresh one then
-STARTED = {"pos": 0, "serial": 0, "version": 0, "apply": 0, "token": 0}
+STORE_FILE = "state.db"
+MARKER_FILE = "threadhill.store"  # present once a store was created: a missing or empty database then counts as lost
+INITIAL_COUNTERS = {"pos": 0, "serial": 0, "version": 0, "apply": 0, "token": 0}
 TABLES = """
 CREATE TABLE meta (name TEXT PRIMARY KEY, value INTEGER NOT NULL) WITHOUT ROWID;
 CREATE TABLE records (id TEXT PRIMARY KEY, kind TEXT NOT NULL, name TEXT NOT NULL, attrs BLOB NOT NULL,
@@ -34,23 +34,24 @@
 CREATE TABLE steps (apply INTEGER NOT NULL, id TEXT NOT NULL, state TEXT NOT NULL, pos INTEGER NOT NULL,
     at INTEGER NOT NULL, note TEXT NOT NULL, PRIMARY KEY (apply, id)) WITHOUT ROWID;
 """
-OPEN = "CREATE INDEX IF NOT EXISTS open_applies ON applies (number) WHERE state = 'open';"
+OPEN_APPLIES_INDEX = "CREATE INDEX IF NOT EXISTS open_applies ON applies (number) WHERE state = 'open';"
 
 
-def _to_2(db: sqlite3.Connection) -> None:
-    """1 -> 2: the one open apply is looked up at each start and after each change of it."""
-    db.execute(OPEN)
+def _migrate_to_2(db: sqlite3.Connection) -> None:
+    """1 -> 2: an index for the open apply, which is looked up at each start and after each change of it."""
+    db.execute(OPEN_APPLIES_INDEX)
 
 
-MIGRATIONS: dict[int, Callable[[sqlite3.Connection], None]] = {1: _to_2}
+MIGRATIONS: dict[int, Callable[[sqlite3.Connection], None]] = {1: _migrate_to_2}
 
 
-class Sqlite:
-    """The `Store` on SQLite. Opening it checks the whole file; what is wrong is told, and nothing is written then."""
+class SqliteStore:
+    """The `Store` on SQLite. Opening checks the whole file; if it is damaged, StoreDamaged is raised and nothing is
+    written."""
 
-    def __init__(self, folder: Path, create: bool = True, threads: bool = False) -> None:
-        self._threads = threads  # used from several, by who sees to it that they take turns
-        self.folder, self.path = folder, folder / NAME
+    def __init__(self, folder: Path, create: bool = True, multithreaded: bool = False) -> None:
+        self._multithreaded = multithreaded  # used from several threads; the caller serializes the calls
+        self.folder, self.path = folder, folder / STORE_FILE
         self._lock = _lock(folder, create)
         try:
             self._open(create)
@@ -59,44 +60,48 @@
             raise
 
     def _open(self, create: bool) -> None:
-        mark = self.folder / MARK
-        there = self.path.exists() and self.path.stat().st_size > 0
-        if mark.exists() and not there:
+        marker = self.folder / MARKER_FILE
+        exists = self.path.exists() and self.path.stat().st_size > 0
+        if marker.exists() and not exists:
             raise StoreDamaged(
-                f"{self.path} is missing or empty, though there was a store: put a snapshot back with "
-                f"`threadhill state restore`, or remove {mark} to begin with nothing"
+                f"{self.path} is missing or empty, though there was a store: restore a snapshot with "
+                f"`threadhill state restore`, or remove {marker} to start with an empty store"
             )
-        if not there and not create:
+        if not exists and not create:
             raise StoreDamaged(f"{self.folder} holds no store")
         try:
-            self.db = sqlite3.connect(self.path, isolation_level=None, timeout=5, check_same_thread=not self._threads)
+            self.db = sqlite3.connect(
+                self.path, isolation_level=None, timeout=5, check_same_thread=not self._multithreaded
+            )
             self.db.execute("PRAGMA journal_mode = WAL")
             self.db.execute("PRAGMA synchronous = FULL")
-            if there:
-                check(self.db, self.path)
+            if exists:
+                check_integrity(self.db, self.path)
             else:
                 self._create()
         except (sqlite3.DatabaseError, ValueError, TypeError) as error:
-            raise StoreDamaged(f"{self.path}: {error}: put a snapshot back with `threadhill state restore`") from None
-        mark.touch()
+            raise StoreDamaged(f"{self.path}: {error}: restore a snapshot with `threadhill state restore`") from None
+        marker.touch()
         self._migrate()
 
     def _create(self) -> None:
-        self.db.executescript("BEGIN;" + TABLES + OPEN + "COMMIT;")
+        self.db.executescript("BEGIN;" + TABLES + OPEN_APPLIES_INDEX + "COMMIT;")
         with self._transaction():
-            self.db.executemany("INSERT INTO meta VALUES (?, ?)", [*STARTED.items(), ("schema", SCHEMA), ("sum", 0)])
-            _sign(self.db)
+            self.db.executemany(
+                "INSERT INTO meta VALUES (?, ?)", [*INITIAL_COUNTERS.items(), ("schema", SCHEMA), ("sum", 0)]
+            )
+            _update_meta_checksum(self.db)
 
     def _migrate(self) -> None:
-        """Bring an older store up to date, a schema at a time; the file as it was stays beside it."""
-        was = self.meta()["schema"]
-        if was < SCHEMA:
-            self.snapshot(self.folder / f"state.schema-{was}.db")
-        for schema in range(was, SCHEMA):
+        """Migrate an older store, one schema at a time. A copy of the old file is kept beside it."""
+        found = self.meta()["schema"]
+        if found < SCHEMA:
+            self.snapshot(self.folder / f"state.schema-{found}.db")
+        for schema in range(found, SCHEMA):
             with self._transaction():
                 MIGRATIONS[schema](self.db)
                 self.db.execute("UPDATE meta SET value = ? WHERE name = 'schema'", (schema + 1,))
-                _sign(self.db)
+                _update_meta_checksum(self.db)
 
     @contextmanager
     def _transaction(self) -> Iterator[None]:
@@ -125,10 +130,10 @@
         found = list(
             self.db.execute("SELECT pos, line, sum FROM events WHERE pos > ? ORDER BY pos LIMIT ?", (after, limit))
         )
-        for pos, line, told in found:
-            if _sum(pos, line) != told:
+        for pos, line, stored in found:
+            if _checksum(pos, line) != stored:
                 raise StoreDamaged(
-                    f"{self.path} is damaged (event {pos} was changed): put a snapshot back with "
+                    f"{self.path} is damaged (event {pos} was changed): restore a snapshot with "
                     "`threadhill state restore`"
                 )
         return [(pos, line) for pos, line, _ in found]
@@ -177,10 +182,13 @@
                 "INSERT INTO meta VALUES (?, ?) ON CONFLICT (name) DO UPDATE SET value = excluded.value",
                 list(change.meta.items()),
             )
-            _sign(self.db)
+            _update_meta_checksum(self.db)
             many("DELETE FROM records WHERE id = ?", [(id,) for id in change.dropped])
-            many("INSERT OR REPLACE INTO records VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?)", map(_row, change.records))
-            many("INSERT INTO events VALUES (?, ?, ?)", [(pos, line, _sum(pos, line)) for pos, line in change.events])
+            many("INSERT OR REPLACE INTO records VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?)", map(_record_row, change.records))
+            many(
+                "INSERT INTO events VALUES (?, ?, ?)",
+                [(pos, line, _checksum(pos, line)) for pos, line in change.events],
+            )
             if change.forget_events:
                 run("DELETE FROM events WHERE pos <= ?", (change.forget_events,))
             if change.version is not None:
@@ -189,12 +197,12 @@
                     "INSERT OR REPLACE INTO versions VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?)",
                     (
                         *(row := (v.number, v.at, v.who, v.why, v.base, orjson.dumps(v.wanted), v.plan, v.state)),
-                        str(_sum(*row)),
+                        str(_checksum(*row)),
                     ),
                 )
             if change.apply is not None:
                 a = change.apply
-                # The plan is written once: it is large, and the lease is renewed often.
+                # An update leaves the plan out: it is large, and the lease is renewed often.
                 run(
                     "INSERT INTO applies VALUES (?, ?, ?, ?, ?, ?, ?, ?) ON CONFLICT (number) DO UPDATE SET "
                     "state = excluded.state, holder = excluded.holder, token = excluded.token, "
@@ -214,72 +222,77 @@
         os.close(self._lock)
 
 
-def _sum(*values: object) -> int:
-    """CRC-32 of a row: the database finds a broken page by its form, but not a changed byte of what it holds."""
+def _checksum(*values: object) -> int:
+    """CRC-32 of a row. SQLite detects a malformed page, but not a changed byte within a value."""
     return zlib.crc32(b"\0".join(v if isinstance(v, bytes) else str(v).encode() for v in values))
 
 
-def _meta_sum(meta: dict[str, int]) -> int:
-    return _sum(*(f"{name}={value}" for name, value in sorted(meta.items()) if name != "sum"))
+def _meta_checksum(meta: dict[str, int]) -> int:
+    return _checksum(*(f"{name}={value}" for name, value in sorted(meta.items()) if name != "sum"))
 
 
-def _sign(db: sqlite3.Connection) -> None:
-    """Set the sum over the counters anew."""
+def _update_meta_checksum(db: sqlite3.Connection) -> None:
+    """Recompute the checksum of the counters."""
     meta = dict(db.execute("SELECT name, value FROM meta"))
-    db.execute("UPDATE meta SET value = ? WHERE name = 'sum'", (_meta_sum(meta),))
+    db.execute("UPDATE meta SET value = ? WHERE name = 'sum'", (_meta_checksum(meta),))
 
 
-def _row(r: Record) -> tuple:
+def _record_row(r: Record) -> tuple:
     row = (r.id, r.kind, r.name, orjson.dumps(r.attrs), r.phase.value, r.since, r.pos, r.at)
-    return *row, _sum(*row)
+    return *row, _checksum(*row)
 
 
 def _lock(folder: Path, create: bool) -> int:
-    """Hold the folder: two that write the same store would each publish numbers of its own."""
+    """Lock the folder: two control planes that wrote the same store would publish conflicting event numbers."""
     try:
         if create:
             folder.mkdir(parents=True, exist_ok=True)
         handle = os.open(folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
     except OSError as error:
-        raise StoreDamaged(f"{folder}: {error.strerror}: name a folder that can be written") from None
+        raise StoreDamaged(f"{folder}: {error.strerror}: name a writable folder") from None
     try:
         fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
         os.close(handle)
-        raise StoreDamaged(f"{folder} is in use: another control plane holds it; stop that one first") from None
+        raise StoreDamaged(f"{folder} is in use by another control plane: stop that one first") from None
     return handle
 
 
-def check(db: sqlite3.Connection, path: Path) -> None:
-    """Raises Damaged or sqlite3.DatabaseError where the file is not whole, or is of a newer program."""
-    names = {row[0] for row in db.execute("SELECT name FROM sqlite_master WHERE type = 'table'")}
-    wanted = {"meta", "records", "events", "versions", "applies", "steps"}
-    advice = "put a snapshot back with `threadhill state restore`"
-    if not names >= wanted:
-        raise StoreDamaged(f"{path} lacks {', '.join(sorted(wanted - names))}: it was made only in part; {advice}")
+def check_integrity(db: sqlite3.Connection, path: Path) -> None:
+    """Raise StoreDamaged or sqlite3.DatabaseError if the file is incomplete, damaged, or of a newer program."""
+    tables = {row[0] for row in db.execute("SELECT name FROM sqlite_master WHERE type = 'table'")}
+    required = {"meta", "records", "events", "versions", "applies", "steps"}
+    advice = "restore a snapshot with `threadhill state restore`"
+    if not tables >= required:
+        raise StoreDamaged(f"{path} has no table {', '.join(sorted(required - tables))}: it is incomplete; {advice}")
     meta = dict(db.execute("SELECT name, value FROM meta"))
     if meta.get("schema", 0) > SCHEMA:
         raise StoreDamaged(
-            f"{path} has schema {meta['schema']} and this program knows {SCHEMA}: start the program that "
+            f"{path} has schema {meta['schema']} and this program knows {SCHEMA} at most: use the release that "
             "wrote it, or a newer one"
         )
-    if not set(STARTED) | {"schema", "sum"} <= set(meta):
-        raise StoreDamaged(f"{path} was made only in part; {advice}")
+    if not set(INITIAL_COUNTERS) | {"schema", "sum"} <= set(meta):
+        raise StoreDamaged(f"{path} is incomplete: counters are missing; {advice}")
     found = db.execute("PRAGMA quick_check(1)").fetchone()[0]
     if found != "ok":
         raise StoreDamaged(f"{path} is damaged ({found}); {advice}")
-    newest = "SELECT * FROM events ORDER BY pos DESC LIMIT 2000"  # others are checked when they are read
-    for *row, told in itertools.chain(db.execute("SELECT * FROM records"), db.execute(newest)):
-        if _sum(*row) != told:
+    newest = "SELECT * FROM events ORDER BY pos DESC LIMIT 2000"  # older ones are checked when they are read
+    for *row, stored in itertools.chain(db.execute("SELECT * FROM records"), db.execute(newest)):
+        if _checksum(*row) != stored:
             raise StoreDamaged(f"{path} is damaged (the row of {row[0]} was changed); {advice}")
     last = db.execute("SELECT max(pos) FROM events").fetchone()[0] or 0
     row = db.execute("SELECT * FROM versions ORDER BY number DESC LIMIT 1").fetchone()
-    if last > meta["pos"] or meta["sum"] != _meta_sum(meta) or row is not None and str(_sum(*row[:-1])) != row[-1]:
-        raise StoreDamaged(f"{path} does not fit together; {advice}")
+    if (
+        last > meta["pos"]
+        or meta["sum"] != _meta_checksum(meta)
+        or row is not None
+        and str(_checksum(*row[:-1])) != row[-1]
+    ):
+        raise StoreDamaged(f"{path} is inconsistent: its counters, events and versions do not match; {advice}")
 
 
 def snapshot(db: sqlite3.Connection, path: Path) -> None:
-    """Copy the database, while it is written to or not; the copy is checked before it takes its name."""
+    """Copy the database, which may be in use. The copy is checked before it is renamed to `path`."""
     part = path.with_name(path.name + ".part")
     part.unlink(missing_ok=True)
     copy = None
@@ -287,7 +300,7 @@
         copy = sqlite3.connect(part)
         db.backup(copy)
         copy.execute("PRAGMA journal_mode = DELETE")
-        check(copy, part)
+        check_integrity(copy, part)
         copy.close()
         os.replace(part, path)
     except (sqlite3.Error, OSError) as error:
@@ -297,50 +310,50 @@
         raise WriteFailed(f"{path}: {error}") from None
 
 
-def open_or_set_aside(folder: Path, log: Callable[..., None]) -> Sqlite:
-    """The store; where it can't be served from, the newest good snapshot in FOLDER/snapshots in its place, else an
-    empty one. What was there is kept beside it. For a start in which nothing is told before an operator has decided."""
+def open_or_recover(folder: Path, log: Callable[..., None]) -> SqliteStore:
+    """Open the store. If it is damaged, replace it by the newest good snapshot in FOLDER/snapshots, else by an empty
+    store; the old files are kept beside it. For --adopt, with which nothing is published until an operator decides."""
     try:
-        return Sqlite(folder)
+        return SqliteStore(folder)
     except StoreDamaged as error:
         if f"{folder} is in use" in str(error):
             raise
         log("store lost", why=str(error))
-    (folder / MARK).unlink(missing_ok=True)
+    (folder / MARKER_FILE).unlink(missing_ok=True)
     for path in sorted((folder / "snapshots").glob("state-*.db"), reverse=True):
         try:
             restore(folder, path)
             log("snapshot taken", file=str(path))
-            return Sqlite(folder)
+            return SqliteStore(folder)
         except StoreDamaged as error:
             log("snapshot passed by", why=str(error))
-    for name in (NAME, NAME + "-wal", NAME + "-shm"):
+    for name in (STORE_FILE, STORE_FILE + "-wal", STORE_FILE + "-shm"):
         if (folder / name).exists():
             os.replace(folder / name, folder / f"replaced.{name}")
-    (folder / MARK).unlink(missing_ok=True)
-    return Sqlite(folder)
+    (folder / MARKER_FILE).unlink(missing_ok=True)
+    return SqliteStore(folder)
 
 
-def keep_snapshot(folder: Path, now: int) -> tuple[Path, list[Path]]:
-    """Take a checked snapshot into FOLDER/snapshots, and let go of those that their age says; both are returned."""
-    place = folder / "snapshots"
-    place.mkdir(exist_ok=True)
-    path = place / f"state-{now:012d}.db"
-    take_snapshot(folder, path)
+def take_periodic_snapshot(folder: Path, now: int) -> tuple[Path, list[Path]]:
+    """Write a checked snapshot to FOLDER/snapshots and delete old ones by age; returns its path and the deleted."""
+    snapshots = folder / "snapshots"
+    snapshots.mkdir(exist_ok=True)
+    path = snapshots / f"state-{now:012d}.db"
+    write_snapshot(folder, path)
     times = {
         int(p.stem.removeprefix("state-")): p
-        for p in place.glob("state-*.db")
+        for p in snapshots.glob("state-*.db")
         if p.stem.removeprefix("state-").isdigit()
     }
-    gone = [times[time] for time in to_drop(times, now)]
-    for old in gone:
+    deleted = [times[time] for time in to_drop(times, now)]
+    for old in deleted:
         old.unlink()
-    return path, gone
+    return path, deleted
 
 
-def take_snapshot(folder: Path, path: Path) -> None:
-    """A snapshot of a store that a control plane may be serving from meanwhile."""
-    source = folder / NAME
+def write_snapshot(folder: Path, path: Path) -> None:
+    """Write a checked snapshot of a store, which a running control plane may be using."""
+    source = folder / STORE_FILE
     if not source.exists():
         raise StoreDamaged(f"{folder} holds no store")
     try:
@@ -348,7 +361,7 @@
     except sqlite3.Error as error:
         raise StoreDamaged(f"{source}: {error}") from None
     try:
-        check(db, source)
+        check_integrity(db, source)
         snapshot(db, path)
     except (sqlite3.DatabaseError, ValueError, TypeError) as error:
         raise StoreDamaged(f"{source}: {error}") from None
@@ -357,39 +370,39 @@
 
 
 def restore(folder: Path, path: Path) -> dict[str, int]:
-    """Put a snapshot in the place of the store, which nobody may be serving from; what was there is kept beside it.
+    """Replace the store, which must not be in use, by a snapshot; the old files are kept beside it.
 
-    Event numbers go on behind those of the store that is replaced, where it can still be read: a number that was told
-    once must never be told for something else. The counters of the new store are returned.
+    Event numbers continue after those of the replaced store, if it can still be read: a published number must never be
+    published again for another event. Returns the counters of the new store.
     """
     if not path.exists():
-        raise StoreDamaged(f"{path}: there is no such file")
+        raise StoreDamaged(f"{path}: no such file")
     handle = _lock(folder, create=True)
     try:
         copy = sqlite3.connect(path)
         try:
-            check(copy, path)
+            check_integrity(copy, path)
         except (sqlite3.DatabaseError, ValueError, TypeError) as error:
             raise StoreDamaged(f"{path}: {error}") from None
-        old, target = 0, folder / NAME
+        old, target = 0, folder / STORE_FILE
         if target.exists():
             with suppress(sqlite3.Error):
-                was = sqlite3.connect(target)
-                old = was.execute("SELECT value FROM meta WHERE name = 'pos'").fetchone()[0]
-                was.close()
-            for name in (NAME, NAME + "-wal", NAME + "-shm"):
+                replaced = sqlite3.connect(target)
+                old = replaced.execute("SELECT value FROM meta WHERE name = 'pos'").fetchone()[0]
+                replaced.close()
+            for name in (STORE_FILE, STORE_FILE + "-wal", STORE_FILE + "-shm"):
                 if (folder / name).exists():
                     os.replace(folder / name, folder / f"replaced.{name}")
         snapshot(copy, target)
         copy.close()
         db = sqlite3.connect(target)
         with db:
-            # Proxies have events of numbers that the snapshot does not know: the next one stands clear of them.
+            # Proxies may have events whose numbers the snapshot lacks: the next number must be higher than those.
             db.execute("UPDATE meta SET value = max(value, ?) + 1 WHERE name = 'pos'", (old,))
-            _sign(db)
+            _update_meta_checksum(db)
             meta = dict(db.execute("SELECT name, value FROM meta"))
         db.close()
-        (folder / MARK).touch()
+        (folder / MARKER_FILE).touch()
         return meta
     finally:
         os.close(handle)
