--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -816,5 +816,5 @@
     path.write_bytes(path.read_bytes()[:-4_096])
     said: list[str] = []
     store = sqlite.open_or_recover(tmp_path, lambda event, **more: said.append(event))
-    assert said == ["store lost", "snapshot passed by", "snapshot taken"]
+    assert said == ["store lost", "snapshot skipped", "snapshot restored"]
     assert len(list(store.records())) == len(plane.ledger.fleet.records)
--- a/threadhill/control/api.py
+++ b/threadhill/control/api.py
@@ -1,23 +1,23 @@
-"""The control plane's HTTP API, version 1. Each call that changes something checks all that it is given first.
+"""The control plane's HTTP API, version 1. A call that changes something validates its whole body first.
 
 GET  /v1/state                     the recorded state, and the open apply
 GET  /v1/observed                  what proxies report
 GET  /v1/versions?before=N         the newest versions below N
-GET  /v1/versions/N                one version with all that it wants
+GET  /v1/versions/N                one version with its whole desired state
 GET  /v1/applies/N                 an open apply: its steps as done, in doubt or left
-POST /v1/applies                   {"plan", "holder", "who", "why"}: open one; a lease comes with it
+POST /v1/applies                   {"plan", "holder", "who", "why"}: open an apply; answers with its lease
 POST /v1/applies/N/advance         {"token"}: carry it on as far as it goes now
-POST /v1/applies/N/resume          {"holder"}: take over one whose lease has run out
+POST /v1/applies/N/resume          {"holder"}: take over an apply whose lease has expired
 POST /v1/applies/N/abandon         {"who"}: end it where it stands
-GET  /v1/recovery                  the fleet's phases; whether anything is held, and the proposal
-POST /v1/recovery/adopt            {"digest", "who"}: take the proposal that was shown
-POST /v1/recovery/as-recorded      {"digest", "who"}: take the store's state as it is
-GET  /v1/members                   the members, who owns, and how old what this one knows may be
-GET  /v1/works                     what is done for the fleet, by whom and how far
-POST /v1/owner/hand-over           {"to"}: the owner gives its term up, for that member or any
-POST /v1/members                   {"name", "agree", "api", "feed"}: a member more
-POST /v1/members/NAME/remove       a member less
-POST /v1/reports                   a list of proxies' reports that came to another member
+GET  /v1/recovery                  the fleet's phases; whether the state is held back, and the proposal
+POST /v1/recovery/adopt            {"digest", "who"}: record the proposal that was shown
+POST /v1/recovery/as-recorded      {"digest", "who"}: keep the store's state as it is
+GET  /v1/members                   the members, the owner, and how old this member's state may be
+GET  /v1/works                     the fleet's background tasks, which member runs each, and their progress
+POST /v1/owner/hand-over           {"to"}: the owner releases its term, for that member or any
+POST /v1/members                   {"name", "agree", "api", "feed"}: add a member
+POST /v1/members/NAME/remove       remove a member
+POST /v1/reports                   a list of proxies' reports that another member received
 GET  /v1/stats                     the counters
 """
 
@@ -36,9 +36,9 @@
 if TYPE_CHECKING:
     from threadhill.control.council import Cluster
 
-PAGE = 50
-OWNERS = (["observed"], ["recovery"], ["works"])  # what only the owner can tell
-CODES = {
+PAGE_SIZE = 50
+OWNER_ONLY = (["observed"], ["recovery"], ["works"])  # paths that only the owner can answer
+STATUS_CODES = {
     "bad-plan": 422,
     "not-open": 404,
     "lease-lost": 409,
@@ -53,7 +53,7 @@
 
 
 class ControlApi:
-    """Answers calls."""
+    """Handles the API's calls."""
 
     def __init__(
         self,
@@ -64,10 +64,10 @@
         adoption: AdoptionHold | None = None,
         recovery: Callable[[], dict[str, Any]] = dict,
         cluster: Cluster | None = None,
-        works: Callable[[], list[dict[str, Any]]] = list,
+        tasks: Callable[[], list[dict[str, Any]]] = list,
         report: Callable[[dict[str, Any]], bool] = lambda raw: False,
     ) -> None:
-        self.cluster, self._works, self._report = cluster, works, report
+        self.cluster, self._tasks, self._report = cluster, tasks, report
         self.ledger, self.stats, self._now, self._log = ledger, stats, now, log
         self.adoption, self._recovery = adoption, recovery
 
@@ -77,22 +77,22 @@
         path = target.strip("/").split("/")
         if path[0] != "v1":
             raise Problem(404, "not-found", "paths begin with /v1")
-        methods = self._methods(path[1:], query)
-        if not methods:
-            raise Problem(404, "not-found", f"nothing at {call.path}")
-        if call.method not in methods:
-            raise Problem(405, "method-not-allowed", f"{call.method} is not for {call.path}", ", ".join(methods))
+        handlers = self._handlers(path[1:], query)
+        if not handlers:
+            raise Problem(404, "not-found", f"there is no resource {call.path}")
+        if call.method not in handlers:
+            raise Problem(405, "method-not-allowed", f"{call.path} does not allow {call.method}", ", ".join(handlers))
         try:
-            # What proxies report goes to the owner; all else can be read at any member, with how old it may be.
-            if self.cluster is not None and (call.method == "POST" or path[1:] in OWNERS):
+            # Proxies' reports are relayed to the owner only; any member answers the rest, with the age of its state.
+            if self.cluster is not None and (call.method == "POST" or path[1:] in OWNER_ONLY):
                 self.cluster.require_ownership()
-            return methods[call.method](call)
+            return handlers[call.method](call)
         except Refused as error:
-            raise Problem(CODES[error.code], error.code, str(error), **error.more) from None
+            raise Problem(STATUS_CODES[error.code], error.code, str(error), **error.more) from None
         except WriteFailed as error:
             raise Problem(507, "not-written", str(error)) from None
 
-    def _methods(self, path: list[str], query: str) -> dict[str, Callable[[Call], tuple[int, Any]]]:
+    def _handlers(self, path: list[str], query: str) -> dict[str, Callable[[Call], tuple[int, Any]]]:
         ledger = self.ledger
         match path:
             case ["state"]:
@@ -110,7 +110,7 @@
             case ["reports"] if self.cluster is not None:
                 return {"POST": self._reports}
             case ["works"]:
-                return {"GET": lambda call: (200, {"works": self._works()})}
+                return {"GET": lambda call: (200, {"works": self._tasks()})}
             case ["recovery"]:
                 return {"GET": lambda call: (200, self._recovery())}
             case ["recovery", ("adopt" | "as-recorded") as how] if self.adoption is not None:
@@ -118,17 +118,17 @@
             case ["versions"]:
                 return {"GET": lambda call: self._versions(query)}
             case ["versions", number]:
-                return {"GET": lambda call: self._version(_number(number))}
+                return {"GET": lambda call: self._version(_parse_number(number))}
             case ["applies"]:
                 return {"POST": self._begin}
             case ["applies", number]:
-                return {"GET": lambda call: self._open(_number(number))}
+                return {"GET": lambda call: self._open_apply(_parse_number(number))}
             case ["applies", number, "advance"]:
-                return {"POST": lambda call: self._advance(_number(number), call)}
+                return {"POST": lambda call: self._advance(_parse_number(number), call)}
             case ["applies", number, "resume"]:
-                return {"POST": lambda call: self._resume(_number(number), call)}
+                return {"POST": lambda call: self._resume(_parse_number(number), call)}
             case ["applies", number, "abandon"]:
-                return {"POST": lambda call: self._abandon(_number(number), call)}
+                return {"POST": lambda call: self._abandon(_parse_number(number), call)}
         return {}
 
     def _join(self, call: Call) -> tuple[int, Any]:
@@ -151,9 +151,9 @@
 
     def _reports(self, call: Call) -> tuple[int, Any]:
         raw = call.json()
-        reports = [one for one in raw if isinstance(one, dict)] if isinstance(raw, list) else []
-        for one in reports:
-            self._report(one)
+        reports = [report for report in raw if isinstance(report, dict)] if isinstance(raw, list) else []
+        for report in reports:
+            self._report(report)
         return 200, {"taken": len(reports)}
 
     def _decide(self, how: str, call: Call) -> tuple[int, Any]:
@@ -164,27 +164,32 @@
         return 200, {"pos": proposal.pos, "proposal": proposal.document()}
 
     def _as_of(self) -> dict[str, Any]:
-        """How old what is read here may be: another member may know more by now."""
+        """Which member answers and how old its state may be; empty for a control plane alone."""
         if self.cluster is None:
             return {}
-        told = self.cluster.document()
-        return {"member": told["member"], "owner": told["owner"], "as_of_ms": told["as_of_ms"], "fresh": told["fresh"]}
+        state = self.cluster.document()
+        return {
+            "member": state["member"],
+            "owner": state["owner"],
+            "as_of_ms": state["as_of_ms"],
+            "fresh": state["fresh"],
+        }
 
     def _versions(self, query: str) -> tuple[int, Any]:
-        before = _number(query.partition("before=")[2]) if query else 1 << 60
-        return 200, {"versions": [_shown(v) for v in self.ledger.store.versions(before, PAGE)]}
+        before = _parse_number(query.partition("before=")[2]) if query else 1 << 60
+        return 200, {"versions": [_version_row(v) for v in self.ledger.store.versions(before, PAGE_SIZE)]}
 
     def _version(self, number: int) -> tuple[int, Any]:
         version = self.ledger.store.version(number)
         if version is None:
             raise Problem(404, "no-such-version", f"there is no version {number}")
-        return 200, {**_shown(version), "wanted": version.wanted}
+        return 200, {**_version_row(version), "wanted": version.wanted}
 
-    def _open(self, number: int) -> tuple[int, Any]:
-        found = self.ledger.unfinished()
-        if found is None or found["apply"] != number:
+    def _open_apply(self, number: int) -> tuple[int, Any]:
+        unfinished = self.ledger.unfinished()
+        if unfinished is None or unfinished["apply"] != number:
             raise Problem(404, "not-open", f"apply {number} is not open")
-        return 200, found
+        return 200, unfinished
 
     def _begin(self, call: Call) -> tuple[int, Any]:
         body = _body(call, plan=dict, holder=str, who=str, why=str)
@@ -197,22 +202,22 @@
             why=body["why"],
             steps=len(self.ledger.steps),
         )
-        return 201, _lease(apply)
+        return 201, _lease_document(apply)
 
     def _advance(self, number: int, call: Call) -> tuple[int, Any]:
-        told = self.ledger.advance(number, _body(call, token=int)["token"], self._now())
-        for id in told["begun"]:
+        result = self.ledger.advance(number, _body(call, token=int)["token"], self._now())
+        for id in result["begun"]:
             self._log("step begun", apply=number, step=id, pos=self.ledger.pos)
-        for id, note in told["confirmed"]:
+        for id, note in result["confirmed"]:
             self._log("step confirmed", apply=number, step=id, note=note)
-        if told["state"] != "open":
-            self._log("apply " + told["state"], apply=number, why=told["halted"])
-        return 200, told
+        if result["state"] != "open":
+            self._log("apply " + result["state"], apply=number, why=result["halted"])
+        return 200, result
 
     def _resume(self, number: int, call: Call) -> tuple[int, Any]:
         apply = self.ledger.resume(number, _body(call, holder=str)["holder"], self._now())
         self._log("apply resumed", apply=number, holder=apply.holder)
-        return 200, _lease(apply)
+        return 200, _lease_document(apply)
 
     def _abandon(self, number: int, call: Call) -> tuple[int, Any]:
         who = _body(call, who=str)["who"]
@@ -221,7 +226,7 @@
         return 200, {"apply": number, "state": "abandoned"}
 
 
-def _number(text: str) -> int:
+def _parse_number(text: str) -> int:
     if not text.isascii() or not text.isdigit() or len(text) > 18:
         raise Problem(400, "bad-request", f"not a number: {text[:40]!r}")
     return int(text)
@@ -239,11 +244,11 @@
     return raw
 
 
-def _lease(apply: Apply) -> dict[str, Any]:
+def _lease_document(apply: Apply) -> dict[str, Any]:
     return {"apply": apply.number, "version": apply.version, "token": apply.token, "expires": apply.expires}
 
 
-def _shown(version: Any) -> dict[str, Any]:
+def _version_row(version: Any) -> dict[str, Any]:
     return {
         "version": version.number,
         "at": version.at,
--- a/threadhill/control/feed.py
+++ b/threadhill/control/feed.py
@@ -1,6 +1,7 @@
-"""The feed: the journal service of PROTOCOL. `tail N`, then every later event, and the last number each second.
+"""The feed: the journal service of PROTOCOL. After `tail N` a proxy gets every later event, and the last number each
+second.
 
-An addition of ours: a proxy may report back on the same connection, one JSON object a line (membership.py reads it).
+An extension of PROTOCOL: a proxy may send reports on the same connection, one JSON object a line (membership.py).
 """
 
 from __future__ import annotations
@@ -19,30 +20,28 @@
 if TYPE_CHECKING:
     from threadhill.control.council import Cluster
 
-MAX_LINE = 64 << 10  # bytes of a line of a proxy at most: a report names some hundred servers
-MAX_OUTBOUND = 8 << 20  # bytes that may wait: the whole list of a large installation, at once
+MAX_LINE = 64 << 10  # bytes of a line that a proxy sends: a report names some hundred servers
+MAX_OUTBOUND = 8 << 20  # bytes buffered for a proxy: the whole list of a large installation fits
 HEARTBEAT_INTERVAL = 1_000_000  # microseconds between the lines that hold only the last number
-MAX_AHEAD = 10_000_000  # numbers that a proxy may be ahead of this service: beyond that it speaks of another one
+MAX_AHEAD = 10_000_000  # a proxy whose number is further ahead than this follows another journal service
 
 
 class FeedConnection(Guest):
-    """One proxy's connection. It is sent what lies behind its cursor as fast as it reads."""
+    """One proxy's connection. Events after its cursor are sent as fast as the proxy reads."""
 
     def __init__(self, door: Door, feed: Feed) -> None:
         super().__init__(door, MAX_LINE, MAX_OUTBOUND)
-        self.term = 0  # that it was told
-        self.knowledge_sent = self.holdings_requested = (
-            False  # it was told what others learned; it was asked what it holds
-        )
+        self.term = 0  # the last term sent to it
+        self.knowledge_sent = self.holdings_requested = False
         self.feed = feed
-        self.cursor: int | None = None
-        self.proxy = ""  # who it is, once it said what it knows: it is told what the others do
+        self.cursor: int | None = None  # number of the last event sent; None: the proxy has not sent `tail`
+        self.proxy = ""  # its name, once it shares what it knows: then it is sent hints from the others
 
     def parse(self) -> None:
         data = self.inbound.peek(len(self.inbound))
         whole = data.rfind(b"\n") + 1
         if not whole and len(data) >= MAX_LINE - 1:
-            raise ValueError("a line is too long")
+            raise ValueError(f"a line is over {MAX_LINE} bytes long")
         self.inbound.skip(whole)
         for line in data[:whole].splitlines():
             self.spoken()
@@ -58,13 +57,13 @@
 
     def _tail(self, number: bytes) -> None:
         if not number.isdigit() or len(number) > 18:
-            raise ValueError("tail takes a number")
+            raise ValueError("tail takes a number of 18 digits at most")
         last = int(number)
         if last - self.feed.ledger.pos > MAX_AHEAD:
-            raise ValueError("tail is far beyond the last number")
+            raise ValueError(f"tail {last} is over {MAX_AHEAD} beyond the last number")
         cluster = self.feed.cluster
         if cluster is not None and not cluster.up_to_date():
-            self.close()  # it may miss what the others know: another member is asked
+            self.close()  # events may be missing here: the proxy will ask another member
             return
         known = cluster is not None or self.feed.adoption.check_number(last, self.feed.now())
         if known and last < self.feed.ledger.newest_event:
@@ -75,10 +74,11 @@
                 return
         self.cursor = last
         self.send_pending()
-        self.heartbeat(False)  # at once: until it knows that this was all, one that has just started may send nothing
+        self.heartbeat(False)  # at once: a starting proxy sends nothing until it knows that it has all events
 
     def _report(self, line: bytes) -> None:
-        """A report. One that tells its phase knows our additions: it is taught, or asked what it holds."""
+        """Take in a report. A proxy that reports its recovery phase supports the extensions: it may be sent the term
+        and what other proxies learned, or be asked what it holds."""
         raw = orjson.loads(line)
         if not isinstance(raw, dict):
             return
@@ -87,20 +87,20 @@
             return
         if self.feed.on_report(raw):
             self.proxy = str(raw.get("proxy"))
-        told = raw.get("recovery")
-        if not isinstance(told, dict):
+        recovery = raw.get("recovery")
+        if not isinstance(recovery, dict):
             return
         if self.feed.cluster is not None and self.term != self.feed.cluster.register.term:
             self.term = self.feed.cluster.register.term
             self.write(b'{"term":%d}\n' % self.term)
         if self.feed.adoption.active and not self.holdings_requested:
             self.holdings_requested = self.write(b'{"ask":"holds"}\n')
-        if not self.knowledge_sent and told.get("phase") != "full":
+        if not self.knowledge_sent and recovery.get("phase") != "full":
             line = self.feed.knowledge_line()
             self.knowledge_sent = line is not None and self.write(line)
 
     def send_pending(self) -> None:
-        """Send what lies behind the cursor, while the peer takes it."""
+        """Send events after the cursor while the peer reads them."""
         while (
             self.cursor is not None and not self.slow and self.transport is not None and not self.feed.adoption.active
         ):
@@ -115,13 +115,14 @@
 
     def heartbeat(self, hints: bool = True) -> None:
         known = self.feed.ledger.newest_event
-        # Where a member is behind a proxy it says nothing until it has caught up; alone, the proxy's number is held.
-        level = (
+        # A member that is behind a proxy sends no number until it has caught up. A control plane alone repeats the
+        # proxy's number, since it is on hold then.
+        caught_up = (
             self.feed.adoption.active
             or self.cursor is not None
             and (self.cursor >= known if self.feed.cluster is None else self.cursor == known)
         )
-        if self.cursor is not None and level and not self.slow:
+        if self.cursor is not None and caught_up and not self.slow:
             self.write(b"%d\n" % self.cursor)
             hint = self.feed.hint(self.proxy) if self.proxy and hints else None
             if hint is not None:
@@ -129,7 +130,7 @@
 
 
 class Feed:
-    """All connections of proxies."""
+    """The connections of all proxies."""
 
     def __init__(
         self,
@@ -149,12 +150,12 @@
         self._heartbeat()
 
     def publish(self) -> None:
-        """New events are in the store: everybody gets them."""
-        for guest in list(self.door.guests):
-            guest.send_pending()
+        """Send new events, which are in the store by now, to all proxies."""
+        for connection in list(self.door.guests):
+            connection.send_pending()
 
     def take_holdings(self, raw: dict[str, Any]) -> None:
-        """What a proxy holds, while nothing is told."""
+        """Take in a part of what a proxy holds, while the ledger is on hold."""
         if self.adoption.active:
             try:
                 self.adoption.take_holding(raw)
@@ -162,25 +163,25 @@
                 raise ValueError(str(error)) from None
 
     def knowledge_line(self) -> bytes | None:
-        """What the warm proxies learned, the same bytes for all that come within a second."""
-        made = self.ledger.proxy_reports.merged_knowledge(self.now())
-        if made is None:
+        """What the proxies in full service learned, as a line; cached while the merged document is the same."""
+        merged = self.ledger.proxy_reports.merged_knowledge(self.now())
+        if merged is None:
             return None
-        if self._knowledge_line[0] is not made:
-            self._knowledge_line = made, orjson.dumps({"learned": {"known": made[0], "age": made[1]}}) + b"\n"
+        if self._knowledge_line[0] is not merged:
+            self._knowledge_line = merged, orjson.dumps({"learned": {"known": merged[0], "age": merged[1]}}) + b"\n"
         return self._knowledge_line[1]
 
-    def retry_delay(self, guest: FeedConnection) -> int:
-        """How many milliseconds one that has much to catch up with is to stay away; 0: it is admitted now. Those that
-        read slowly are what the whole list waits in memory for."""
-        waiting = sum(other.slow for other in self.door.guests if other is not guest)
+    def retry_delay(self, connection: FeedConnection) -> int:
+        """Milliseconds until a proxy that has events to catch up on may come back; 0: it is admitted now. Only slow
+        readers count towards the limit, since a full list stays buffered for each of them."""
+        waiting = sum(other.slow for other in self.door.guests if other is not connection)
         return self.catch_up.retry_delay(waiting, self.now())
 
     def _heartbeat(self) -> None:
-        fresh = self.cluster is None or self.cluster.up_to_date()
-        for guest in list(self.door.guests):
-            if fresh:
-                guest.heartbeat()
-            elif guest.cursor is not None:
-                guest.close()  # cut off from the others: the proxy goes to one that is not
+        up_to_date = self.cluster is None or self.cluster.up_to_date()
+        for connection in list(self.door.guests):
+            if up_to_date:
+                connection.heartbeat()
+            elif connection.cursor is not None:
+                connection.close()  # this member is cut off from the others: the proxy goes to another one
         self.door.engine.deadlines.add(self.door.engine.clock.now() + HEARTBEAT_INTERVAL, self._heartbeat)
--- a/threadhill/control/server.py
+++ b/threadhill/control/server.py
@@ -1,4 +1,4 @@
-"""The running control plane: store, feed, API and the proxies' configuration files, on one loop."""
+"""The running control plane: store, feed, API and the proxies' configuration files, on one event loop."""
 
 from __future__ import annotations
 
@@ -32,32 +32,32 @@
 from threadhill.plans.rules import Phase
 from threadhill.recovery.phases import FleetPhases
 
-if TYPE_CHECKING:  # imported where it is one of several: the engine loads much
+if TYPE_CHECKING:  # imported only by a control plane with members, since pysyncobj is slow to load
     from threadhill.control.council import Cluster
     from threadhill.control.members_file import MembersFile
 
-TICK = 100_000  # microseconds between looks at what time and reports have confirmed
-WRITE = 100_000  # microseconds that changes are gathered for before configuration files are written
-CALLERS = 32
-FEEDS = 2_000  # connections of proxies at most
-BODY = 32 << 20  # bytes of a call: the plan of a large installation
+TICK_INTERVAL = 100_000  # microseconds between checks of what time and reports have confirmed
+WRITE_DELAY = 100_000  # microseconds for which changes are collected before configuration files are written
+MAX_CALLERS = 32  # connections to the API
+MAX_FEEDS = 2_000  # connections of proxies
+MAX_BODY = 32 << 20  # bytes of a call's body: the plan of a large installation fits
 
 
 @dataclass(frozen=True, slots=True)
-class Places:
-    """Where a control plane listens and keeps what it has."""
+class ServerConfig:
+    """A control plane's folder, addresses and mode."""
 
     data: Path
     api: tuple[str, int]
     feed: tuple[str, int]
     token: str
-    adopt: bool = False  # tell nothing until an operator has decided what is true
-    member: str = ""  # which of the members of this file it is; none: it is alone
-    members: tuple[MembersFile, str] | None = None  # with the secret
+    adopt: bool = False  # publish nothing until an operator has decided which state is right
+    member: str = ""  # this member's name in the members' file; "": there is no other control plane
+    members: tuple[MembersFile, str] | None = None  # the members' file and the secret
 
 
-def logger(json: bool) -> Any:
-    """The structured log on standard error: for people, or a JSON object a line."""
+def make_logger(json: bool) -> Any:
+    """The structured log on standard error, as text or as one JSON object a line."""
     renderer: Any = structlog.processors.JSONRenderer() if json else structlog.dev.ConsoleRenderer(colors=False)
     structlog.configure(
         processors=[
@@ -71,31 +71,31 @@
     return structlog.get_logger("control")
 
 
-class Control:
+class ControlPlane:
     """One control plane on the running loop."""
 
-    def __init__(self, places: Places, log: Any) -> None:
-        self.places, self.log = places, log
-        self.turns = Turns(Log(time.monotonic), continued_clock(places.data, log.warning))
+    def __init__(self, config: ServerConfig, log: Any) -> None:
+        self.config, self.log = config, log
+        self.turns = Turns(Log(time.monotonic), continued_clock(config.data, log.warning))
         self.cluster: Cluster | None = None
-        if places.members is not None:
+        if config.members is not None:
             from threadhill.control.agreed import ReplicatedStore
             from threadhill.control.council import Cluster
 
-            self.cluster = Cluster(places.data, *places.members, places.member, places.token, log.warning)
+            self.cluster = Cluster(config.data, *config.members, config.member, config.token, log.warning)
             self.store: Store = ReplicatedStore(self.cluster.consensus, self.cluster.owned_term)
         else:
-            self.store = open_or_recover(places.data, log.warning) if places.adopt else SqliteStore(places.data)
-        self.ledger = Ledger(self.store, self._published)
+            self.store = open_or_recover(config.data, log.warning) if config.adopt else SqliteStore(config.data)
+        self.ledger = Ledger(self.store, self._on_publish)
         self.knowledge = Merged()
         self.adoption = AdoptionHold(self.ledger, log.warning)
-        if places.adopt:
+        if config.adopt:
             self.adoption.hold("started with --adopt", self.now())
         self.phases = FleetPhases()
         self.feed = Feed(
             self.ledger,
-            self._door("proxy", FEEDS),
-            self._report,
+            self._door("proxy", MAX_FEEDS),
+            self._take_report,
             lambda proxy: self.knowledge.hint(proxy, self.now()),
             self.adoption,
             self.now,
@@ -109,16 +109,18 @@
             self.adoption,
             self.recovery,
             self.cluster,
-            self.works,
-            self._report,
+            self.tasks,
+            self._take_report,
+        )
+        self._last_step_at = self._snapshot_at = 0  # Unix milliseconds
+        self._snapshot_task: asyncio.Task[None] | None = None
+        self.door = self._door("caller", MAX_CALLERS)(
+            lambda door: HttpConnection(config.token, self.api, door, MAX_BODY)
         )
-        self._moved = self._snapshot_at = 0  # when a step was last done, and a snapshot taken, in Unix milliseconds
-        self._snapping: asyncio.Task[None] | None = None
-        self.door = self._door("caller", CALLERS)(lambda door: HttpConnection(places.token, self.api, door, BODY))
         self.done = asyncio.Event()
         self._written: dict[str, tuple[int, int]] = {}
-        self._dirty = False
-        self._live: set[str] = set()
+        self._write_scheduled = False
+        self._live_proxies: set[str] = set()
 
     def now(self) -> int:
         return self.turns.clock.now() // 1_000
@@ -130,19 +132,19 @@
         """Serve until SIGTERM or SIGINT."""
         for signum in (signal.SIGTERM, signal.SIGINT):
             self.turns.loop.add_signal_handler(signum, self.done.set)
-        feed = await self.feed.door.listen(*self.places.feed)
-        api = await self.door.listen(*self.places.api)
-        self.feed_address = f"{self.places.feed[0]}:{feed}"
+        feed = await self.feed.door.listen(*self.config.feed)
+        api = await self.door.listen(*self.config.api)
+        self.feed_address = f"{self.config.feed[0]}:{feed}"
         if self.cluster is not None:
-            self.cluster.on_change, self.cluster.on_reload = self._foreign, self._reloaded
+            self.cluster.on_change, self.cluster.on_reload = self._change_committed, self._state_reloaded
             self.cluster.start()
         else:
-            self.adoption.check_number(self._filed(), self.now())
-        self._write()
+            self.adoption.check_number(self._newest_filed_number(), self.now())
+        self._write_configurations()
         self._tick()
         self.log.info(
             "serving",
-            api=f"{self.places.api[0]}:{api}",
+            api=f"{self.config.api[0]}:{api}",
             feed=self.feed_address,
             version=self.ledger.meta["version"],
             pos=self.ledger.pos,
@@ -154,108 +156,108 @@
             await self.cluster.close()
         self.store.close()
 
-    def _published(self) -> None:
+    def _on_publish(self) -> None:
         self.feed.publish()
-        self._soon()
+        self._schedule_write()
 
-    # --- one member among others
+    # --- as a member of a replicated control plane
 
     @property
     def owns(self) -> bool:
-        """Whether what is done for the fleet is this control plane's to do."""
+        """Whether this control plane runs the fleet's background tasks: it is the owner, or alone."""
         return self.cluster is None or bool(self.cluster.owned_term())
 
-    def _foreign(self, change: Change) -> None:
-        """Another member's change was agreed."""
+    def _change_committed(self, change: Change) -> None:
+        """Take up another member's committed change."""
         self.ledger.apply_committed(change)
         if change.steps:
-            self._moved = self.now()
-        self._soon()
+            self._last_step_at = self.now()
+        self._schedule_write()
 
-    def _reloaded(self) -> None:
+    def _state_reloaded(self) -> None:
         self.ledger.reload()
-        self._published()
+        self._on_publish()
 
-    def _work(self) -> None:
-        """What this control plane does for the fleet by itself, where it is one of several."""
+    def _run_tasks(self) -> None:
+        """Run the background tasks that are this member's."""
         ledger = self.ledger
         if self.owns:
             apply = ledger.open_apply
             if apply is not None:
-                told = ledger.advance(apply.number, apply.token, self.now())
-                if told["begun"] or told["confirmed"] or told["state"] != "open":
-                    self._moved = self.now()
+                result = ledger.advance(apply.number, apply.token, self.now())
+                if result["begun"] or result["confirmed"] or result["state"] != "open":
+                    self._last_step_at = self.now()
                     self.log.info(
                         "apply",
                         apply=apply.number,
-                        state=told["state"],
-                        done=told["done"],
-                        steps=told["steps"],
-                        halted=told["halted"] or None,
+                        state=result["state"],
+                        done=result["done"],
+                        steps=result["steps"],
+                        halted=result["halted"] or None,
                     )
             if not self.cluster.consensus.register.written and self.ledger.pos:
-                self._seed()
+                self._seed_state()
         due = self.now() - self._snapshot_at >= SNAPSHOT_INTERVAL_MS
-        mine = snapshot_member(self.cluster.register.owner, self._fresh()) == self.cluster.name
-        if due and mine and self._snapping is None:
-            self._snapping = asyncio.create_task(self._snap())
+        mine = snapshot_member(self.cluster.register.owner, self._up_to_date_members()) == self.cluster.name
+        if due and mine and self._snapshot_task is None:
+            self._snapshot_task = asyncio.create_task(self._take_snapshot())
 
-    def _fresh(self) -> list[str]:
-        """Members that are up to date, as far as this one knows: itself, and the owner."""
+    def _up_to_date_members(self) -> list[str]:
+        """The members that this one knows to be up to date: itself, if it is, and the owner."""
         cluster = self.cluster
         if cluster is None:
             return [""]
         return sorted({cluster.register.owner, *([cluster.name] if cluster.up_to_date() else [])} - {""})
 
-    def _seed(self) -> None:
-        """The state that this member had when it was alone becomes everybody's."""
-        path = self.places.data / "seed.db"
+    def _seed_state(self) -> None:
+        """Give the state that this member had when it was alone to all members."""
+        path = self.config.data / "seed.db"
         self.store.snapshot(path)
         raw = base64.b64encode(path.read_bytes()).decode()
         path.unlink()
         self.cluster.consensus.propose("seed", term=self.cluster.owned_term(), store=raw)
         self.log.warning("state seeded", pos=self.ledger.pos, version=self.ledger.meta["version"])
 
-    async def _snap(self) -> None:
+    async def _take_snapshot(self) -> None:
         self._snapshot_at = self.now()
         try:
-            path = await asyncio.to_thread(take_periodic_snapshot, self.places.data, self._snapshot_at // 1_000)
+            path = await asyncio.to_thread(take_periodic_snapshot, self.config.data, self._snapshot_at // 1_000)
             self.log.info("snapshot", file=str(path[0]))
         except (StoreDamaged, WriteFailed, OSError) as error:
             self.log.error("snapshot not taken", error=str(error))
         finally:
-            self._snapping = None
+            self._snapshot_task = None
 
-    def works(self) -> list[dict[str, Any]]:
-        """The works, by whom they are done and how far they are."""
+    def tasks(self) -> list[dict[str, Any]]:
+        """The background tasks, which member runs each, and their progress."""
         ledger, apply = self.ledger, self.ledger.open_apply
         states = [state.state for state in ledger.step_states.values()]
-        told = (
+        progress = (
             {
                 "number": apply.number,
                 "done": states.count("done"),
                 "steps": len(ledger.steps),
-                "moved": max(self._moved, apply.at),
+                "moved": max(self._last_step_at, apply.at),
             }
             if apply is not None
             else None
         )
-        waits = sum(record.phase in (Phase.DRAINING, Phase.COLD) for record in ledger.fleet.records.values())
+        unconfirmed = sum(record.phase in (Phase.DRAINING, Phase.COLD) for record in ledger.fleet.records.values())
         owner = self.cluster.register.owner if self.cluster is not None else "this one"
-        found = list_tasks(
+        tasks = list_tasks(
             owner,
-            self._fresh(),
-            told,
-            waits,
+            self._up_to_date_members(),
+            progress,
+            unconfirmed,
             max(0, ledger.newest_event - ledger.oldest_event + 1),
             ledger.oldest_event,
             self._snapshot_at,
             len(ledger.proxy_reports.by_name),
         )
-        return [task.document(self.now()) for task in found]
+        return [task.document(self.now()) for task in tasks]
 
-    def _report(self, raw: dict[str, Any]) -> bool:
-        """Take a proxy's report; whether it says what it knows of the fleet."""
+    def _take_report(self, raw: dict[str, Any]) -> bool:
+        """Take in a proxy's report. Returns whether it shares what the proxy knows of the fleet."""
         if not self.owns:
             self.cluster.queue_report(raw)
         name = raw.get("proxy")
@@ -272,28 +274,28 @@
             for record, note in self.ledger.tick(self.now()) if self.owns else ():
                 self.log.info("confirmed", resource=record.id, phase=record.phase.value, note=note)
             if self.cluster is not None:
-                self._work()
+                self._run_tasks()
         except (WriteFailed, Refused) as error:
             self.log.error("not written", error=str(error))
         if self.cluster is not None and self.cluster.consensus.machine.broken:
             self.done.set()
         proxies = self.ledger.fleet.proxies
         if self.owns:
-            self._phases(list(proxies))
+            self._check_phases(list(proxies))
         self.ledger.proxy_reports.forget(set(proxies), self.now())
         self.knowledge.forget(self.now())
         live = {
             name for name in self.ledger.proxy_reports.by_name if self.ledger.proxy_reports.is_live(name, self.now())
         }
-        for name in sorted(self._live - live):
+        for name in sorted(self._live_proxies - live):
             self.log.warning("proxy silent", proxy=name, waited_for_ms=self.ledger.proxy_reports.silence_limit)
-        self._live = live
+        self._live_proxies = live
         if {n: r.pos for n, r in proxies.items()} != {n: at for n, (at, _) in self._written.items()}:
-            self._soon()
-        self.turns.deadlines.add(self.turns.clock.now() + TICK, self._tick)
+            self._schedule_write()
+        self.turns.deadlines.add(self.turns.clock.now() + TICK_INTERVAL, self._tick)
 
-    def _phases(self, names: list[str]) -> None:
-        """Whether the fleet is in full service; said once when it is no more, and once when it is again."""
+    def _check_phases(self, names: list[str]) -> None:
+        """Log once when the fleet is no longer in full service, and once when it is again."""
         reports, now = self.ledger.proxy_reports, self.now()
         live = [name for name in names if reports.is_live(name, now)]
         line = self.phases.look(now, [reports.by_name[name].phase for name in live], len(names) - len(live))
@@ -301,7 +303,7 @@
             self.log.warning(line, **self.phases.by_phase)
 
     def recovery(self) -> dict[str, Any]:
-        """What operators are told of a fleet that comes back."""
+        """The state of the fleet's recovery, for operators."""
         phases, now = self.phases, self.now()
         return {
             **self.adoption.status(),
@@ -312,35 +314,35 @@
 
     # --- configuration files
 
-    def _soon(self) -> None:
-        """Files follow the state a little later, many changes at once: a proxy that starts on an older one hears of the
-        rest over its feed."""
-        if not self._dirty:
-            self._dirty = True
-            self.turns.deadlines.add(self.turns.clock.now() + WRITE, self._write)
+    def _schedule_write(self) -> None:
+        """Write the files after a delay, for many changes at once: a proxy that starts with an older file gets the rest
+        over its feed."""
+        if not self._write_scheduled:
+            self._write_scheduled = True
+            self.turns.deadlines.add(self.turns.clock.now() + WRITE_DELAY, self._write_configurations)
 
-    def _filed(self) -> int:
-        """The greatest number in the configuration files that stand there: a store that does not know it is older."""
+    def _newest_filed_number(self) -> int:
+        """The highest event number in the existing configuration files. A store that lacks it is out of date."""
         numbers = [0]
-        for path in (self.places.data / "proxies").glob("*.json"):
+        for path in (self.config.data / "proxies").glob("*.json"):
             try:
                 numbers.append(int(orjson.loads(path.read_bytes())["known"]["pos"]))
             except (OSError, ValueError, KeyError, TypeError) as error:
-                self.log.warning("configuration passed by", file=str(path), why=repr(error))
+                self.log.warning("configuration skipped", file=str(path), why=repr(error))
         return max(numbers)
 
-    def _write(self) -> None:
-        """Write each proxy's configuration, whole or not at all, and take those away that are not recorded."""
-        self._dirty = False
+    def _write_configurations(self) -> None:
+        """Write each proxy's configuration, each file atomically, and delete those of proxies that are not recorded."""
+        self._write_scheduled = False
         if self.adoption.active:
-            return  # an older world is no file for a proxy to start with
-        folder = self.places.data / "proxies"
+            return  # no proxy should start from an outdated state
+        folder = self.config.data / "proxies"
         folder.mkdir(exist_ok=True)
-        here = self.ledger.fleet.proxies
+        proxies = self.ledger.fleet.proxies
         try:
-            for name, record in here.items():
-                wanted = (record.pos, self.ledger.pos)
-                if self._written.get(name) == wanted:
+            for name, record in proxies.items():
+                current = (record.pos, self.ledger.pos)
+                if self._written.get(name) == current:
                     continue
                 config = self.ledger.proxy_configuration(name)
                 if config is None:
@@ -351,19 +353,19 @@
                 part = folder / f".{name}.json.part"
                 part.write_bytes(orjson.dumps(config))
                 os.replace(part, folder / f"{name}.json")
-                self._written[name] = wanted
-            for name in set(self._written) - set(here):
+                self._written[name] = current
+            for name in set(self._written) - set(proxies):
                 (folder / f"{name}.json").unlink(missing_ok=True)
                 del self._written[name]
         except OSError as error:
             self.log.error("configuration not written", error=str(error))
-            self._soon()
+            self._schedule_write()
 
 
-def serve(places: Places, json: bool = False) -> None:
-    """Run a control plane until it is told to stop. Raises Damaged, or OSError where it can't listen."""
+def serve(config: ServerConfig, json: bool = False) -> None:
+    """Run a control plane until SIGTERM or SIGINT. Raises StoreDamaged, or OSError if it can't listen."""
 
     async def main() -> None:
-        await Control(places, logger(json)).run()
+        await ControlPlane(config, make_logger(json)).run()
 
     asyncio.run(main())
--- a/threadhill/control/service.py
+++ b/threadhill/control/service.py
@@ -1,4 +1,4 @@
-"""Commands that run a control plane or handle its store. They load none of the libraries that read files."""
+"""Commands that run a control plane or manage its store. They load none of the libraries that parse configurations."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from threadhill.settings import Malformed, address
 
 
-def told(command: Callable[..., None]) -> Callable[..., None]:
-    """Faults that a user can mend are told in a line."""
+def reports_errors(command: Callable[..., None]) -> Callable[..., None]:
+    """Print errors that a user can correct as one line, and exit with a code; other exceptions are program faults."""
 
     @wraps(command)
-    def run(*words: Any) -> None:
+    def run(*arguments: Any) -> None:
         try:
-            command(*words)
+            command(*arguments)
         except (StoreDamaged, WriteFailed, Malformed, OSError) as error:
             typer.echo(f"threadhill: {error}", err=True)
             raise typer.Exit(ERROR) from None
@@ -31,54 +31,55 @@
     return run
 
 
-@told
+@reports_errors
 def control(
     data: Path, token: str, api: str, feed: str, json: bool, adopt: bool, member: str, members: Path | None
 ) -> None:
-    from threadhill.control.server import Places, serve
+    from threadhill.control.server import ServerConfig, serve
 
     if len(token) < 16:
-        raise Malformed("--token or THREADHILL_TOKEN must have 16 characters at least")
+        raise Malformed("--token or THREADHILL_TOKEN must have at least 16 characters")
     if members is not None:
         from threadhill.control.members_file import read
 
         file = read(members)
-        me = next((one for one in file[0].members if one.name == member), None)
-        if me is None:
+        own = next((one for one in file[0].members if one.name == member), None)
+        if own is None:
             raise Malformed(f"{members} names no member {member!r}: give one of its names with --member")
         if adopt:
-            raise Malformed("--adopt is for one control plane alone: adopt there, then add members")
-        serve(Places(data, address(me.api, "api"), address(me.feed, "feed"), token, False, member, file), json)
+            raise Malformed("--adopt works without --members only: adopt there, then add members")
+        serve(ServerConfig(data, address(own.api, "api"), address(own.feed, "feed"), token, False, member, file), json)
         return
-    serve(Places(data, _loopback(api, "--api"), _loopback(feed, "--feed"), token, adopt), json)
+    serve(ServerConfig(data, _loopback(api, "--api"), _loopback(feed, "--feed"), token, adopt), json)
 
 
 def _loopback(text: str, what: str) -> tuple[str, int]:
     host, port = address(text, what)
     if not host.startswith("127.") and host != "::1":
-        raise Malformed(f"{what} {text}: loopback only, while there is no TLS: use 127.0.0.1:{port}")
+        raise Malformed(f"{what} {text}: only loopback addresses, since there is no TLS: use 127.0.0.1:{port}")
     return host, port
 
 
-@told
+@reports_errors
 def snapshot(data: Path, file: Path) -> None:
     sqlite.write_snapshot(data, file)
     typer.echo(f"{file}: {file.stat().st_size} bytes, checked")
 
 
-@told
+@reports_errors
 def snapshots(data: Path, every: float, count: int) -> None:
-    """Take snapshots by age until SIGINT or SIGTERM, or so many. One that fails is told, and tried again."""
+    """Take a snapshot every so many seconds until SIGINT or SIGTERM, or until `count` are taken. A failed one is
+    reported and, unless `count` is given, tried again."""
     import threading
 
-    ends = threading.Event()
+    stopped = threading.Event()
     for signum in (signal.SIGINT, signal.SIGTERM):
-        signal.signal(signum, lambda *_: ends.set())
+        signal.signal(signum, lambda *_: stopped.set())
     taken = failed = 0
-    while not ends.is_set():
+    while not stopped.is_set():
         try:
-            path, gone = sqlite.take_periodic_snapshot(data, unix_seconds())
-            typer.echo(f"{path}: checked" + (f"; {len(gone)} older ones let go" if gone else ""))
+            path, deleted = sqlite.take_periodic_snapshot(data, unix_seconds())
+            typer.echo(f"{path}: checked" + (f"; {len(deleted)} older snapshots deleted" if deleted else ""))
             taken, failed = taken + 1, 0
         except (StoreDamaged, WriteFailed, OSError) as error:
             typer.echo(f"threadhill: {error}", err=True)
@@ -87,14 +88,14 @@
                 raise
         if count and taken >= count:
             return
-        ends.wait(every)
+        stopped.wait(every)
 
 
-@told
+@reports_errors
 def restore(data: Path, file: Path) -> None:
     meta = sqlite.restore(data, file)
     typer.echo(
-        f"{data}: state version {meta['version']}; event numbers go on from {meta['pos'] + 1}. What was there "
+        f"{data}: state version {meta['version']}; event numbers continue from {meta['pos'] + 1}. The replaced store "
         f"is kept as {data}/replaced.{sqlite.STORE_FILE}. If a proxy knows newer events than the snapshot, nothing is "
-        "told until you decide: see `threadhill recovery status`"
+        "published until you decide: see `threadhill recovery status`"
     )
--- a/threadhill/control/sqlite.py
+++ b/threadhill/control/sqlite.py
@@ -323,10 +323,10 @@
     for path in sorted((folder / "snapshots").glob("state-*.db"), reverse=True):
         try:
             restore(folder, path)
-            log("snapshot taken", file=str(path))
+            log("snapshot restored", file=str(path))
             return SqliteStore(folder)
         except StoreDamaged as error:
-            log("snapshot passed by", why=str(error))
+            log("snapshot skipped", why=str(error))
     for name in (STORE_FILE, STORE_FILE + "-wal", STORE_FILE + "-shm"):
         if (folder / name).exists():
             os.replace(folder / name, folder / f"replaced.{name}")
