--- a/benchmarks/owner.py
+++ b/benchmarks/owner.py
@@ -146,11 +146,11 @@
     draw, keys = random.Random(5), ["0", "1", "2"]
     while not faults.ended:
         boxes = sorted({*keys[:2], draw.choice("234567"), draw.choice("234567")})
-        with suppress(client.Failed, TimeoutError, OSError):
+        with suppress(client.ApiError, TimeoutError, OSError):
             plan = await trio.plan(trio.make(boxes))
             if plan["steps"]:
-                ask = client.Caller(trio.api, TOKEN)
-                opened = await asyncio.to_thread(client.begin, ask, plan, "bench", "bench", "")
+                ask = client.ApiClient(trio.api, TOKEN)
+                opened = await asyncio.to_thread(client.begin_apply, ask, plan, "bench", "bench", "")
                 await trio.installation.look()
                 versions.append((opened["version"], boxes))
                 end = time.monotonic() + 20
@@ -251,9 +251,9 @@
     for n in range(30):
         plan = await rig.plan(rig.make(["0", "1"], tenants={"t": 1 + n}))
         began = time.time()
-        lease = await asyncio.to_thread(client.begin, rig.ask, plan, "bench", "bench", "")
+        lease = await asyncio.to_thread(client.begin_apply, rig.ask, plan, "bench", "bench", "")
         commits.append(time.time() - began)
-        await asyncio.to_thread(client.carry_on, client.Caller(rig.api, TOKEN), lease, lambda told: None)
+        await asyncio.to_thread(client.run_apply, client.ApiClient(rig.api, TOKEN), lease, lambda told: None)
         last = (await rig.get("/v1/state"))["pos"]
         end = time.monotonic() + 5
         while last not in watcher.heard and time.monotonic() < end:
--- a/benchmarks/plan_apply.py
+++ b/benchmarks/plan_apply.py
@@ -223,7 +223,7 @@
             first = max(watcher.events, default=0)
             while True:
                 # The command is lost by leaving its lease; the control plane by SIGKILL, at a boundary or amid a call.
-                alone = client.Caller(rig.api, TOKEN)
+                alone = client.ApiClient(rig.api, TOKEN)
                 at = chance.randrange(4)
                 calls = [
                     asyncio.ensure_future(
@@ -238,7 +238,7 @@
                     await calls[0]
                 await rig.kill_control()
                 killed += 1
-                with suppress(client.Failed):
+                with suppress(client.ApiError):
                     await calls[0]
                 await rig.start_control()
                 untrue += await told_untrue(rig, watcher, plan, lease["apply"], first)
@@ -247,7 +247,7 @@
                     break
                 # Another command has to wait for the lease.
                 holder = f"command-{killed}" if not killed % 4 else state["open"]["holder"]
-                lease = await asyncio.to_thread(client.resume, rig.ask, lease["apply"], holder, 10.0)
+                lease = await asyncio.to_thread(client.resume_apply, rig.ask, lease["apply"], holder, 10.0)
                 if killed >= times or all(s != "left" for s in state["open"]["steps"].values()):
                     await rig.carry_on(lease)
                     break
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -199,7 +199,7 @@
         self.ports = ports[6 + proxies :]
         self.settings = {"cold_s": 0.5, "settle_s": 0.2, "silent_s": 7, "load": 0.5} | settings
         self.installation = Installation(data, self.api, TOKEN, operator)
-        self.ask = client.Caller(self.api, TOKEN)
+        self.ask = client.ApiClient(self.api, TOKEN)
         self.control: asyncio.subprocess.Process | None = None
         self._following: asyncio.Future[None] | None = None
 
@@ -272,14 +272,16 @@
 
     async def begin(self, plan: dict[str, Any], holder: str = "rig") -> dict[str, Any]:
         """Open the apply; what it is going to list runs when this returns."""
-        lease = await asyncio.to_thread(client.begin, self.ask, plan, holder, "rig", "")
+        lease = await asyncio.to_thread(client.begin_apply, self.ask, plan, holder, "rig", "")
         await self.installation.look()
         return lease
 
-    async def carry_on(self, lease: dict[str, Any], progress: client.Progress = lambda told: None) -> dict[str, Any]:
-        return await asyncio.to_thread(client.carry_on, client.Caller(self.api, TOKEN), lease, progress)
+    async def carry_on(
+        self, lease: dict[str, Any], progress: client.ProgressCallback = lambda told: None
+    ) -> dict[str, Any]:
+        return await asyncio.to_thread(client.run_apply, client.ApiClient(self.api, TOKEN), lease, progress)
 
-    async def apply(self, text: str, progress: client.Progress = lambda told: None) -> dict[str, Any]:
+    async def apply(self, text: str, progress: client.ProgressCallback = lambda told: None) -> dict[str, Any]:
         """Plan and apply; the plan."""
         plan = await self.plan(text)
         if plan["steps"]:
@@ -287,7 +289,7 @@
         return plan
 
     async def get(self, path: str) -> Any:
-        return await asyncio.to_thread(client.Caller(self.api, TOKEN), "GET", path)
+        return await asyncio.to_thread(client.ApiClient(self.api, TOKEN), "GET", path)
 
     async def live(self, count: int | None = None) -> None:
         """Wait until the proxies report, up to date."""
--- a/benchmarks/trio.py
+++ b/benchmarks/trio.py
@@ -44,7 +44,7 @@
         self.ports_of = {name: free_ports(host, 3) for name, host in self.hosts.items()}
         self.api = ",".join(f"{self.hosts[n]}:{self.ports_of[n][1]}" for n in NAMES)
         self.installation = Installation(data / "a", self.api, TOKEN, operator)
-        self.ask = client.Caller(self.api, TOKEN)
+        self.ask = client.ApiClient(self.api, TOKEN)
         self.members: dict[str, asyncio.subprocess.Process] = {}
         self.links: dict[str, Relay] = {}
         self.secret = secrets.token_hex(32)
@@ -123,9 +123,9 @@
 
     async def seen(self, name: str) -> dict[str, Any] | None:
         """What one member says of the members; None where it does not answer."""
-        with suppress(client.Failed, TimeoutError):
+        with suppress(client.ApiError, TimeoutError):
             async with asyncio.timeout(3):
-                return await asyncio.to_thread(client.Caller(self.at(name, 1), TOKEN), "GET", "/v1/members")
+                return await asyncio.to_thread(client.ApiClient(self.at(name, 1), TOKEN), "GET", "/v1/members")
         return None
 
     async def owned(self, by: str | None = None, without: str = "") -> str:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -725,8 +725,8 @@
 
 
 def test_a_control_plane_that_cannot_be_reached_is_told_in_a_line() -> None:
-    with pytest.raises(client.Unreached):
-        client.Caller("127.0.0.1:9", "t")("GET", "/v1/state")
+    with pytest.raises(client.Unreachable):
+        client.ApiClient("127.0.0.1:9", "t")("GET", "/v1/state")
 
 
 # --- a control plane that lost its state
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -231,7 +231,7 @@
 async def begin(one: Trio, boxes: list[str]) -> dict:
     """An apply is open; nobody asks for it any more: the members carry it on."""
     plan = await one.plan(one.make(boxes))
-    return await asyncio.to_thread(client.begin, client.Caller(one.api, TOKEN), plan, "tests", "tests", "")
+    return await asyncio.to_thread(client.begin_apply, client.ApiClient(one.api, TOKEN), plan, "tests", "tests", "")
 
 
 async def finished(one: Trio, version: int) -> dict:
@@ -239,9 +239,9 @@
     end, state = time.monotonic() + 40, {}
     while time.monotonic() < end:
         for name in NAMES:
-            with suppress(client.Failed):
+            with suppress(client.ApiError):
                 if one.members[name].returncode is None and not one.stopped(name):
-                    state = await asyncio.to_thread(client.Caller(one.at(name, 1), TOKEN), "GET", "/v1/state")
+                    state = await asyncio.to_thread(client.ApiClient(one.at(name, 1), TOKEN), "GET", "/v1/state")
                     if state["fresh"] and state["version"] >= version and state["open"] is None:
                         return state
         await asyncio.sleep(0.1)
@@ -252,11 +252,11 @@
     """All members come to the same records and numbers; their states."""
 
     async def states() -> list[dict]:
-        return [await asyncio.to_thread(client.Caller(one.at(n, 1), TOKEN), "GET", "/v1/state") for n in NAMES]
+        return [await asyncio.to_thread(client.ApiClient(one.at(n, 1), TOKEN), "GET", "/v1/state") for n in NAMES]
 
     end = time.monotonic() + 30
     while True:
-        with suppress(client.Failed):
+        with suppress(client.ApiError):
             told = await states()
             if len({json.dumps([s["pos"], s["records"]], sort_keys=True) for s in told}) == 1:
                 return told
@@ -325,8 +325,8 @@
         last = next(name for name in NAMES if name not in (first, second))
         while (await one.seen(last))["fresh"]:
             await asyncio.sleep(0.1)
-        with pytest.raises(client.Failed) as caught:  # no majority: nothing changes, and it says so
-            await asyncio.to_thread(client.Caller(one.at(last, 1), TOKEN), "POST", "/v1/owner/hand-over", {"to": ""})
+        with pytest.raises(client.ApiError) as caught:  # no majority: nothing changes, and it says so
+            await asyncio.to_thread(client.ApiClient(one.at(last, 1), TOKEN), "POST", "/v1/owner/hand-over", {"to": ""})
         assert caught.value.code == "no-owner"
         await one.kill_member(last)
         for name in (second, last, first):
@@ -355,8 +355,10 @@
         while (await one.seen(owner))["owns"] or (await one.seen(owner))["fresh"]:
             assert time.monotonic() - began < 10
             await asyncio.sleep(0.05)
-        with pytest.raises(client.Failed) as caught:
-            await asyncio.to_thread(client.Caller(one.at(owner, 1), TOKEN), "POST", "/v1/owner/hand-over", {"to": ""})
+        with pytest.raises(client.ApiError) as caught:
+            await asyncio.to_thread(
+                client.ApiClient(one.at(owner, 1), TOKEN), "POST", "/v1/owner/hand-over", {"to": ""}
+            )
         assert caught.value.code == "no-owner"
         lease = await begin(one, THEN)
         assert lease["apply"] == 2
@@ -374,7 +376,7 @@
         await asyncio.sleep(3)
         going = asyncio.ensure_future(load.run(one.addresses, plan_apply.mix(40), 3))
         assert not any([(await one.seen(name))["owns"] for name in NAMES])
-        with pytest.raises(client.Failed) as caught:
+        with pytest.raises(client.ApiError) as caught:
             await begin(one, FIRST)
         assert caught.value.code == "no-owner"
         await asyncio.sleep(1)
@@ -394,10 +396,10 @@
         plan = await one.plan(one.make(THEN))
 
         def ask(member: str, holder: str) -> object:
-            caller = client.Caller(",".join([one.at(member, 1), one.api]), TOKEN)
+            caller = client.ApiClient(",".join([one.at(member, 1), one.api]), TOKEN)
             try:
-                return client.begin(caller, plan, holder, "tests", "")["apply"]
-            except client.Failed as error:
+                return client.begin_apply(caller, plan, holder, "tests", "")["apply"]
+            except client.ApiError as error:
                 return error.code
 
         got = await asyncio.gather(asyncio.to_thread(ask, "b", "x"), asyncio.to_thread(ask, "c", "y"))
--- a/threadhill/control/client.py
+++ b/threadhill/control/client.py
@@ -1,4 +1,4 @@
-"""The command line's side: asks the control plane, plans, and carries an apply on step by step."""
+"""The command line's client of the control plane: calls its API, makes plans, and carries out applies step by step."""
 
 from __future__ import annotations
 
@@ -17,75 +17,75 @@
 from threadhill.plans.planner import Observed
 from threadhill.plans.rules import SERVERS, Phase, Record
 
-AGAIN = 0.05  # seconds between calls that carry an apply on
-RECONNECT = 0.2  # seconds between tries while the control plane can't be reached
-ANSWER = 3.0  # seconds that one of several members may take to answer: it may have been stopped
-OWNER_WAIT = 10.0  # seconds for which a member that owns is looked for, where several are named
+ADVANCE_INTERVAL = 0.05  # seconds between calls that advance an apply, while nothing changes
+RETRY_INTERVAL = 0.2  # seconds between tries while the control plane can't be reached
+MEMBER_TIMEOUT = 3.0  # seconds that one of several members may take to answer: it may have been stopped
+OWNER_TIMEOUT = 10.0  # seconds for which the owner is looked for among several members
 
 
-class Failed(Exception):
-    """The control plane said no: `code` names why, `more` is what else it said."""
+class ApiError(Exception):
+    """The control plane answered with an error: its code, its message, and the other fields of the error."""
 
     def __init__(self, code: str, text: str, **more: Any) -> None:
         super().__init__(text)
         self.code, self.more = code, more
 
 
-class Unreached(Failed):
-    """The control plane could not be asked; whether it took the call is not known."""
+class Unreachable(ApiError):
+    """No answer came from the control plane. Whether the call took effect is unknown."""
 
     def __init__(self, text: str) -> None:
         super().__init__("unreached", text)
 
 
-class Caller:
-    """Calls of the API, over one connection while it lasts; `address` may name several members, with commas."""
+class ApiClient:
+    """Calls the API, over one connection while it lasts. `address` may name several members, separated by commas."""
 
     def __init__(self, address: str, token: str) -> None:
-        self.addresses = [one.strip() for one in address.split(",") if one.strip()]
+        self.addresses = [part.strip() for part in address.split(",") if part.strip()]
         self.address, self.token = self.addresses[0], token
         self._connection: http.client.HTTPConnection | None = None
 
     def __call__(self, method: str, path: str, body: Any = None) -> Any:
-        """One call; its answer. Raises Failed, or Unreached where no answer came. A connection that was kept may
-        have gone with a control plane that was restarted: what may be asked twice is, on a new one."""
-        if path == "/v1/applies":  # asked twice it would be refused for itself
+        """Make a call and return its answer. Raises ApiError, or Unreachable if no answer came. A kept connection may
+        have ended with a restart of the control plane: calls that may be repeated are, on a new connection."""
+        if path == "/v1/applies":  # a repeated call would be refused because of the apply that the first one opened
             self.close()
-        end = time.monotonic() + (OWNER_WAIT if len(self.addresses) > 1 else 0)
+        end = time.monotonic() + (OWNER_TIMEOUT if len(self.addresses) > 1 else 0)
         while True:
             try:
-                return self._once(method, path, body)
-            except Failed as error:
-                # Whatever a member took before it fell silent may be asked again: nothing of it has effect twice.
+                return self._call_reconnecting(method, path, body)
+            except ApiError as error:
+                # A call that a member took before it fell silent may be repeated: no call takes effect twice.
                 if time.monotonic() > end or error.code not in ("not-owner", "no-owner", "unreached"):
                     raise
-                self._elsewhere(error)
+                self._switch_member(error)
 
-    def _elsewhere(self, error: Failed) -> None:
-        """Nothing was done there: ask the owner that it names, or the next member."""
+    def _switch_member(self, error: ApiError) -> None:
+        """Turn to the owner that the error names, or else to the next member."""
         self.close()
         owner = error.more.get("owner")
         if owner:
             self.address = owner
             return
-        time.sleep(RECONNECT)
-        at = self.addresses.index(self.address) if self.address in self.addresses else -1
-        self.address = self.addresses[(at + 1) % len(self.addresses)]
+        time.sleep(RETRY_INTERVAL)
+        index = self.addresses.index(self.address) if self.address in self.addresses else -1
+        self.address = self.addresses[(index + 1) % len(self.addresses)]
 
-    def _once(self, method: str, path: str, body: Any) -> Any:
+    def _call_reconnecting(self, method: str, path: str, body: Any) -> Any:
         if self._connection is not None:
             try:
-                return self._call(method, path, body)
-            except Unreached:
+                return self._request(method, path, body)
+            except Unreachable:
                 pass
-        return self._call(method, path, body)
+        return self._request(method, path, body)
 
-    def _call(self, method: str, path: str, body: Any) -> Any:
+    def _request(self, method: str, path: str, body: Any) -> Any:
         raw = None if body is None else orjson.dumps(body)
         try:
             if self._connection is None:
                 self._connection = http.client.HTTPConnection(
-                    self.address, timeout=ANSWER if len(self.addresses) > 1 else 30
+                    self.address, timeout=MEMBER_TIMEOUT if len(self.addresses) > 1 else 30
                 )
             self._connection.request(method, path, raw, {"Authorization": f"Bearer {self.token}"})
             response = self._connection.getresponse()
@@ -94,10 +94,10 @@
                 self.close()
         except (OSError, ValueError, http.client.HTTPException) as error:
             self.close()
-            raise Unreached(f"{self.address}: {error}") from None
+            raise Unreachable(f"{self.address}: {error}") from None
         if response.status >= 400:
             error = (answer or {}).get("error", {})
-            raise Failed(
+            raise ApiError(
                 error.get("code", str(response.status)),
                 error.get("message", ""),
                 **{k: v for k, v in error.items() if k not in ("code", "message")},
@@ -112,13 +112,13 @@
 
 def read_configuration(path: Path, given: Mapping[str, Any]) -> dict[str, Resource]:
     """The resources of a file or folder. Raises Invalid."""
-    gc.freeze()  # a large configuration makes many objects that all stay: looking through them again and again costs
+    gc.freeze()  # a large configuration makes many objects that all stay: repeated collections would take
     gc.set_threshold(200_000, 50, 50)  # a fifth of a plan's time
     return configuration.evaluate(syntax.read(path), given)
 
 
-def read_variables(files: list[Path], words: list[str]) -> dict[str, Any]:
-    """Values of variables, from files of `name = value` and from `name=value` words; later ones go first."""
+def read_variables(files: list[Path], assignments: list[str]) -> dict[str, Any]:
+    """Values of variables, from files of `name = value` and from `name=value` arguments; the last value wins."""
     given: dict[str, Any] = {}
     faults: list[Fault] = []
     for file in files:
@@ -132,17 +132,17 @@
                 given[name] = attribute.value(configuration.Scope(configuration.nothing))
             except configuration.EvalError as error:
                 faults.append(Fault(str(file), error.line, name, str(error)))
-    for word in words:
-        name, equals, value = word.partition("=")
+    for assignment in assignments:
+        name, equals, value = assignment.partition("=")
         if not equals or not name:
-            faults.append(Fault("-var", 0, word, "must be NAME=VALUE"))
+            faults.append(Fault("-var", 0, assignment, "must be NAME=VALUE"))
         given[name] = value
     if faults:
         raise Invalid(faults)
     return given
 
 
-def recorded(state: Mapping[str, Any]) -> list[Record]:
+def records_of(state: Mapping[str, Any]) -> list[Record]:
     return [
         Record(r["kind"], r["name"], r["attrs"], Phase(r["phase"]), r["since"], r["pos"], r["at"])
         for r in state["records"]
@@ -150,14 +150,18 @@
 
 
 def make_plan(
-    ask: Caller, wanted: dict[str, Resource], why: str = "", with_forecast: bool = True, mix: forecast.Mix | None = None
+    api: ApiClient,
+    wanted: dict[str, Resource],
+    why: str = "",
+    with_forecast: bool = True,
+    mix: forecast.Mix | None = None,
 ) -> dict[str, Any]:
-    """The plan's document, on the state that the control plane has now."""
-    state, seen = ask("GET", "/v1/state"), ask("GET", "/v1/observed")
-    observed = Observed(frozenset(seen["gone"]), seen["odd"])
-    records = recorded(state)
+    """The document of a plan on the control plane's current state."""
+    state, reported = api("GET", "/v1/state"), api("GET", "/v1/observed")
+    observed = Observed(frozenset(reported["gone"]), reported["odd"])
+    records = records_of(state)
     plan = planner.plan(wanted, records, observed)
-    told = None
+    prediction = None
     if with_forecast and not plan.blocked:
         before = {
             r.id: Resource(r.kind, r.name, r.attrs)
@@ -167,69 +171,71 @@
         changed = {
             side["node"] for step in plan.steps if step.kind == "box" for side in (step.before, step.after) if side
         }
-        told = forecast.before_and_after(before, wanted, changed, mix)
-    document = saved.document(plan, wanted, state["version"], state["serial"], told, why)
+        prediction = forecast.before_and_after(before, wanted, changed, mix)
+    document = saved.document(plan, wanted, state["version"], state["serial"], prediction, why)
     return document if state["open"] is None else {**document, "unfinished": state["open"]}
 
 
-def wanted_of(ask: Caller, number: int) -> dict[str, Resource]:
-    """What a version wanted, to plan a return to it."""
-    return saved.resources_of(ask("GET", f"/v1/versions/{number}")["wanted"])
+def version_resources(api: ApiClient, number: int) -> dict[str, Resource]:
+    """The resources of a version, to plan a return to it."""
+    return saved.resources_of(api("GET", f"/v1/versions/{number}")["wanted"])
 
 
-Progress = Callable[[dict[str, Any]], None]
+ProgressCallback = Callable[[dict[str, Any]], None]
 
 
 class Halted(Exception):
-    """The apply needs an operator; it stays open."""
+    """The apply can't go on without an operator. It stays open."""
 
     def __init__(self, apply: int, text: str) -> None:
         super().__init__(text)
         self.apply = apply
 
 
-def begin(ask: Caller, plan: dict[str, Any], holder: str, who: str, why: str) -> dict[str, Any]:
-    """Open an apply; its lease."""
+def begin_apply(api: ApiClient, plan: dict[str, Any], holder: str, who: str, why: str) -> dict[str, Any]:
+    """Open an apply; returns its lease."""
     body = {key: value for key, value in plan.items() if key != "unfinished"}
-    return ask("POST", "/v1/applies", {"plan": body, "holder": holder, "who": who, "why": why})
+    return api("POST", "/v1/applies", {"plan": body, "holder": holder, "who": who, "why": why})
 
 
-def resume(ask: Caller, number: int, holder: str, wait: float) -> dict[str, Any]:
-    """Take over an open apply; waits, so many seconds at most, until its lease has run out."""
+def resume_apply(api: ApiClient, number: int, holder: str, wait: float) -> dict[str, Any]:
+    """Take over an open apply. Waits for its lease to expire, `wait` seconds at most."""
     end = time.monotonic() + wait
     while True:
         try:
-            return ask("POST", f"/v1/applies/{number}/resume", {"holder": holder})
-        except Failed as error:
-            left = error.more.get("wait_ms", 0) / 1e3
-            if error.code != "leased" or time.monotonic() + left > end:
+            return api("POST", f"/v1/applies/{number}/resume", {"holder": holder})
+        except ApiError as error:
+            remaining = error.more.get("wait_ms", 0) / 1e3
+            if error.code != "leased" or time.monotonic() + remaining > end:
                 raise
-            time.sleep(left + 0.01)
+            time.sleep(remaining + 0.01)
 
 
-def carry_on(ask: Caller, lease: dict[str, Any], progress: Progress, patience: float = 60.0) -> dict[str, Any]:
-    """Advance the apply until it is done. A control plane that restarts meanwhile is waited for, so many seconds."""
-    number, lost = lease["apply"], None
+def run_apply(
+    api: ApiClient, lease: dict[str, Any], progress: ProgressCallback, patience: float = 60.0
+) -> dict[str, Any]:
+    """Advance the apply until it is done. A control plane that can't be reached is waited for, `patience` seconds."""
+    number, unreachable_since = lease["apply"], None
     while True:
         try:
-            told = ask("POST", f"/v1/applies/{number}/advance", {"token": lease["token"]})
-            lost = None
-        except Unreached:
-            lost = lost or time.monotonic()
-            if time.monotonic() - lost > patience:
+            result = api("POST", f"/v1/applies/{number}/advance", {"token": lease["token"]})
+            unreachable_since = None
+        except Unreachable:
+            unreachable_since = unreachable_since or time.monotonic()
+            if time.monotonic() - unreachable_since > patience:
                 raise
-            time.sleep(RECONNECT)
+            time.sleep(RETRY_INTERVAL)
             continue
-        except Failed as error:
-            # Where several members carry it on by themselves, it may have ended between two calls.
-            version = ask("GET", f"/v1/versions/{lease['version']}") if error.code == "not-open" else {}
+        except ApiError as error:
+            # Members advance an open apply by themselves, so it may have ended between two calls.
+            version = api("GET", f"/v1/versions/{lease['version']}") if error.code == "not-open" else {}
             if version.get("state") != "applied":
                 raise
             return {"state": "done", "done": 0, "steps": 0, "begun": [], "confirmed": [], "waits": {}, "apply": number}
-        progress(told)
-        if told["state"] == "done":
-            return told
-        if told["state"] == "halted":
-            raise Halted(number, told["halted"])
-        if not told["begun"] and not told["confirmed"]:
-            time.sleep(AGAIN)
+        progress(result)
+        if result["state"] == "done":
+            return result
+        if result["state"] == "halted":
+            raise Halted(number, result["halted"])
+        if not result["begun"] and not result["confirmed"]:
+            time.sleep(ADVANCE_INTERVAL)
--- a/threadhill/standin/dev.py
+++ b/threadhill/standin/dev.py
@@ -45,14 +45,14 @@
         self.data, self.api, self.token, self.operator = data, api, token, operator
         self.fleet = Fleet()
         self.proxies: dict[str, tuple[asyncio.subprocess.Process, str]] = {}  # with the configuration that it has
-        self._asked = client.Caller(api, token)
+        self._asked = client.ApiClient(api, token)
         self._looking = asyncio.Lock()
         self._wanted: tuple[int, dict[str, dict[str, Any]]] = (0, {})
 
     async def follow(self) -> None:
         """Make what runs what the state says, for ever."""
         while True:
-            with suppress(client.Failed):  # it is being restarted
+            with suppress(client.ApiError):  # it is being restarted
                 await self.look()
             await asyncio.sleep(LOOK)
 
@@ -147,15 +147,15 @@
         start_new_session=True,
         stderr=asyncio.subprocess.DEVNULL if quiet else None,
     )
-    ask = client.Caller(api, token)
+    ask = client.ApiClient(api, token)
     end = asyncio.get_running_loop().time() + PATIENCE
     while True:
         try:
             await asyncio.to_thread(ask, "GET", "/v1/state")
             return process
-        except client.Failed as error:
+        except client.ApiError as error:
             if process.returncode is not None or asyncio.get_running_loop().time() > end:
-                raise client.Failed("no-control", f"the control plane did not start: {error}") from None
+                raise client.ApiError("no-control", f"the control plane did not start: {error}") from None
             await asyncio.sleep(0.05)
 
 
@@ -169,7 +169,7 @@
     with tempfile.TemporaryDirectory(prefix="threadhill-") as temporary:
         try:
             asyncio.run(_dev(wanted, data or Path(temporary)))
-        except (client.Failed, OSError) as error:
+        except (client.ApiError, OSError) as error:
             typer.echo(f"threadhill: {error}", err=True)
             raise typer.Exit(1) from None
 
@@ -184,11 +184,11 @@
     installation = Installation(data, api, token)
     following = asyncio.ensure_future(installation.follow())
     try:
-        ask = client.Caller(api, token)
+        ask = client.ApiClient(api, token)
         plan = await asyncio.to_thread(client.make_plan, ask, wanted, "threadhill dev", False)
         if plan["steps"] and "unfinished" not in plan:
-            lease = await asyncio.to_thread(client.begin, ask, plan, "dev", "dev", "threadhill dev")
-            await asyncio.to_thread(client.carry_on, ask, lease, lambda told: None)
+            lease = await asyncio.to_thread(client.begin_apply, ask, plan, "dev", "dev", "threadhill dev")
+            await asyncio.to_thread(client.run_apply, ask, lease, lambda told: None)
         proxies = [r.attrs["listen"] for _, r in sorted(wanted.items()) if r.kind == "proxy"]
         typer.echo(
             f"Running. Control plane {api}; proxies {', '.join(proxies)}. In another terminal:\n"
