--- a/threadhill/control/commands.py
+++ b/threadhill/control/commands.py
@@ -166,7 +166,7 @@
     states = list(found["steps"].values())
     lines = [
         f"Apply {found['apply']} (version {found['version']}) by {found['holder']} is not finished: "
-        f"{states.count('answer')} done, {states.count('in doubt')} in doubt, {states.count('left')} left."
+        f"{states.count('done')} done, {states.count('in doubt')} in doubt, {states.count('left')} left."
     ]
     for id, state in found["steps"].items():
         if state == "in doubt":
@@ -251,7 +251,7 @@
             _print(f"  begun     {id}")
         if result["waits"] and not result["begun"] and not result["confirmed"]:
             id, what = next(iter(result["waits"].items()))
-            text = f"  {result['answer']}/{result['steps']}, waiting: {id}: {what}"
+            text = f"  {result['done']}/{result['steps']}, waiting: {id}: {what}"
             if text.split(" in ")[0] != last_printed[0].split(" in ")[0]:
                 _print(text)
             last_printed[0] = text
@@ -407,7 +407,8 @@
         _print_json({key: answer[key] for key in ("owner", "term", "handovers", "refused")})
         return
     _print(
-        f"{answer['owner'] or 'nobody'} owns term {answer['term']}; {answer['refused']} writes of older terms were refused"
+        f"{answer['owner'] or 'nobody'} owns term {answer['term']}; "
+        f"{answer['refused']} writes of older terms were refused"
     )
     for change in answer["handovers"]:
         at = datetime.fromtimestamp(change["at"] / 1e3, UTC)
