--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -183,7 +183,7 @@
     ("change", "said"),
     [
         ('name = "b"', "name"),
-        ('agree = "127.0.0.1:1"', "stands twice"),
+        ('agree = "127.0.0.1:1"', "appears twice"),
         ('agree = "10.0.0.1:9"', "loopback"),
         ('api = "nowhere"', "api"),
         ("lease_ms = 5", "lease_ms"),
--- a/threadhill/control/agreed.py
+++ b/threadhill/control/agreed.py
@@ -202,10 +202,10 @@
 class Replica(SyncObj):
     """The Raft node, with one replicated method."""
 
-    def __init__(self, me: str, others: list[str], conf: SyncObjConf, machine: StateMachine) -> None:
+    def __init__(self, own_address: str, others: list[str], conf: SyncObjConf, machine: StateMachine) -> None:
         self.machine = machine
         self.own_image: Image | None = None  # set before SyncObj.__init__, so that dumps leave it out
-        super().__init__(me, others, conf)
+        super().__init__(own_address, others, conf)
         self.image = self.own_image = Image(machine)
         self.addOnTickCallback(self._load_received_image)
 
--- a/threadhill/control/api.py
+++ b/threadhill/control/api.py
@@ -137,7 +137,7 @@
             member = Member.model_validate({key: body[key] for key in ("name", "agree", "api", "feed")})
         except ValueError as error:
             raise Problem(422, "invalid", str(error)) from None
-        self.cluster.add_member(member.name, member.places)
+        self.cluster.add_member(member.name, member.addresses)
         return 200, {"added": member.name}
 
     def _leave(self, name: str) -> tuple[int, Any]:
--- a/threadhill/control/council.py
+++ b/threadhill/control/council.py
@@ -101,12 +101,12 @@
         """Release the term so that `heir` may claim the next one at once; "": any member, after the usual wait."""
         self.consensus.propose("release", term=self.lease.term, heir=heir)
 
-    def add_member(self, name: str, places: dict[str, str]) -> None:
+    def add_member(self, name: str, addresses: dict[str, str]) -> None:
         """Add a member. It counts towards the majority at once: of two members, both must run."""
         known = self.register.members.get(name)
-        if known is not None and known != places:
+        if known is not None and known != addresses:
             raise Refused("conflict", f"{name} is a member at {known['agree']}: remove it first")
-        self.consensus.propose("join", name=name, places=places, count=True)
+        self.consensus.propose("join", name=name, places=addresses, count=True)
 
     def remove_member(self, name: str) -> None:
         """Remove a member."""
@@ -232,7 +232,7 @@
         """Register the members of the file as the first ones; later ones are added by command."""
         for member in self.members_file.members:
             if member.name not in self.register.members:
-                self.consensus.send("join", name=member.name, places=member.places)
+                self.consensus.send("join", name=member.name, places=member.addresses)
 
     # --- proxies' reports, relayed to the owner
 
--- a/threadhill/control/members_file.py
+++ b/threadhill/control/members_file.py
@@ -1,4 +1,5 @@
-"""The members' file: who keeps the state together, and under which secret. TOML, checked by pydantic."""
+"""The members' file: the members of a replicated control plane, and the file of their secret. TOML, checked by
+pydantic."""
 
 from __future__ import annotations
 
@@ -13,7 +14,7 @@
 from threadhill.ownership.terms import MAX_MEMBERS
 from threadhill.settings import Malformed, address
 
-SECRET = 32  # characters at least
+MIN_SECRET_LENGTH = 32
 Name = Annotated[str, Field(pattern=r"^[a-z0-9-]{1,32}$")]
 
 
@@ -22,7 +23,7 @@
 
 
 class Member(Strict):
-    """One member: where it agrees with the others, answers callers, and feeds proxies."""
+    """One member's addresses: for Raft, for the API, and for the proxies' feed."""
 
     name: Name
     agree: str
@@ -30,18 +31,18 @@
     feed: str
 
     @model_validator(mode="after")
-    def fits(self) -> Member:
+    def check_addresses(self) -> Member:
         for key in ("agree", "api", "feed"):
             try:
                 host, _ = address(getattr(self, key), key)
             except Malformed as error:
                 raise ValueError(str(error)) from None
             if not host.startswith("127.") and host != "::1":
-                raise ValueError(f"{key}: loopback only, while there is no TLS: use 127.0.0.1")
+                raise ValueError(f"{key}: only loopback addresses, since there is no TLS: use 127.0.0.1")
         return self
 
     @property
-    def places(self) -> dict[str, str]:
+    def addresses(self) -> dict[str, str]:
         return {"agree": self.agree, "api": self.api, "feed": self.feed}
 
 
@@ -53,12 +54,12 @@
     members: Annotated[list[Member], Field(min_length=1, max_length=MAX_MEMBERS)]
 
     @model_validator(mode="after")
-    def differ(self) -> MembersFile:
+    def check_distinct(self) -> MembersFile:
         seen: set[str] = set()
         for member in self.members:
-            for value in (member.name, *member.places.values()):
+            for value in (member.name, *member.addresses.values()):
                 if value in seen:
-                    raise ValueError(f"{value} stands twice: names and addresses are one member's each")
+                    raise ValueError(f"{value} appears twice: names and addresses must be unique")
                 seen.add(value)
         return self
 
@@ -68,7 +69,7 @@
 
 
 def read(path: Path) -> tuple[MembersFile, str]:
-    """The file and the secret. Malformed says what is wrong, and where."""
+    """Read the file and the secret. Raises Malformed with the place of the fault."""
     try:
         text = path.read_text()
         raw = tomllib.loads(text)
@@ -90,6 +91,8 @@
         secret = secret_path.read_text().strip()
     except OSError as error:
         raise Malformed(f"{secret_path}: {error.strerror}: make one with `openssl rand -hex 32`") from None
-    if len(secret) < SECRET:
-        raise Malformed(f"{secret_path}: has under {SECRET} characters: make one with `openssl rand -hex 32`")
+    if len(secret) < MIN_SECRET_LENGTH:
+        raise Malformed(
+            f"{secret_path}: has under {MIN_SECRET_LENGTH} characters: make one with `openssl rand -hex 32`"
+        )
     return file, secret
