--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -277,8 +277,8 @@
     return [plan_apply.effect_of(lines[pos]) for pos in sorted(lines)]
 
 
-@pytest.mark.parametrize("delay", [0.0, 0.25, 0.7])
-def test_stopped_owner_writes_nothing_more_and_another_member_finishes_the_apply(tmp_path: Path, delay: float) -> None:
+@pytest.mark.parametrize("place", [0.0, 0.25, 0.7])
+def test_stopped_owner_writes_nothing_more_and_another_member_finishes_the_apply(tmp_path: Path, place: float) -> None:
     """The owner is stopped for over three leases and then continued. What it had in progress must not be written."""
 
     async def scenario(trio: Trio) -> None:
@@ -289,7 +289,7 @@
         load = Load()
         load_task = asyncio.ensure_future(load.run(trio.addresses, plan_apply.mix(40), 3))
         await begin_apply(trio, THEN)
-        await asyncio.sleep(delay)
+        await asyncio.sleep(place)
         trio.signal(owner, signal.SIGSTOP)
         began = time.monotonic()
         other = await trio.owned(without=owner)
@@ -308,7 +308,7 @@
         await load_task
         assert load.answers["200"] >= 0.97 * load.answers.total() and not load.wrong, load.answers
 
-    run_trio(tmp_path, 120 + 4 * int(delay * 10), scenario)
+    run_trio(tmp_path, 120 + 4 * int(place * 10), scenario)
 
 
 def test_members_killed_in_turn_lose_nothing_and_restart_in_any_order(tmp_path: Path) -> None:
--- a/threadhill/control/agreed.py
+++ b/threadhill/control/agreed.py
@@ -152,7 +152,7 @@
 
     # --- images of the whole state, for members that are far behind and to replace a long log
 
-    def image(self) -> dict[str, Any]:
+    def dump_image(self) -> dict[str, Any]:
         with self.lock:
             path = self.folder / IMAGE_FILE
             self.sqlite.snapshot(path)
@@ -165,7 +165,7 @@
                 "recent": list(self.recent.items()),
             }
 
-    def load(self, image: dict[str, Any]) -> None:
+    def load_image(self, image: dict[str, Any]) -> None:
         """Take over an image; the file is replaced only if the image is ahead of it."""
         with self.lock:
             self.register, self.applied = Register.from_document(image["register"]), image["count"]
