--- a/tests/by_hand.py
+++ b/tests/by_hand.py
@@ -1,4 +1,4 @@
-"""Tests at a socket: clients and servers whose every write is the test's, and a process that stands still when told."""
+"""Clients and servers for tests that control each write to a socket, and a way to pause the process under test."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from threadhill.net.resp import bulk
 
 
-class NotUp:
-    """An address where dials neither fail nor come up until `let` is called: its queue of connections is full."""
+class PendingListener:
+    """An address where connection attempts hang until `accept` is called, because its accept queue is full."""
 
     def __init__(self, host: str, port: int) -> None:
         self.listener = socket.socket()
@@ -27,19 +27,19 @@
         self.listener.listen(0)
         self.filler = socket.create_connection((host, port))
         self.read = b""
-        self.came = self.ended = 0
+        self.accepted = self.closed = 0
 
-    async def let(self) -> None:
-        """Take who waits, and read what comes until the test is over."""
+    async def accept(self) -> None:
+        """Accept the waiting connections, and read from them until the test is over."""
         self.listener.accept()[0].close()
         self.filler.close()
         self.server = await asyncio.start_server(self._serve, sock=self.listener)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.came += 1
+        self.accepted += 1
         while more := await reader.read(1 << 16):
             self.read += more
-        self.ended += 1
+        self.closed += 1
         writer.close()
 
     def close(self) -> None:
@@ -47,33 +47,33 @@
         self.listener.close()
 
 
-def ask(tag: int, cls: str = "art-pages", body: bytes = b"", **fields: Any) -> bytes:
-    """A request as it stands on the wire."""
+def build_request(tag: int, cls: str = "art-pages", body: bytes = b"", **fields: Any) -> bytes:
+    """The bytes of a request."""
     fields = {"rid": os.urandom(8).hex(), "budget": 30_000, "obj": OBJECT, "n": 0, "shard": 17} | fields
     return bulk(b"ASK", b"%d" % tag, cls.encode(), ",".join(f"{k}={v}" for k, v in fields.items()).encode(), body)
 
 
-class Hand:
-    """A client by hand: each `send` is one write, and nothing is read before it is told to."""
+class RawClient:
+    """A client that reads only when told to; each `send` is one write."""
 
-    def __init__(self, where: socket.socket) -> None:
-        self.socket = where
+    def __init__(self, connected: socket.socket) -> None:
+        self.socket = connected
 
     @classmethod
-    async def connect(cls, w: ProxyHarness, receive: int = 0) -> Hand:
-        """`receive`: bytes of the receive buffer, so that what is not read stays with the proxy's machine."""
-        made = socket.socket()
+    async def connect(cls, w: ProxyHarness, receive: int = 0) -> RawClient:
+        """`receive`: bytes of the receive buffer; with a small one, unread data stays in the proxy's send buffer."""
+        connected = socket.socket()
         if receive:
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
-        made.setblocking(False)
-        await asyncio.get_running_loop().sock_connect(made, ("127.0.0.1", w.port))
-        return cls(made)
+            connected.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
+        connected.setblocking(False)
+        await asyncio.get_running_loop().sock_connect(connected, ("127.0.0.1", w.port))
+        return cls(connected)
 
     async def send(self, *messages: bytes) -> None:
         await asyncio.get_running_loop().sock_sendall(self.socket, b"".join(messages))
 
-    def done(self) -> None:
-        """End this side only."""
+    def end_writing(self) -> None:
+        """Close this side of the connection only."""
         self.socket.shutdown(socket.SHUT_WR)
 
     def reset(self) -> None:
@@ -84,17 +84,17 @@
         async with asyncio.timeout(40):
             return await asyncio.get_running_loop().sock_recv(self.socket, count)
 
-    async def until(self, text: bytes) -> bytes:
-        """What comes up to and with these bytes."""
+    async def read_until(self, text: bytes) -> bytes:
+        """Read until these bytes have come; returns all that was read."""
         raw = b""
         while text not in raw:
             more = await self.read()
-            assert more, f"it ended after {raw[-200:]!r}"
+            assert more, f"the connection ended after {raw[-200:]!r}"
             raw += more
         return raw
 
-    async def rest(self) -> bytes:
-        """What comes until the proxy ends its side; a reset fails the test."""
+    async def read_to_end(self) -> bytes:
+        """Read until the proxy closes its side; a reset fails the test."""
         raw = b""
         while more := await self.read():
             raw += more
@@ -102,8 +102,8 @@
 
 
 @contextmanager
-def stopped(w: ProxyHarness) -> Iterator[None]:
-    """The process stands still: what its sockets get meanwhile comes to it all at once."""
+def paused(w: ProxyHarness) -> Iterator[None]:
+    """Pause the process with SIGSTOP: what its sockets receive meanwhile reaches it all at once."""
     w.process.send_signal(signal.SIGSTOP)
     while Path(f"/proc/{w.process.pid}/stat").read_text().rpartition(")")[2].split()[0] != "T":
         time.sleep(0.001)
@@ -113,25 +113,26 @@
         w.process.send_signal(signal.SIGCONT)
 
 
-async def leaving(w: ProxyHarness) -> Hand:
-    """SIGTERM was sent and is known to the program; a connection that is ended as soon as it lets go of clients."""
-    watch = await Hand.connect(w)
+async def start_shutdown(w: ProxyHarness) -> RawClient:
+    """Send SIGTERM and wait until the program has noticed it. Returns a connection that it closes as soon as it starts
+    to close clients' connections."""
+    watch = await RawClient.connect(w)
     await watch.send(bulk(b"STATUS", b"1"))
-    await watch.until(b"serving")
+    await watch.read_until(b"serving")
     w.process.send_signal(signal.SIGTERM)
     for tag in range(2, 10_000):
         await watch.send(bulk(b"STATUS", b"%d" % tag))
-        if b"not_serving" in await watch.until(b"serving"):
+        if b"not_serving" in await watch.read_until(b"serving"):
             return watch
     raise AssertionError("SIGTERM was not noticed")
 
 
-async def gone(w: ProxyHarness) -> None:
+async def wait_for_exit(w: ProxyHarness) -> None:
     async with asyncio.timeout(40):
         assert await w.process.wait() == 0
     await w.reading
 
 
-def profiles(name: str, **more: object) -> list[dict[str, object]]:
-    """The classes of the settings, one of them with other figures."""
+def changed_profiles(name: str, **more: object) -> list[dict[str, object]]:
+    """The request classes of the settings, with one of them changed."""
     return [p | (more if p["name"] == name else {}) for p in SETTINGS["profiles"]]
--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.by_hand import NotUp
+from tests.by_hand import PendingListener
 from tests.faults.world import FaultWorld, play
 from tests.world import OBJECT, SETTINGS, Box, Journal, until
 
@@ -143,13 +143,13 @@
     async def scene(w: FaultWorld) -> None:
         (box,) = w.caches
         box.server.close()
-        place = NotUp(box.host, box.port)
+        place = PendingListener(box.host, box.port)
         client = await w.client()
         began = time.monotonic()
         client.ask("license-buy", token="5c0f6e1a", budget=3_000)  # its attempt may take all the time there is
         await until(lambda: w.counter("sent", "license-buy") == 1)
         await asyncio.sleep(1.0)  # the wait that must come off `max`
-        await place.let()
+        await place.accept()
         await until(lambda: b"\r\n" in place.read, "the request")
         waited = time.monotonic() - began
         fields = dict(item.split("=", 1) for item in place.read.split()[2].decode().split(","))
--- a/tests/faults/test_purges.py
+++ b/tests/faults/test_purges.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.by_hand import stopped
+from tests.by_hand import paused
 from tests.faults.world import PURGE_SLACK_MS, FaultWorld, hold, play, unix_ms
 from tests.world import OBJECT, until
 
@@ -107,7 +107,7 @@
             box.asked.clear()
         w.journal.silent = True  # so that the requests are what the system has first
         await asyncio.sleep(0.6)
-        with stopped(w):
+        with paused(w):
             tags = [client.ask(n=n) for n in range(8)] + [client.ask("license-buy", token="5c0f6e1a")]
             await client.writer.drain()
             await asyncio.sleep(0.1)  # they are in the socket, ahead of the news
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.by_hand import Hand, NotUp, ask, gone, leaving, stopped
+from tests.by_hand import PendingListener, RawClient, build_request, paused, start_shutdown, wait_for_exit
 from tests.test_proxy import run_scenario
 from tests.upstream_stub import Transport
 from tests.world import SETTINGS, Box, ProxyHarness, until
@@ -34,18 +34,18 @@
     async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: ("ok", "ver=a,born=1", b"x" * BIG)
-        slow = await Hand.connect(w, receive=4_096)
-        await slow.send(ask(1))
+        slow = await RawClient.connect(w, receive=4_096)
+        await slow.send(build_request(1))
         await until(lambda: w.counter("served", "art-pages") == 1, "the answer to be written")
-        watch = await leaving(w)
-        await watch.rest()
+        watch = await start_shutdown(w)
+        await watch.read_to_end()
         asked = len(w.asked())
-        await slow.send(ask(2, obj="00000000000000aa"))  # it crosses the close
-        raw = await slow.rest()
+        await slow.send(build_request(2, obj="00000000000000aa"))  # it crosses the close
+        raw = await slow.read_to_end()
         assert raw.count(b"x") == BIG and raw.endswith(b"\r\n")
         slow.socket.close()
         watch.socket.close()
-        await gone(w)
+        await wait_for_exit(w)
         assert len(w.asked()) == asked
 
     run_scenario(tmp_path, scene)
@@ -56,17 +56,17 @@
     unread. The process stands still while they come, until its time for taking is over."""
 
     async def scene(w: ProxyHarness) -> None:
-        await leaving(w)
-        with stopped(w):
-            hands = [await Hand.connect(w) for _ in range(40)]  # more than are taken in one turn
-            for hand in hands:
-                await hand.send(ask(1))
+        await start_shutdown(w)
+        with paused(w):
+            clients = [await RawClient.connect(w) for _ in range(40)]  # more than are taken in one turn
+            for client in clients:
+                await client.send(build_request(1))
             await asyncio.sleep(0.8)  # SHUTDOWN_GRACE is over when it goes on
-        for hand in hands:
-            raw = await hand.rest()
+        for client in clients:
+            raw = await client.read_to_end()
             assert raw.count(b"\r\n200\r\n") + raw.count(b"\r\n503\r\n") == 1, raw
-            hand.socket.close()
-        await gone(w)
+            client.socket.close()
+        await wait_for_exit(w)
 
     run_scenario(tmp_path, scene)
 
@@ -76,23 +76,23 @@
     tmp_path: Path, half: str
 ) -> None:
     async def scene(w: ProxyHarness) -> None:
-        slow = await Hand.connect(w)
-        raw = ask(1)
-        watch = await leaving(w)
+        slow = await RawClient.connect(w)
+        raw = build_request(1)
+        watch = await start_shutdown(w)
         if half == "read":
             await slow.send(raw[:40])
             await until(lambda: w.counter("client", "opened") == 2)
-            await watch.rest()  # it lets go of who is idle
+            await watch.read_to_end()  # it lets go of who is idle
         else:
-            with stopped(w):
+            with paused(w):
                 await slow.send(raw[:40])
                 await asyncio.sleep(0.8)
         await slow.send(raw[40:])
-        answered = await slow.rest()
+        answered = await slow.read_to_end()
         assert b"\r\n503\r\n" in answered or b"\r\n200\r\n" in answered
         slow.socket.close()
         watch.socket.close()
-        await gone(w)
+        await wait_for_exit(w)
 
     run_scenario(tmp_path, scene)
 
@@ -105,16 +105,16 @@
         client = await w.client()
         tag = client.ask(budget=2_000)
         await until(lambda: held)
-        watch = await leaving(w)
+        watch = await start_shutdown(w)
         w.process.send_signal(signal.SIGTERM)
-        await watch.rest()
+        await watch.read_to_end()
         for box in w.boxes:
             for writer in box.writers:
                 writer.write(f"{held[-1]} ok ver=a,born=1 4\r\nlate\r\n".encode())
         assert (await client.answer(tag))[2] == b"late"
         client.writer.close()
         watch.socket.close()
-        await gone(w)
+        await wait_for_exit(w)
 
     run_scenario(tmp_path, scene)
 
@@ -126,11 +126,11 @@
     async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: ("ok", "ver=a,born=1", b"x" * 240_000)
-        dead = await Hand.connect(w, receive=4_096)
-        await dead.send(*(ask(n, n=n, budget=300) for n in range(1, 33)))
-        watch = await leaving(w)
+        dead = await RawClient.connect(w, receive=4_096)
+        await dead.send(*(build_request(n, n=n, budget=300) for n in range(1, 33)))
+        watch = await start_shutdown(w)
         began = time.monotonic()
-        await gone(w)
+        await wait_for_exit(w)
         assert time.monotonic() - began < 2.5  # 1.0 by the clock; how late the machine is, is its own affair
         dead.socket.close()
         watch.socket.close()
@@ -152,16 +152,16 @@
     async def scene(w: ProxyHarness) -> None:
         before = await w.client()
         assert (await before.get(obj="00000000000000aa"))[0] == "200"  # its cache has a connection
-        client = await Hand.connect(w)
-        wanted = ask(100, obj="00000000000000aa")
+        client = await RawClient.connect(w)
+        wanted = build_request(100, obj="00000000000000aa")
         if how == "takes it back":
-            await client.send(BAD, wanted, bulk(b"NEVERMIND", b"100"), ask(101, obj="00000000000000bb"))
+            await client.send(BAD, wanted, bulk(b"NEVERMIND", b"100"), build_request(101, obj="00000000000000bb"))
             await until(lambda: [a for a in w.asked() if a["thing"] == "00000000000000bb"])
         else:
             await client.send(BAD, wanted)
             if how == "ends its side":
-                client.done()
-                raw = await client.rest()
+                client.end_writing()
+                raw = await client.read_to_end()
                 assert b"$2\r\n16\r\n" in raw  # what was answered before comes all the same
             elif how == "resets":
                 client.reset()
@@ -178,23 +178,23 @@
     async def scene(w: ProxyHarness) -> None:
         w.origin.server.close()
         w.origin.reset()
-        place = NotUp(w.origin.host, w.origin.port)
-        client = await Hand.connect(w)
-        await client.send(ask(1, "license-buy", b"x", token="a"))
+        place = PendingListener(w.origin.host, w.origin.port)
+        client = await RawClient.connect(w)
+        await client.send(build_request(1, "license-buy", b"x", token="a"))
         await until(lambda: w.counter("sent", "license-buy") == 1)
         if how == "takes it back":
             await client.send(bulk(b"NEVERMIND", b"1"))
         elif how == "ends its side":
-            client.done()
+            client.end_writing()
         elif how == "resets":
             client.reset()
         else:
             client.socket.close()
         await until(lambda: w.counter("client_gone", "license-buy") == 1)
-        await place.let()
-        await until(lambda: place.came, "the dial to come up late")
-        other = await Hand.connect(w)
-        await other.send(ask(1, "license-buy", b"y", token="b"))
+        await place.accept()
+        await until(lambda: place.accepted, "the dial to come up late")
+        other = await RawClient.connect(w)
+        await other.send(build_request(1, "license-buy", b"y", token="b"))
         await until(lambda: b"replay=b" in place.read)
         assert b"replay=a" not in place.read
         place.close()
@@ -209,13 +209,13 @@
     async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None
-        client = await Hand.connect(w)
-        await client.send(ask(1, rid="00000000000000aa"))
+        client = await RawClient.connect(w)
+        await client.send(build_request(1, rid="00000000000000aa"))
         await until(w.asked)
         if how == "takes it back":
             await client.send(bulk(b"NEVERMIND", b"1"))
         elif how == "ends its side":
-            client.done()
+            client.end_writing()
         elif how == "resets":
             client.reset()
         else:
@@ -240,9 +240,9 @@
     async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None
-        with stopped(w):
-            client = await Hand.connect(w)
-            await client.send(ask(1, rid="00000000000000aa"))
+        with paused(w):
+            client = await RawClient.connect(w)
+            await client.send(build_request(1, rid="00000000000000aa"))
             client.socket.close()
         await until(lambda: w.counter("client", "closed") == 1)
         asked = len(w.asked())
@@ -309,18 +309,18 @@
         held: list[str] = []
         for box in w.boxes:
             box.behave = lambda ask: held.append(ask["id"])
-        client = await Hand.connect(w)
-        late = ask(2)
-        await client.send(ask(1, "clip-parts"), late[:30])
+        client = await RawClient.connect(w)
+        late = build_request(2)
+        await client.send(build_request(1, "clip-parts"), late[:30])
         await until(lambda: held)
         await until(lambda: w.counter("sent", "clip-parts") == 1)
-        idle = await Hand.connect(w)
+        idle = await RawClient.connect(w)
         await idle.send(bulk(b"STATUS", b"1"), late[:30])
-        await idle.rest()  # who is owed nothing is ended: the bound has passed for the other, which began before
+        await idle.read_to_end()  # who is owed nothing is ended: the bound has passed for the other, which began before
         for box in w.boxes:
             for writer in box.writers:
                 writer.write(f"{held[-1]} ok ver=a,born=1 4\r\nlate\r\n".encode())
-        assert b"late" in await client.until(b"late")
-        assert await client.rest() in (b"", b"\r\n")  # then it is
+        assert b"late" in await client.read_until(b"late")
+        assert await client.read_to_end() in (b"", b"\r\n")  # then it is
 
     run_scenario(tmp_path, scene)
--- a/tests/test_upstream_endings.py
+++ b/tests/test_upstream_endings.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.by_hand import Hand, NotUp, ask, profiles
+from tests.by_hand import PendingListener, RawClient, build_request, changed_profiles
 from tests.test_proxy import run_scenario
 from tests.upstream_stub import Below, Transport
 from tests.world import OBJECT, SETTINGS, Box, ProxyHarness, until
@@ -26,11 +26,11 @@
     longer than that, and it was written all the same."""
 
     async def scene(w: ProxyHarness) -> None:
-        places: list[NotUp] = []
+        places: list[PendingListener] = []
 
         def die(ask: dict[str, str]) -> None:
             w.origin.server.close()
-            places.append(NotUp(w.origin.host, w.origin.port))
+            places.append(PendingListener(w.origin.host, w.origin.port))
             w.origin.reset()  # it may have run
 
         w.origin.behave = die
@@ -38,9 +38,9 @@
         word, fields, _ = await client.get("license-buy", b"x", token="a", budget=30_000)
         assert word == "503" and "backoff" in fields  # while the dial is still out
         (place,) = places
-        assert place.came == 0
-        await place.let()
-        await until(lambda: place.came, "the dial to come up late")
+        assert place.accepted == 0
+        await place.accept()
+        await until(lambda: place.accepted, "the dial to come up late")
         again = client.ask("license-buy", b"y", token="b", budget=30_000)
         await until(lambda: b"replay=b" in place.read)
         assert b"replay=a" not in place.read and len(w.origin.asked) == 1
@@ -49,7 +49,7 @@
 
     limits = SETTINGS["limits"] | {"connect-timeout": 20_000_000}
     window = {"repeat-window": 150_000}
-    run_scenario(tmp_path, scene, settings={"limits": limits, "profiles": profiles("license-buy", **window)})
+    run_scenario(tmp_path, scene, settings={"limits": limits, "profiles": changed_profiles("license-buy", **window)})
 
 
 def test_a_repeat_whose_window_ends_in_the_turn_in_which_its_dial_comes_up_is_not_written() -> None:
@@ -159,15 +159,15 @@
     async def scene(w: ProxyHarness) -> None:
         (box,) = w.caches
         box.server.close()
-        place = NotUp(box.host, box.port)
-        client = await Hand.connect(w)
-        await client.send(ask(1))
+        place = PendingListener(box.host, box.port)
+        client = await RawClient.connect(w)
+        await client.send(build_request(1))
         await until(lambda: w.counter("sent", "art-pages") == 1)
         w.journal.hosts(box.member("DRAINING"))
-        await client.until(b"\r\n503\r\n")  # at once: there is no other cache
-        await place.let()
-        await until(lambda: place.ended, "the late connection to be closed")
-        assert place.came == 1 and place.read == b""
+        await client.read_until(b"\r\n503\r\n")  # at once: there is no other cache
+        await place.accept()
+        await until(lambda: place.closed, "the late connection to be closed")
+        assert place.accepted == 1 and place.read == b""
         place.close()
 
     limits = SETTINGS["limits"] | {"connect-timeout": 20_000_000}
