--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Replacing the process under load: both take from the socket that the platform keeps, the old one lets go."""
+"""Upgrades under load: the old and the new process accept from the same inherited socket until the old one exits."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.world import ROOT, Client, ProxyHarness, until
 
 
-async def health(port: int) -> int:
+async def health_status(port: int) -> int:
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except OSError:
@@ -26,9 +26,9 @@
     return int(raw.split(b" ")[1]) if raw else 0
 
 
-async def steady(w: ProxyHarness, count: int, answers: list[str]) -> None:
-    """A client that asks one thing after another; where its connection is closed it comes again on a new one, and
-    sends what crossed the close once more, as the platform's clients do."""
+async def steady_client(w: ProxyHarness, count: int, answers: list[str]) -> None:
+    """A client that sends one request after another. When its connection is closed it reconnects and repeats a request
+    that crossed the close, as the platform's clients do."""
     client: Client | None = None
     for i in range(count):
         for _ in range(2):
@@ -44,16 +44,16 @@
         await asyncio.sleep(0.01)
 
 
-class Second:
-    """The new process of an upgrade: same socket, same folder, an address of its own for operators."""
+class SecondProcess:
+    """The new process of an upgrade: the same socket and folder, but its own management address."""
 
-    async def start(self, w: ProxyHarness) -> Second:
+    async def start(self, w: ProxyHarness) -> SecondProcess:
         self.process = await w.start(LB_MANAGEMENT="127.0.0.1:0", LB_NAME="n0")
         self.log = b""
         self.reading = asyncio.ensure_future(self._read())
         found = await until(lambda: re.search(rb"management: serving on .*:(\d+)", self.log), "the second's address")
         self.port = int(found[1])
-        while await health(self.port) != 200:
+        while await health_status(self.port) != 200:
             await asyncio.sleep(0.02)
         return self
 
@@ -68,7 +68,7 @@
         self.reading.cancel()
 
 
-async def call(port: int, path: str, body: bytes) -> int:
+async def post(port: int, path: str, body: bytes) -> int:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(f"POST {path} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
     raw = await reader.read()
@@ -76,57 +76,57 @@
     return int(raw.split(b" ")[1])
 
 
-def test_a_second_process_takes_over_without_a_request_turned_back(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_second_process_takes_over_without_a_failed_request(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         answers: list[str] = []
-        load = asyncio.ensure_future(steady(w, 150, answers))
+        load = asyncio.ensure_future(steady_client(w, 150, answers))
         await until(lambda: len(answers) >= 20, "some answers from the first process")
-        second = await Second().start(w)
+        second = await SecondProcess().start(w)
         w.process.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(w.process.wait(), 10) == 0
         await load
         assert answers.count("200") == 150, answers
         await second.stop()
 
-    run_scenario(tmp_path, scene, inherit=True, management=True)
+    run_scenario(tmp_path, scenario, inherit=True, management=True)
 
 
-def test_a_cordon_holds_in_the_new_process_and_is_undone_there(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness) -> None:
+def test_cordon_survives_the_upgrade_and_can_be_undone(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         out = w.caches[0]
         body = json.dumps({"name": out.name}).encode()
         assert (await w.call("POST", "/admin/cordon", body))[0] == 200
-        second = await Second().start(w)
+        second = await SecondProcess().start(w)
         w.process.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(w.process.wait(), 10) == 0
         answers: list[str] = []
-        await steady(w, 40, answers)
+        await steady_client(w, 40, answers)
         assert answers.count("200") == 40 and not out.asked
-        assert await call(second.port, "/admin/uncordon", body) == 200
-        await steady(w, 80, answers)
+        assert await post(second.port, "/admin/uncordon", body) == 200
+        await steady_client(w, 80, answers)
         assert out.asked
         await second.stop()
 
-    run_scenario(tmp_path, scene, inherit=True, management=True)
+    run_scenario(tmp_path, scenario, inherit=True, management=True)
 
 
-def test_a_damaged_file_of_cordons_is_set_aside_and_said(tmp_path: Path) -> None:
+def test_damaged_cordon_file_is_set_aside_and_logged(tmp_path: Path) -> None:
     (tmp_path / "threadhill-cordons.json").write_bytes(b'{"out": ["s-00000001"')
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         await w.logged("cannot be read")
         assert (tmp_path / "threadhill-cordons.damaged").exists()
         client = await w.client()
         assert (await client.get())[0] == "200"
 
-    run_scenario(tmp_path, scene, management=True)
+    run_scenario(tmp_path, scenario, management=True)
 
 
-def test_a_descriptor_that_is_no_socket_is_a_clear_error(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_invalid_listen_descriptor_is_a_clear_error(tmp_path: Path) -> None:
+    async def scenario() -> None:
         config = tmp_path / "config.json"
         config.write_text('{"name":"n0","listen":"127.0.0.1:0","settings":{}}')
-        for value, said in (
+        for value, expected in (
             ("seven", b"LB_LISTEN_FD is not a descriptor number"),
             ("2", b"of 3 or more"),
             ("7", b"descriptor 7 is not a socket"),
@@ -141,16 +141,16 @@
                 env=os.environ | {"LB_CONFIG": str(config), "LB_LISTEN_FD": value},
             )
             _, error = await process.communicate()
-            assert process.returncode == 2 and said in error, error
+            assert process.returncode == 2 and expected in error, error
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_the_old_process_answers_all_before_sigkill_can_come(tmp_path: Path) -> None:
-    """SIGKILL comes 0.7 s after the longest deadline, counted as 3 s where it is longer (clip-parts has 5 s here); a
-    request that came after the first 0.7 s and is open then would be lost."""
+def test_old_process_answers_all_requests_before_sigkill(tmp_path: Path) -> None:
+    """The platform sends SIGKILL 0.7 s after the longest deadline, counted as 3 s at most (clip-parts has 5 s here). A
+    request that comes later than 0.7 s after SIGTERM must be answered by then, or it would be lost."""
 
-    async def scene(w: ProxyHarness) -> None:
+    async def scenario(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None  # nothing is ever answered by the servers
         client = await w.client()
@@ -165,4 +165,4 @@
             assert word in ("500", "503") and time.monotonic() - began < 3.7
         assert await asyncio.wait_for(w.process.wait(), 10) == 0 and time.monotonic() - began < 3.7
 
-    run_scenario(tmp_path, scene, inherit=True)
+    run_scenario(tmp_path, scenario, inherit=True)
