--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The control plane: its ledger and store under faults on a clock of the tests', and whole on loopback."""
+"""The control plane: the ledger and the store under faults with a simulated clock, and real processes on loopback."""
 
 from __future__ import annotations
 
@@ -32,51 +32,51 @@
 SECOND = 1_000
 
 
-class Dead(Exception):
-    """The process was killed there."""
+class Killed(Exception):
+    """The simulated process was killed."""
 
 
-class Fragile(SqliteStore):
-    """A store whose process dies at the n-th commit, before it or right after."""
+class CrashingStore(SqliteStore):
+    """A store whose process is killed at the n-th commit, just before or just after it."""
 
-    dies: tuple[int, bool] | None = None
+    crash_at: tuple[int, bool] | None = None
     commits = 0
 
     def commit(self, change: Change) -> None:
         self.commits += 1
-        if self.dies == (self.commits, False):
-            raise Dead
+        if self.crash_at == (self.commits, False):
+            raise Killed
         super().commit(change)
-        if self.dies == (self.commits, True):
-            raise Dead
+        if self.crash_at == (self.commits, True):
+            raise Killed
 
 
 class Plane:
-    """A ledger on a clock that the test moves, with proxies that apply at once what they are told unless cut off."""
+    """A ledger with a clock that the test moves, and proxies that apply each event at once unless disconnected."""
 
     def __init__(
-        self, folder: Path, names: tuple[str, ...] = ("p-1", "p-2"), store: type[SqliteStore] = SqliteStore
+        self, folder: Path, names: tuple[str, ...] = ("p-1", "p-2"), store_class: type[SqliteStore] = SqliteStore
     ) -> None:
-        self.folder, self.names, self.kind, self.now = folder, names, store, 1_000_000
-        self.cut: set[str] = set()
-        self.down: dict[str, list[str]] = {}
+        self.folder, self.names, self.store_class, self.now = folder, names, store_class, 1_000_000
+        self.disconnected: set[str] = set()
+        self.unreachable: dict[str, list[str]] = {}
         self.events: dict[int, bytes] = {}
         self.applied: dict[str, int] = {}
         self.open()
 
     def open(self) -> None:
-        self.store = self.kind(self.folder)
+        self.store = self.store_class(self.folder)
         self.ledger = Ledger(self.store)
 
-    def kill(self) -> None:
-        """The process is gone; a new one opens the same folder."""
+    def restart(self) -> None:
+        """Replace the process: a new one opens the same folder."""
         self.store.close()
         self.open()
 
     def report(self) -> None:
-        """What proxies do: read the feed from their last number, and report."""
+        """Let each connected proxy read the feed from its last number and report."""
         for name in self.names:
-            if name in self.cut:
+            if name in self.disconnected:
                 continue
             record = self.ledger.fleet.records.get(f"proxy.{name}")
             for pos, line in self.ledger.events_after(self.applied.get(name, 0)):
@@ -89,7 +89,7 @@
                     "applied": self.applied.get(name, 0),
                     "config": config,
                     "up": [],
-                    "down": self.down.get(name, []),
+                    "down": self.unreachable.get(name, []),
                 },
                 self.now,
             )
@@ -102,7 +102,7 @@
     def begin(self, plan: dict, holder: str = "one"):  # noqa: ANN201
         return self.ledger.begin(plan, holder, "tests", "", self.now)
 
-    def turn(self, apply, step: int = 200) -> dict:  # noqa: ANN001
+    def advance(self, apply, step: int = 200) -> dict:  # noqa: ANN001
         self.report()
         told = self.ledger.advance(apply.number, apply.token, self.now)
         self.now += step
@@ -110,7 +110,7 @@
 
     def finish(self, apply) -> dict:  # noqa: ANN001
         for _ in range(500):
-            told = self.turn(apply)
+            told = self.advance(apply)
             if told["state"] != "open":
                 return told
         raise AssertionError(f"does not end: {told}")
@@ -126,9 +126,9 @@
 # --- kills
 
 
-def test_killed_at_every_commit_the_next_plan_is_true_and_no_step_takes_effect_twice(tmp_path: Path) -> None:
+def test_kill_at_any_commit_leaves_a_true_state_and_repeats_no_step(tmp_path: Path) -> None:
     changed = BASE.replace('tenant "agencies"', 'tenant "brokers"').replace("size    = 8", "size    = 9")
-    reference = Plane(tmp_path / "reference", store=Fragile)
+    reference = Plane(tmp_path / "reference", store_class=CrashingStore)
     reference.apply()
     first = reference.store.commits
     reference.apply(changed, boxes=5)
@@ -136,22 +136,22 @@
     assert total > 8
     for n in range(1, total + 1):
         for after in (False, True):
-            plane = Plane(tmp_path / f"{n}-{after}", store=Fragile)
+            plane = Plane(tmp_path / f"{n}-{after}", store_class=CrashingStore)
             plane.apply()
             start = plane.ledger.pos
             plan = plane.plan(changed, boxes=5)
-            plane.store.dies = plane.store.commits + n, after
+            plane.store.crash_at = plane.store.commits + n, after
             apply = None
             try:
                 apply = plane.begin(plan)
                 plane.finish(apply)
                 raise AssertionError("was not killed")
-            except Dead:
-                plane.kill()
+            except Killed:
+                plane.restart()
             plane.report()
             told = plane.ledger.unfinished()
             seen = effects(plane, start)
-            if told is not None:  # what is told of each step is what happened
+            if told is not None:  # each step's reported state is what happened
                 by_id = {s["id"]: plan_apply.step_effect(s) for s in plan["steps"]}
                 for id, state in told["steps"].items():
                     if by_id[id] is not None:
@@ -167,13 +167,13 @@
             plane.store.close()
 
 
-def test_control_plane_and_command_are_killed_while_they_work(tmp_path: Path) -> None:
+def test_kills_of_the_control_plane_and_the_command(tmp_path: Path) -> None:
     found = asyncio.run(plan_apply.kills(tmp_path, 7, 3))
     assert found["kills"] >= 3 and not found["kills_untrue"] and not found["events_twice"]
 
 
-def test_the_command_is_killed_and_another_resumes(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_killed_command_is_resumed_by_another(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with Rig(tmp_path, "127.0.31.1", proxies=1, cold_s=0.6) as rig:
             await rig.apply(rig.make(["0", "1"]))
             await rig.live()
@@ -195,54 +195,54 @@
             plan = await rig.command("plan", str(file), "--no-forecast")
             assert await plan.wait() == 0
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 # --- leases, conflicts, saved plans
 
 
-def refused(code: str, call: Callable[..., object], *words: object) -> None:
+def assert_refused(code: str, call: Callable[..., object], *words: object) -> None:
     with pytest.raises(Refused) as caught:
         call(*words)
     assert caught.value.code == code
 
 
-def test_one_applier_at_a_time_and_one_that_lost_its_lease_does_nothing_more(tmp_path: Path) -> None:
+def test_only_the_holder_of_the_newest_lease_advances_an_apply(tmp_path: Path) -> None:
     plane = Plane(tmp_path)
     plane.apply()
     plan, other = plane.plan(boxes=5), plane.plan(boxes=6)
     one = plane.begin(plan)
-    refused("unfinished", plane.begin, other, "two")
-    plane.turn(one)
-    refused("leased", plane.ledger.resume, one.number, "two", plane.now)
-    refused("leased", plane.ledger.abandon, one.number, "two", plane.now)
+    assert_refused("unfinished", plane.begin, other, "two")
+    plane.advance(one)
+    assert_refused("leased", plane.ledger.resume, one.number, "two", plane.now)
+    assert_refused("leased", plane.ledger.abandon, one.number, "two", plane.now)
     plane.now += LEASE_MS + 1
     two = plane.ledger.resume(one.number, "two", plane.now)
     before = plane.ledger.pos, dict(plane.ledger.step_states)
     for _ in range(30):
         plane.now += 1_000  # long enough for the next step to be due
-        refused("lease-lost", plane.ledger.advance, one.number, one.token, plane.now)
+        assert_refused("lease-lost", plane.ledger.advance, one.number, one.token, plane.now)
     assert before == (plane.ledger.pos, plane.ledger.step_states)
     assert plane.finish(two)["state"] == "done"
-    refused("not-open", plane.ledger.advance, two.number, two.token, plane.now)
-    refused("conflict", plane.begin, other)
+    assert_refused("not-open", plane.ledger.advance, two.number, two.token, plane.now)
+    assert_refused("conflict", plane.begin, other)
 
 
-def test_a_plan_is_carried_out_as_saved_or_not_at_all(tmp_path: Path) -> None:
+def test_plan_is_carried_out_as_saved_or_refused(tmp_path: Path) -> None:
     plane = Plane(tmp_path)
     plane.apply()
     plan = plane.plan(boxes=5)
     plane.report()
-    plane.ledger.tick(plane.now + 60 * SECOND)  # time alone is no reason to plan again
+    plane.ledger.tick(plane.now + 60 * SECOND)  # phases that time alone confirms must not invalidate the plan
     raw = json.dumps(plan)
     altered = raw.replace("127.0.0.1:19013", "127.0.0.1:19014", 1)
-    refused("bad-plan", plane.begin, json.loads(altered))
+    assert_refused("bad-plan", plane.begin, json.loads(altered))
     forged = {k: v for k, v in json.loads(raw).items() if k != "digest"}
-    forged["steps"] = forged["steps"][1:]  # well formed, with a digest that fits, and not what its files lead to
-    refused("bad-plan", plane.begin, forged | {"digest": planner.digest(forged)})
+    forged["steps"] = forged["steps"][1:]  # well formed, with a valid digest, but not what its configuration needs
+    assert_refused("bad-plan", plane.begin, forged | {"digest": planner.digest(forged)})
     assert plane.ledger.open_apply is None and plane.ledger.meta["version"] == 1
     plane.apply(boxes=4)
-    refused("conflict", plane.begin, plan)
+    assert_refused("conflict", plane.begin, plan)
     plane.finish(plane.begin(plane.plan(boxes=5)))
     back = saved.resources_of(plane.store.version(2).wanted)
     assert {s.id for s in planner.plan(back, plane.ledger.fleet.records.values()).steps} == {
@@ -251,11 +251,11 @@
     }
 
 
-def test_an_abandoned_apply_leaves_a_state_that_a_plan_tells_truly(tmp_path: Path) -> None:
+def test_plan_after_an_abandoned_apply_has_the_remaining_steps(tmp_path: Path) -> None:
     plane = Plane(tmp_path)
     plane.apply()
     apply = plane.begin(plane.plan(boxes=5))
-    plane.turn(apply)
+    plane.advance(apply)
     plane.ledger.abandon(apply.number, "one", plane.now)
     assert [s["id"] for s in plane.plan(boxes=5)["steps"]] == ["add box.costa-4"]
     assert [s["id"] for s in plane.plan()["steps"]] == ["drain box.costa-3", "remove box.costa-3"]
@@ -263,35 +263,35 @@
     assert plane.apply()["state"] == "done"
 
 
-# --- proxies that are silent, restarted, cut off, ahead; servers that go by themselves
+# --- proxies that are silent, restarted, disconnected or ahead; servers that become unreachable
 
 
-def test_a_step_waits_for_each_live_proxy_and_says_whom_it_did_not_wait_for(tmp_path: Path) -> None:
+def test_step_waits_for_live_proxies_and_notes_the_silent_ones(tmp_path: Path) -> None:
     plane = Plane(tmp_path)
     plane.apply(boxes=4)
     apply = plane.begin(plane.plan(boxes=3))
     plane.report()
-    plane.cut = {"p-2"}
-    plane.turn(apply)
+    plane.disconnected = {"p-2"}
+    plane.advance(apply)
     drained = plane.now
     waits = {}
     while "box.costa-3" in plane.ledger.fleet.records:
-        told = plane.turn(apply)
+        told = plane.advance(apply)
         waits |= told["waits"]
         assert plane.now < drained + 60 * SECOND
     assert "proxies p-2 to apply" in " ".join([*waits.values()]) or plane.now - drained >= 7 * SECOND
-    assert plane.now - drained >= 7 * SECOND  # what a silent one has not heard counts as told by then
+    assert plane.now - drained >= 7 * SECOND  # by then PROTOCOL counts the event as delivered to a silent proxy
     end = plane.finish(apply)
     notes = [s.note for s in plane.store.steps(apply.number).values()]
     assert end["state"] == "done" and any("silent, not waited for: p-2" in note for note in notes)
     odd = plane.ledger.observed(plane.now)["odd"]
     assert set(odd) == {"proxy.p-2"} and "silent for" in odd["proxy.p-2"]
-    plane.cut = set()  # it comes back with its old number and misses nothing
+    plane.disconnected = set()  # it reconnects with its old number and misses no event
     plane.report()
     assert plane.applied["p-2"] == plane.ledger.pos and not plane.ledger.observed(plane.now)["odd"]
 
 
-def test_a_live_proxy_that_lags_is_waited_for_however_long(tmp_path: Path) -> None:
+def test_step_waits_for_a_lagging_live_proxy_without_limit(tmp_path: Path) -> None:
     plane = Plane(tmp_path)
     plane.apply(boxes=4)
     apply = plane.begin(plane.plan(boxes=3))
@@ -306,37 +306,37 @@
     assert plane.finish(apply)["state"] == "done"
 
 
-def test_a_box_that_goes_by_itself_halts_the_apply_and_shows_as_drift(tmp_path: Path) -> None:
+def test_unreachable_box_halts_the_apply_and_shows_as_drift(tmp_path: Path) -> None:
     plane = Plane(tmp_path)
     plane.apply()
     apply = plane.begin(plane.plan(boxes=5))
-    plane.turn(apply)
-    plane.down = {"p-1": ["costa-3"], "p-2": ["costa-3"]}
+    plane.advance(apply)
+    plane.unreachable = {"p-1": ["costa-3"], "p-2": ["costa-3"]}
     told = plane.finish(apply)
     assert told["state"] == "halted" and "no live proxy reaches it" in told["halted"]
     assert plane.ledger.observed(plane.now)["gone"] == ["box.costa-3"]
     plane.ledger.abandon(apply.number, "one", plane.now)
-    plane.down = {}
-    plane.apply()  # back to three: the one that went is drained and removed
+    plane.unreachable = {}
+    plane.apply()  # back to three boxes: the unreachable one is drained and removed
     assert "box.costa-3" not in plane.ledger.fleet.records
 
 
-def test_a_box_that_is_out_of_reach_counts_for_nothing_when_others_are_drained(tmp_path: Path) -> None:
+def test_unreachable_box_does_not_count_when_others_are_drained(tmp_path: Path) -> None:
     plane = Plane(tmp_path)
     plane.apply(boxes=4)
     plane.report()
-    plane.down = {"p-1": ["costa-0"], "p-2": ["costa-0"]}
+    plane.unreachable = {"p-1": ["costa-0"], "p-2": ["costa-0"]}
     plane.report()
     plane.now += 2 * SECOND
     plane.report()
     gone = Observed(frozenset(plane.ledger.observed(plane.now)["gone"]))
     assert gone.gone == {"box.costa-0"}
-    one, records = read(BASE, boxes=1), list(plane.ledger.fleet.records.values())  # the one is out of reach
+    one, records = read(BASE, boxes=1), list(plane.ledger.fleet.records.values())  # that box is unreachable
     assert not planner.plan(one, records).blocked
     assert "drain box.costa-3" in planner.plan(one, records, gone).blocked
 
 
-def test_an_installation_of_three_hubs_is_applied_and_grows(tmp_path: Path) -> None:
+def test_installation_with_three_hubs_is_applied_and_grows(tmp_path: Path) -> None:
     plane = Plane(tmp_path, names=("east", "central", "west-1", "west-2"))
     assert plane.apply(OTHER)["state"] == "done"
     assert plane.apply(OTHER, busiest=True)["state"] == "done"
@@ -344,8 +344,9 @@
     assert len(boxes) == 15 and not plane.plan(OTHER, busiest=True)["steps"]
 
 
-def test_no_step_of_a_place_overtakes_another_at_run_time(tmp_path: Path) -> None:
-    """Guards against a drain that uses up what an earlier one needs, which has to wait for something elsewhere."""
+def test_steps_of_one_place_keep_their_order_at_run_time(tmp_path: Path) -> None:
+    """Guards against a drain that overtakes an earlier one, which waits for a step elsewhere, and uses up the servers
+    that may be drained."""
     plane = Plane(tmp_path)
     plane.apply(BASE.replace("fills_from = values(parent.upper)", 'fills_from = [parent.upper["a"]]'), boxes=1)
     start, end = BASE.index('parent "upper"'), BASE.index('proxy "p"')
@@ -370,7 +371,7 @@
     }
 
 
-def test_a_box_comes_at_the_address_of_one_just_removed(tmp_path: Path) -> None:
+def test_new_box_takes_the_address_of_a_removed_one(tmp_path: Path) -> None:
     plane = Plane(tmp_path)
     plane.apply(boxes=4)
     start = plane.ledger.pos
@@ -379,7 +380,7 @@
     assert told == [("DRAINING", "costa-3"), ("DELETED", "costa-3"), ("SERVING", "late")]
 
 
-def test_numbers_go_on_after_a_restart_and_behind_a_proxy_that_has_seen_more(tmp_path: Path) -> None:
+def test_event_numbers_continue_after_a_restore_and_after_the_highest_seen(tmp_path: Path) -> None:
     plane = Plane(tmp_path / "a")
     plane.apply()
     sqlite.write_snapshot(tmp_path / "a", tmp_path / "snapshot")
@@ -387,12 +388,12 @@
     seen = plane.ledger.pos
     plane.store.close()
     meta = sqlite.restore(tmp_path / "a", tmp_path / "snapshot")
-    assert meta["pos"] > seen  # the old store told more numbers than the snapshot knows
+    assert meta["pos"] > seen  # the old store published numbers that the snapshot lacks
     plane.open()
     plane.report()
     plane.apply(boxes=4)
     assert plane.ledger.pos > seen and "box.costa-3" in plane.ledger.fleet.records
-    # The old store is lost as a whole, and a proxy has numbers from it.
+    # The old store is lost completely, and a proxy has numbers from it.
     plane.store.close()
     sqlite.restore(tmp_path / "b", tmp_path / "snapshot")
     other = Plane(tmp_path / "b")
@@ -400,16 +401,16 @@
     assert adoption.check_number(other.ledger.newest_event, other.now) and not adoption.check_number(
         seen + 50, other.now
     )
-    assert other.ledger.events_after(0) == other.ledger.events_after(seen + 50) == []  # nobody is told anything, until:
-    refused("held", other.begin, other.plan(boxes=5))
-    refused("conflict", adoption.keep_recorded, "00000000", other.now)
+    assert other.ledger.events_after(0) == other.ledger.events_after(seen + 50) == []  # on hold
+    assert_refused("held", other.begin, other.plan(boxes=5))
+    assert_refused("conflict", adoption.keep_recorded, "00000000", other.now)
     adoption.keep_recorded(adoption.proposal().digest(), other.now)
     ((pos, line),) = other.ledger.events_after(seen + 50)
     assert pos == seen + 51 and json.loads(line)["hosts"]["complete"]
     assert len(json.loads(line)["hosts"]["members"]) == 6
 
 
-def test_a_proxy_whose_number_is_no_longer_kept_gets_the_whole_list(tmp_path: Path) -> None:
+def test_proxy_whose_events_were_deleted_gets_the_full_state(tmp_path: Path) -> None:
     plane = Plane(tmp_path)
     plane.apply()
     plane.store.commit(Change(forget_events=4))
@@ -422,7 +423,7 @@
 # --- stores that are full, damaged or newer
 
 
-def test_a_full_disk_is_told_and_nothing_is_lost(tmp_path: Path) -> None:
+def test_full_disk_is_reported_and_nothing_is_lost(tmp_path: Path) -> None:
     plane = Plane(tmp_path)
     plane.apply()
     pages = plane.store.db.execute("PRAGMA page_count").fetchone()[0]
@@ -433,7 +434,7 @@
         plane.apply(many)
     plane.store.db.execute("PRAGMA max_page_count = 1000000")
     assert plane.ledger.state() == before or plane.ledger.open_apply is not None
-    plane.kill()
+    plane.restart()
     if plane.ledger.open_apply is not None:
         plane.finish(plane.ledger.resume(plane.ledger.open_apply.number, "one", plane.now))
     else:
@@ -442,7 +443,7 @@
     assert not plane.plan(many)["steps"]
 
 
-def test_a_store_that_is_not_whole_is_never_served_from(tmp_path: Path) -> None:
+def test_damaged_store_is_never_used(tmp_path: Path) -> None:
     plane = Plane(tmp_path)
     plane.apply()
     plane.store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
@@ -465,9 +466,9 @@
         path.write_bytes(broken)
         with pytest.raises(StoreDamaged, match="state restore"):
             SqliteStore(tmp_path)
-        assert path.read_bytes() == broken  # nothing was written over it
+        assert path.read_bytes() == broken  # it was not overwritten
     told = harmless = 0
-    for at in range(70, len(whole), 239):  # one byte changed: it is told, or it held nothing
+    for at in range(70, len(whole), 239):  # one changed byte is detected, or it held no data
         path.write_bytes(whole[:at] + bytes([whole[at] ^ 0x55]) + whole[at + 1 :])
         for extra in ("-wal", "-shm"):
             path.with_name(path.name + extra).unlink(missing_ok=True)
@@ -497,7 +498,7 @@
     plane.store.close()
 
 
-def test_schemas_older_ones_are_brought_up_and_newer_ones_refused(tmp_path: Path) -> None:
+def test_older_schemas_are_migrated_and_newer_ones_refused(tmp_path: Path) -> None:
     plane = Plane(tmp_path)
     plane.apply()
     plane.store.close()
@@ -517,16 +518,16 @@
         SqliteStore(tmp_path)
 
 
-# --- whole, on loopback
+# --- real processes on loopback
 
 
-def test_thirty_drains_under_load_reach_nobody_after_a_quarter_of_a_second(tmp_path: Path) -> None:
+def test_drained_boxes_get_no_requests_after_a_quarter_of_a_second(tmp_path: Path) -> None:
     found = asyncio.run(plan_apply.drains(tmp_path / "rig", 3, 60, 30))
     assert found["drains"] >= 30 and found["drain_late"] == 0 and found["drain_served"] > 0.9
 
 
-def test_no_dns_answer_names_a_drained_box_after_a_quarter_of_a_second(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_dns_answers_name_no_drained_box_after_a_quarter_of_a_second(tmp_path: Path) -> None:
+    async def scenario() -> None:
         host = "127.0.37.1"
         (port,) = free_ports(host, 1)
         operator = tmp_path / "operator.toml"
@@ -571,11 +572,11 @@
                 late = [at for at, p in answers if p == place and begun[key] / 1e3 + 0.25 < at < back]
                 assert not late and any(p == place for _, p in answers)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_the_feed_bears_slow_readers_bad_lines_and_a_restart(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_feed_survives_slow_readers_bad_lines_and_a_restart(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with Rig(tmp_path, "127.0.33.1", proxies=1, silent_s=1) as rig:
             watcher = Watcher(rig.feed)
             host, _, port = rig.feed.rpartition(":")
@@ -598,11 +599,11 @@
             deaf.close()
             watcher.task.cancel()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_proxy_is_restarted_and_cut_off_during_an_apply(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_apply_survives_the_restart_of_a_proxy(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with Rig(tmp_path, "127.0.34.1", proxies=2, cold_s=1.0, silent_s=2) as rig:
             await rig.apply(rig.make(["0", "1", "2"]))
             await rig.live()
@@ -611,7 +612,7 @@
             plan = await rig.plan(rig.make({"0": True, "1": True, "2": True, "3": False, "4": False}))
             applying = asyncio.ensure_future(rig.carry_on(await rig.begin(plan)))
             process, _ = rig.installation.proxies["p-0"]
-            process.kill()  # the installation starts it anew, from its configuration file
+            process.kill()  # the installation restarts it from its configuration file
             assert (await applying)["state"] == "done"
             await rig.live()
             load.stopped = True
@@ -620,11 +621,11 @@
             assert all(p["state"] == "live" and p["behind"] == 0 for p in seen.values())
             assert load.answers["200"] > 40 and not load.wrong
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_the_command_line_tells_faults_and_codes(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_command_line_reports_faults_with_exit_codes(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with Rig(tmp_path, "127.0.35.1", proxies=0, silent_s=1) as rig:
 
             async def run(*words: str) -> tuple[int, str, str]:
@@ -683,10 +684,10 @@
                 code, told = await alone(*words)
                 assert code == 1 and "Traceback" not in told and told.startswith("threadhill: ")
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_smoke_of_the_benchmark(tmp_path: Path) -> None:
+def test_benchmark_smoke(tmp_path: Path) -> None:
     found = plan_apply.plan_size(tmp_path, 100, 10)
     assert found["plan_blocked"] == 0 and found["plan_steps"] > 110
     (tmp_path / "growth").mkdir()
@@ -695,7 +696,7 @@
 
 
 def test_tenants_reach_the_proxies_and_survive_their_restart(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         from threadhill.standin.ask import Client
 
         async with Rig(tmp_path, "127.0.36.1", proxies=1) as rig:
@@ -716,15 +717,15 @@
             end, found = time.monotonic() + 40, []
             while not found:
                 assert time.monotonic() < end
-                with suppress(OSError):  # it is not up yet, or is started once more: its file may have changed since
+                with suppress(OSError):  # not up yet, or restarted again because its file has changed
                     found = [await words("nobody"), await words("t-a")]
                 await asyncio.sleep(0.1)
             assert found == [["500", "500"], ["200", "503"]]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_control_plane_that_cannot_be_reached_is_told_in_a_line() -> None:
+def test_unreachable_control_plane_raises_unreachable() -> None:
     with pytest.raises(client.Unreachable):
         client.ApiClient("127.0.0.1:9", "t")("GET", "/v1/state")
 
@@ -733,13 +734,14 @@
 
 
 @pytest.mark.parametrize("loss", ["older", "empty", "damaged"])
-def test_a_control_plane_that_lost_its_state_tells_no_older_world_and_adopts_what_proxies_hold(
+def test_control_plane_with_lost_state_publishes_nothing_until_it_adopts_what_proxies_hold(
     tmp_path: Path, loss: str
 ) -> None:
-    """A box drained and one came since the snapshot. The store is replaced by that, is empty, or damaged; the proxies
-    go on with what they know until an operator takes the proposal, and then numbers go on behind theirs."""
+    """Since the snapshot one box was drained and one added. The store is then replaced by the snapshot, emptied or
+    damaged. The proxies keep their state until an operator adopts the proposal; event numbers then continue after
+    theirs."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         operator = tmp_path / "operator.toml"
         operator.write_text("[recovery]\ntrust_ms = 3000\n")
         data = tmp_path / "rig"
@@ -762,7 +764,7 @@
             else:
                 (data / sqlite.STORE_FILE).write_bytes(b"SQLite format 3" + b"\x00" * 5_000)
             files = {p.name: p.read_bytes() for p in (data / "proxies").iterdir()}
-            fleet = rig.installation.fleet  # the box that drained would answer
+            fleet = rig.installation.fleet  # start the drained box again: it would answer
             gone = fleet.servers.get("b-2") or await fleet.add("b-2", "box", (rig.host, rig.ports[2]))
             load, since = Load(), time.time()
             going = asyncio.ensure_future(load.run(rig.addresses, plan_apply.mix(60), 5))
@@ -799,13 +801,13 @@
             load.stopped = True
             await going
             assert not [a for a in gone.arrivals if a.at > since]
-            # While no control plane runs for over two seconds copies must be new, and some fills are refused.
+            # While no control plane runs, after two seconds only new copies are served, and some fills are refused.
             assert load.answers["200"] >= 0.85 * load.answers.total() and not load.wrong, load.answers
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_snapshots_are_taken_by_age_beside_a_control_plane_that_runs(tmp_path: Path) -> None:
+def test_snapshots_are_rotated_by_age_and_used_for_recovery(tmp_path: Path) -> None:
     plane = Plane(tmp_path)
     plane.apply()
     for now in range(10_000, 10_015):
