--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -138,5 +138,5 @@
 def test_an_idle_connection_is_kept_until_shortly_before_its_peer_closes_it(peer: int, kept: int) -> None:
     """Each one that is closed early is dialled anew: with 200 proxies 0.17 connections a request in place of 0.10."""
     caches = CacheServers.__new__(CacheServers)
-    caches.set_limits(Limits(idle_timeout=peer))
+    caches.set_limits(Limits(idle=peer))
     assert caches.idle_time == kept
--- a/threadhill/config.py
+++ b/threadhill/config.py
@@ -74,9 +74,9 @@
         limits=Limits(
             descriptors=max(16, min(sockets - clients - LEFT_FREE, int(spare * INBOUND_SHARE) // CONNECTION_BYTES)),
             streams=integer(site.get("max-streams"), "max-streams") or 32,
-            idle_timeout=integer(site.get("conn-idle"), "conn-idle") or 30_000_000,
+            idle=integer(site.get("conn-idle"), "conn-idle") or 30_000_000,
             connect_timeout=integer(site.get("connect-timeout"), "connect-timeout") or 400_000,
-            handshake_cost=max(0.0, number(mapping(options.get("costs"), "costs").get("handshake"), "costs.handshake")),
+            handshake=max(0.0, number(mapping(options.get("costs"), "costs").get("handshake"), "costs.handshake")),
         ),
         max_clients=clients,
         max_outbound_bytes=int(spare * OUTBOUND_SHARE),
--- a/threadhill/net/upstream.py
+++ b/threadhill/net/upstream.py
@@ -51,9 +51,9 @@
 
     descriptors: int = 640
     streams: int = 32
-    idle_timeout: int = 30_000_000
+    idle: int = 30_000_000
     connect_timeout: int = 400_000
-    handshake_cost: float = 0.0  # price of a new connection, in requests
+    handshake: float = 0.0  # price of a new connection, in requests
 
 
 @dataclass(slots=True)
@@ -141,7 +141,7 @@
         is kept for nothing another attempt: what handshakes cost says how often that may happen."""
         if sent >= self.doubted:  # those that were out together say it once
             self.unheard, self.doubted = self.unheard + 1, self.pool.caches.engine.clock.now()
-        self.suspect = self.suspect or self.unheard > self.pool.caches.limits.handshake_cost / VANISHED
+        self.suspect = self.suspect or self.unheard > self.pool.caches.limits.handshake / VANISHED
 
     def parse(self) -> None:
         self.heard, self.suspect, self.unheard = self.pool.caches.engine.clock.now(), False, 0
@@ -275,7 +275,7 @@
             not connection.slow and not connection.carries(order.request.request_id) for connection in good
         ):
             shared = sum(len(connection.open) for connection in good) + len(self.waiting)
-            if shared * HOLDS_UP < some * self.caches.limits.handshake_cost:
+            if shared * HOLDS_UP < some * self.caches.limits.handshake:
                 return False
         return some < self.caches.pool_most and self.caches.connection_count < self.caches.limits.descriptors
 
@@ -407,7 +407,7 @@
     def set_limits(self, limits: Limits) -> None:
         """What the site and the machine allow from now on."""
         self.limits, self.streams = limits, limits.streams
-        self.idle_time = max(int(limits.idle_timeout * IDLE_LEAST), limits.idle_timeout - IDLE_MARGIN)
+        self.idle_time = max(int(limits.idle * IDLE_LEAST), limits.idle - IDLE_MARGIN)
 
     def _tidy(self) -> None:
         """Close what has been idle for long before the peer does: a request that crosses its close is lost."""
