--- a/threadhill/net/__init__.py
+++ b/threadhill/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: the platform's front, the cache servers' lines, the journal service, the loop they share."""
+"""Sockets: the listener, the RESP front, connections to cache servers, the journal client, the event loop."""
--- a/threadhill/net/arrival.py
+++ b/threadhill/net/arrival.py
@@ -1,4 +1,4 @@
-"""How long ago the last bytes came on a connection, as the kernel knows it: longer than this process may have known."""
+"""When the last data arrived on a connection according to the kernel, which may be before it was accepted."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 import struct
 
 LAST_DATA_RECEIVED = 52  # offset of tcpi_last_data_recv, milliseconds, in Linux's struct tcp_info
-UNKNOWN_MOST = 500_000  # microseconds that a wait is taken for at most where the kernel does not tell
+MAX_UNKNOWN_WAIT = 500_000  # microseconds; the longest wait assumed where the kernel does not report it
 
 
-def waited_in_queue(connection: socket.socket, most: int) -> int:
-    """Microseconds since the last bytes came on a connection that was taken just now, `most` at most: the time for
-    which somebody has waited in the listener's queue."""
+def waited_in_queue(connection: socket.socket, longest: int) -> int:
+    """Microseconds since the last data arrived on a just accepted connection, at most `longest`: how long its input
+    has waited in the accept queue."""
     try:
         raw = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED + 4)
         (milliseconds,) = struct.unpack_from("I", raw, LAST_DATA_RECEIVED)
     except (OSError, struct.error):
-        return min(most, UNKNOWN_MOST)
-    return min(most, milliseconds * 1_000)
+        return min(longest, MAX_UNKNOWN_WAIT)
+    return min(longest, milliseconds * 1_000)
--- a/threadhill/net/ring.py
+++ b/threadhill/net/ring.py
@@ -1,20 +1,20 @@
-"""A ring buffer: bytes in at one end, out at the other, grown by doubling up to a bound."""
+"""A byte ring buffer that grows by doubling, up to a limit."""
 
 from __future__ import annotations
 
-FIRST = 4 << 10
-KEEP = 16 << 10  # an empty ring larger than this gives its memory back
+INITIAL_SIZE = 4 << 10  # bytes allocated at first
+MAX_EMPTY_SIZE = 16 << 10  # bytes; an empty buffer larger than this is freed
 
 
 class Full(Exception):
-    """More bytes than the ring may hold."""
+    """The buffer would exceed its limit."""
 
 
 class Ring:
-    """One direction of one connection. It owns no memory until the first byte."""
+    """A bounded FIFO of bytes for one direction of a connection. Allocates nothing until the first byte."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_size: int) -> None:
+        self.max_size = max_size
         self._buffer = bytearray()
         self._start = 0
         self._size = 0
@@ -23,22 +23,22 @@
         return self._size
 
     def _reserve(self, size: int) -> None:
-        """Make room for this many bytes in all; what is held moves to the front of the new buffer."""
+        """Grow to hold this many bytes in all; the contents move to the start of the new buffer."""
         if size <= len(self._buffer):
             return
-        if size > self.most:
+        if size > self.max_size:
             raise Full
-        grown = max(FIRST, len(self._buffer))
-        while grown < size:
-            grown *= 2
+        new_size = max(INITIAL_SIZE, len(self._buffer))
+        while new_size < size:
+            new_size *= 2
         held = self.peek(self._size)
-        self._buffer = bytearray(min(grown, self.most))
+        self._buffer = bytearray(min(new_size, self.max_size))
         self._buffer[: len(held)] = held
         self._start = 0
 
     def room(self, wanted: int = 1) -> memoryview:
-        """The free stretch after the last byte, at least one byte long; what is written there is `filled`."""
-        self._reserve(min(self.most, max(self._size + 1, wanted)))
+        """The contiguous free space after the last byte, at least one byte; call `filled` after writing to it."""
+        self._reserve(min(self.max_size, max(self._size + 1, wanted)))
         if self._size == len(self._buffer):
             raise Full
         end = (self._start + self._size) % len(self._buffer)
@@ -46,39 +46,41 @@
         return memoryview(self._buffer)[end:stop]
 
     def filled(self, count: int) -> None:
+        """Count bytes written to `room()` as contents."""
         self._size += count
 
     def write(self, data: bytes | memoryview) -> None:
-        """Copy the data in, whole."""
+        """Append all of the data, or raise Full."""
         self._reserve(self._size + len(data))
-        done = 0
-        while done < len(data):
+        copied = 0
+        while copied < len(data):
             space = self.room()
-            count = min(len(space), len(data) - done)
-            space[:count] = data[done : done + count]
+            count = min(len(space), len(data) - copied)
+            space[:count] = data[copied : copied + count]
             self._size += count
-            done += count
+            copied += count
 
     def peek(self, count: int, skip: int = 0) -> bytes:
-        """A copy of the first bytes, after those skipped; fewer where fewer are held."""
+        """A copy of up to `count` bytes, starting `skip` bytes in, without removing them."""
         count = min(count, self._size - skip)
         if count <= 0:
             return b""
         begin = (self._start + skip) % len(self._buffer)
-        over = begin + count - len(self._buffer)  # bytes that stand at the buffer's beginning
+        wrapped = begin + count - len(self._buffer)  # bytes that wrap around to the buffer's start
         with memoryview(self._buffer) as view:
-            if over <= 0:
+            if wrapped <= 0:
                 return bytes(view[begin : begin + count])
-            return bytes(view[begin:]) + bytes(view[:over])
+            return bytes(view[begin:]) + bytes(view[:wrapped])
 
     def skip(self, count: int) -> None:
-        """Let go of the first bytes."""
+        """Discard the first bytes."""
         self._size -= count
         self._start = (self._start + count) % max(1, len(self._buffer)) if self._size else 0
-        if not self._size and len(self._buffer) > KEEP:
+        if not self._size and len(self._buffer) > MAX_EMPTY_SIZE:
             self._buffer = bytearray()
 
     def take(self, count: int) -> bytes:
+        """Remove and return up to `count` bytes."""
         data = self.peek(count)
         self.skip(len(data))
         return data
--- a/threadhill/net/shortage.py
+++ b/threadhill/net/shortage.py
@@ -1,10 +1,10 @@
-"""Errors of system calls that tell of this machine and not of a peer."""
+"""Classifies system call errors: which are caused by this machine's resources and not by a peer."""
 
 from __future__ import annotations
 
 import errno
 
-# The process or the machine is short of descriptors, memory or ports, or its own rules forbid the call.
+# The process or machine is out of descriptors, memory or ports, or local rules forbid the call.
 OWN_SHORTAGE = frozenset(
     {
         errno.EMFILE,
@@ -17,7 +17,7 @@
         errno.EACCES,
     }
 )
-# What accept(2) passes on of a connection that ended while it waited: the next one may be taken at once.
+# accept(2) reports pending errors of the queued connection; the next one can be accepted at once.
 ACCEPT_NEXT = frozenset(
     {
         errno.ECONNABORTED,
@@ -35,11 +35,11 @@
     }
 )
 
-# What may keep a file from being read for a while, with nothing wrong about the file.
+# Transient errors of reading a file, with nothing wrong about the file itself.
 READ_AGAIN = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO, errno.EINTR, errno.EAGAIN})
-START_PATIENCE = 8.0  # seconds for which a start waits for such a shortage to pass
+START_PATIENCE = 8.0  # seconds for which a starting process waits for a shortage to pass
 
 
 def is_own_shortage(error: OSError) -> bool:
-    """Whether the call failed for a shortage of this machine, so that the peer has nothing to do with it."""
+    """Whether the call failed for lack of resources on this machine, which says nothing about the peer."""
     return error.errno in OWN_SHORTAGE
--- a/threadhill/net/stream.py
+++ b/threadhill/net/stream.py
@@ -1,4 +1,4 @@
-"""What every connection shares: a ring a direction, bounded writing, and two ends, one in order and one at once."""
+"""The base class of all TCP connections: a ring buffer per direction, bounded writes, orderly close and abort."""
 
 from __future__ import annotations
 
@@ -9,32 +9,34 @@
 from threadhill.net.ring import Full, Ring
 from threadhill.net.turns import Runtime
 
-CHUNK = 64 << 10  # bytes given to the transport at once, for the kernel; the rest waits in the ring
-DISCARD = 64 << 10  # bytes taken from a peer that was thrown out; one with more to say may fill the kernel's buffers
-LINGER = 1_000_000  # microseconds that a peer may take to end its side of a connection that is being closed
+WRITE_CHUNK = 64 << 10  # bytes handed to the transport at a time; the rest waits in the ring buffer
+MAX_DISCARD = (
+    64 << 10
+)  # bytes read and discarded during a close; after that reading stops, and the kernel's buffers fill up
+LINGER = 1_000_000  # microseconds a peer has to end its side of a connection that is being closed
 
 
 class Stream(asyncio.BufferedProtocol):
-    """A connection. Subclasses parse `inbound` in `parse` and are told of the end in `ended`.
+    """A connection. Subclasses consume `inbound` in `parse` and clean up in `ended`.
 
-    What a peer sends after the end has begun is read and thrown away: nothing of it is taken any more.
+    Once this side has begun to close, further input is read and discarded.
     """
 
-    lingers = False  # whether a peer may still be reading what it was sent when this side ends
-    write_high_water = CHUNK  # bytes that the transport may hold before it counts as full
+    lingers = False  # whether to shut down writing and wait for the peer's end, as it may still be reading
+    write_high_water = WRITE_CHUNK  # bytes in the transport's buffer above which writing is paused
 
     def __init__(self, host: Runtime, max_inbound: int, max_outbound: int) -> None:
         self.host = host
         self.inbound, self.outbound = Ring(max_inbound), Ring(max_outbound)
         self.transport: asyncio.Transport | None = None
-        self.bytes_needed = 1  # bytes that the message under way needs in all, so that the ring grows once
-        self.closing_since = 0  # when this side began to end it; 0: it has not
-        self._paused = False  # the transport takes no more
+        self.bytes_needed = 1  # total size of the message being received, so that the ring buffer grows only once
+        self.closing_since = 0  # when this side began to close it; 0: not closing
+        self._paused = False  # the transport's buffer is above its high-water mark
         self._peer_eof = False  # the peer has ended its side
-        self._discarded = 0
-        self.bytes_written = 0  # bytes that were taken to be sent, in all
-        self._close_backlog = 0  # bytes that the peer had still to take at the last look of a close
-        self._close_deadline: tuple[int, int] | None = None  # the deadline of a close
+        self._bytes_discarded = 0
+        self.bytes_written = 0  # total bytes accepted for sending
+        self._close_backlog = 0  # bytes still unsent when the close timeout was last set
+        self._close_deadline: tuple[int, int] | None = None  # the close timeout
 
     @property
     def _closing(self) -> bool:
@@ -59,20 +61,20 @@
             self.process_input()
         else:
             self.inbound.skip(len(self.inbound))
-            self._discarded += count
-            if self._discarded > DISCARD and self.transport is not None:
+            self._bytes_discarded += count
+            if self._bytes_discarded > MAX_DISCARD and self.transport is not None:
                 self.transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """The peer has ended its side; whether the connection stays up for what is still to be written."""
+        """The peer has ended its side; returns whether the connection stays open to send pending output."""
         self._peer_eof = True
         if not self._closing:
             self.peer_closed()
         return self.transport is not None and self.transport.can_write_eof() and len(self.outbound) > 0
 
     def process_input(self) -> None:
-        """Parse what there is. A fault in that ends this connection, which settles what is open on it, and no
-        other: whatever a peer can send must not do more."""
+        """Parse the available input. An exception aborts this connection only, which fails its open requests: no input
+        from one peer may affect another."""
         try:
             self.parse()
         except Exception:
@@ -80,8 +82,8 @@
             self.abort()
 
     def write(self, *parts: bytes) -> bool:
-        """Send the parts, or keep them in the ring while the peer is slow; False where nothing of them was taken: they
-        do not fit, or the connection was reset."""
+        """Send the parts, or buffer them while the transport is full. False if nothing was accepted: the parts do not
+        fit, or the connection was reset."""
         if self.transport is None or self._closing:
             return False
         data = parts[0] if len(parts) == 1 else b"".join(parts)
@@ -104,7 +106,7 @@
     def resume_writing(self) -> None:
         self._paused = False
         while len(self.outbound) and not self._paused and self.transport is not None:
-            self.transport.write(self.outbound.take(CHUNK))
+            self.transport.write(self.outbound.take(WRITE_CHUNK))
         if self._closing:
             self._shutdown_write()
         self.backlog_changed()
@@ -114,14 +116,14 @@
         return self._paused
 
     def backlog(self) -> int:
-        """Bytes that wait for the peer; none for one that is gone."""
+        """Bytes waiting to be sent; 0 once the connection is lost."""
         return self.transport.get_write_buffer_size() + len(self.outbound) if self.transport is not None else 0
 
     def close(self) -> None:
-        """End it in order: what was written goes out, then this direction is shut, and what the peer sends meanwhile
-        is read and thrown away until it ends its side too. To close over bytes that were not read would reset the
-        connection, and take along what the peer has not read yet. A peer that goes on, or takes nothing of what it
-        is owed, has LINGER for it."""
+        """Close in order: pending output is sent, writing is shut down, and input is read and discarded until the peer
+        ends its side too. Closing a socket with unread input would reset the connection and destroy output that the
+        peer has not read yet. A peer that keeps sending, or reads none of the pending output, is aborted after
+        LINGER."""
         if self._closing:
             return
         self.closing_since = self.host.clock.now()
@@ -133,15 +135,15 @@
             self._arm_close_timeout()
 
     def _shutdown_write(self) -> None:
-        """Shut this direction, once all that was written is with the transport."""
+        """Shut down writing, once all pending output is with the transport."""
         if self.transport is None or len(self.outbound):
             return
-        if not self.lingers or self._peer_eof or not self.transport.can_write_eof():  # TLS has no half to be shut
+        if not self.lingers or self._peer_eof or not self.transport.can_write_eof():  # TLS cannot close one direction
             self.transport.close()
             return
         try:
             self.transport.write_eof()
-        except OSError:  # the peer has reset it already
+        except OSError:  # the peer has already reset it
             self.transport.abort()
 
     def _arm_close_timeout(self) -> None:
@@ -155,16 +157,16 @@
             self.transport.abort()
 
     def hung_up(self) -> bool:
-        """Whether the peer has ended its side, or all of the connection, behind bytes that were not read yet."""
+        """Whether the peer has closed its side or the whole connection, even if unread input precedes that."""
         return self._peer_eof or self._polls(select.POLLRDHUP)
 
     def has_unread_input(self) -> bool:
-        """Whether something has come that was not read yet: a loop that was held up ends what is overdue before it
-        reads, and would end it over what came in time."""
+        """Whether input waits in the kernel. After a delay of the event loop, timers run before reads, so a timeout
+        would otherwise close a connection whose input arrived in time."""
         return not self._peer_eof and self._polls(select.POLLIN)
 
     def writable(self) -> bool:
-        """Whether the kernel takes something to be sent now: not where the peer has read nothing for long."""
+        """Whether the kernel's send buffer has room: not if the peer has read nothing for long."""
         return self._polls(select.POLLOUT)
 
     def _polls(self, event: int) -> bool:
@@ -175,29 +177,29 @@
         return bool(poller.poll(0))
 
     def abort(self) -> None:
-        """End it at once, with whatever was not sent yet."""
+        """Close it at once, discarding unsent output."""
         self.closing_since = self.closing_since or self.host.clock.now()
         if self.transport is not None:
             self.transport.abort()
 
-    # --- for the subclasses
+    # --- hooks for subclasses
 
     def fault(self, trace: str) -> None:
-        """An exception came out of `parse`."""
+        """`parse` raised an exception."""
 
     def opened(self) -> None:
-        """The connection is up."""
+        """The connection is established."""
 
     def ended(self) -> None:
-        """The connection is gone."""
+        """The connection is lost or closed."""
 
     def peer_closed(self) -> None:
-        """The peer has ended its side: nothing more comes, and it may be gone altogether."""
+        """The peer has ended its side: no more input follows, and it may be gone altogether."""
         self.abort()
 
     def parse(self) -> None:
-        """Take whole messages off `inbound`."""
+        """Consume complete messages from `inbound`."""
         raise NotImplementedError
 
     def backlog_changed(self) -> None:
-        """The transport began or ceased to be full."""
+        """Writing was paused or resumed."""
--- a/threadhill/net/turns.py
+++ b/threadhill/net/turns.py
@@ -1,4 +1,4 @@
-"""A running loop with its clock, its deadlines under one timer, counters and log: what every server here has."""
+"""The services shared by all servers of a process: event loop, clock, deadlines under one timer, counters, log."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Runtime(Protocol):
-    """What a listener and its connections need of whoever they stand with."""
+    """The services that a listener and its connections use."""
 
     clock: Clock
     deadlines: Deadlines
@@ -21,7 +21,7 @@
 
 
 class LoopRuntime:
-    """The running loop's one timer stands for the head of all deadlines; faults are counted and logged."""
+    """Runs all deadlines with a single timer, set for the earliest; exceptions are counted and logged."""
 
     def __init__(self, log: Log, clock: Clock | None = None) -> None:
         self.loop = asyncio.get_running_loop()
@@ -42,7 +42,7 @@
         self.log("".join(traceback.format_exception(error)))
 
     def _unhandled(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """What asyncio would log without any bound: some peers can bring it about as often as they like."""
+        """Replaces asyncio's handler, which logs without limit: peers could trigger it as often as they like."""
         self.stats.count("fault", "loop")
         self.log(f"{context.get('message')}: {context.get('exception')!r}")
 
