--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -131,8 +131,8 @@
     Mutant(
         "an answer is given twice",
         "net/resp.py",
-        "        self._say(ref, answer)\n        self._throttle()\n        now",
-        "        self._say(ref, answer)\n        self._say(ref, answer)\n        self._throttle()\n        now",
+        "        self._send_answer(ref, answer)\n        self._throttle()\n        now",
+        "        self._send_answer(ref, answer)\n        self._send_answer(ref, answer)\n        self._throttle()\n        now",
         (Rule.SECOND_ANSWER,),
     ),
     Mutant(
