--- a/tests/test_upstream_endings.py
+++ b/tests/test_upstream_endings.py
@@ -220,7 +220,7 @@
         client = await w.client()
         word, fields, body = await client.get(**({"mine": mine} if mine else {}))
         assert (word, fields, body) == ("200", {}, f"{OBJECT}/0".encode()) and len(w.asked()) == 2
-        await w.logged("calls current what was not named to it")
+        await w.logged("confirmed as current a version that the request did not name")
 
     run_scenario(tmp_path, scene)
 
--- a/threadhill/net/upstream.py
+++ b/threadhill/net/upstream.py
@@ -1,4 +1,4 @@
-"""The cache servers' protocol: lines of words, a body behind the last; a pool of connections a server."""
+"""The client side of the cache servers' protocol: a connection pool per server, and the attempts sent on them."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from threadhill.net.shortage import is_own_shortage
 from threadhill.net.stream import Stream
 from threadhill.net.upstream_codec import (
-    BODY,
-    ENDS,
-    HEAD,
+    MAX_BODY,
+    MAX_LINE,
     NOTES,
+    OUTCOMES,
     AnswerLine,
     read_answer,
     read_born,
@@ -29,64 +29,64 @@
     write_request,
 )
 
-OUTBOUND = 256 << 10
-CONNECTION_BYTES = 128 << 10  # bytes that a connection's rings come to, as most answers are far under the bound
-IDLE_LEAST = 0.7  # part of the peer's idle time for which a connection is kept in any case
-IDLE_MARGIN = 2_500_000  # microseconds before the peer's close: a look a second here, and links up to 1.5 s late
-USED = 64  # ids given up on a connection after which it is closed
-DONE = 256  # ids answered on a connection that it remembers: the longest that one request's attempts may span
-POOL = 4  # connections to one server at most: answers on a shared one were measured not to delay each other
-HOLDS_UP = 0.01  # part of an attempt's worth that is lost by sharing a connection with one other: about nothing
-VANISHED = 0.04  # part of the attempts that run out of time unheard whose machine or connection has vanished
-CUT_AT_ONCE = 30_000  # microseconds within which a reset belongs to what was just written: a way there and back
-NEW = 1_000_000  # microseconds for which a connection that was dialled for an attempt is taken for new
-CUT_MEMORY = 60_000_000  # microseconds for which it is remembered that idle connections were cut
-LEAST_WAIT = 100_000  # microseconds: an attempt given up sooner says nothing of its connection
-STALL = 500_000  # microseconds in the middle of an answer after which the rest is no more waited for
+MAX_OUTBOUND = 256 << 10
+CONNECTION_BYTES = 128 << 10  # bytes of buffers estimated per connection: most answers are far smaller than the limit
+MIN_IDLE_SHARE = 0.7  # share of the peer's idle timeout for which a connection is always kept
+IDLE_MARGIN = 2_500_000  # microseconds before the peer's close: checks run once a second, links delay up to 1.5 s
+MAX_CANCELLED = 64  # cancelled ids on a connection after which it is closed once idle
+MAX_ANSWERED = 256  # answered ids remembered per connection, to cover the time span of one request's attempts
+MAX_POOL = 4  # limit of connections per server: answers on a shared one were measured not to delay each other
+SHARING_COST = 0.01  # cost of sharing a connection with one other attempt, as a share of an attempt: about nothing
+VANISHED_SHARE = 0.04  # share of attempts timed out in silence whose machine or connection has vanished
+RESET_ROUND_TRIP = 30_000  # microseconds within which a reset is a response to what was just written: one round trip
+NEW_CONNECTION_TIME = 1_000_000  # microseconds for which an unused connection counts as newly dialled
+IDLE_CUT_MEMORY = 60_000_000  # microseconds for which a cut of an idle connection is remembered
+MIN_SILENCE = 100_000  # microseconds: an attempt cancelled sooner says nothing about its connection
+STALL_TIMEOUT = 500_000  # microseconds without progress in the middle of an answer after which the rest is given up
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the site and the machine allow; times in microseconds."""
+    """Limits from the configuration and the machine's resources; times in microseconds."""
 
     descriptors: int = 640
     streams: int = 32
     idle: int = 30_000_000
     connect_timeout: int = 400_000
-    handshake: float = 0.0  # price of a new connection, in requests
+    handshake: float = 0.0  # cost of a new connection, in requests
 
 
 @dataclass(slots=True)
 class PendingAttempt:
-    """An attempt that waits for a connection or is out on one."""
+    """An attempt that waits for a connection or has been sent on one."""
 
     server: int
     order: AttemptSpec
     connection: UpstreamConnection | None = None
-    at: int = 0
-    upto: int = 0  # bytes of the connection with which it ends
-    due: tuple[int, int] | None = None  # the deadline of one that waits: then it must not begin any more
+    sent_at: int = 0  # local microseconds
+    end_offset: int = 0  # bytes written on the connection up to its end
+    deadline: tuple[int, int] | None = None  # of a waiting attempt, after which it must not be sent any more
 
 
 class UpstreamConnection(Stream):
     """One connection to a cache server, parent or the origin."""
 
-    write_high_water = 0  # whether the transport is full tells what has left this process
+    write_high_water = 0  # a transport that is not paused has passed everything to the kernel
 
     def __init__(self, pool: Pool) -> None:
-        super().__init__(pool.caches.engine, BODY + HEAD, OUTBOUND)
+        super().__init__(pool.caches.engine, MAX_BODY + MAX_LINE, MAX_OUTBOUND)
         self.pool = pool
-        self.open: dict[str, int] = {}  # id -> attempt
-        self.used: set[str] = set()  # ids given up here: their late answers must not pass for a new attempt's
-        self.done: dict[str, None] = {}  # ids answered here lately: the answer may come a second time
-        self.suspect = False  # so many attempts ran out of time unheard that nothing more is written here
-        self.unheard = 0  # attempts that ran out of time one after another, with nothing come since they were sent
-        self.doubted = 0  # when the last of them did
-        self.heard = self.idle_since = pool.caches.engine.clock.now()
-        self.head: AnswerLine | None = None  # the line of the answer that is coming
-        self._line_since = 0  # when the line that is coming began; 0: none is
-        self._unasked = 0  # answers on end that nobody asked for
-        self.counted = False  # it came up, so its end frees its place
+        self.open: dict[str, int] = {}  # request id -> attempt
+        self.cancelled_ids: set[str] = set()  # ids cancelled here: late answers must not pass for a new attempt's
+        self.answered_ids: dict[str, None] = {}  # ids answered here recently: the answer may be duplicated
+        self.suspect = False  # so many attempts timed out in silence that nothing more is sent here
+        self.silent_timeouts = 0  # consecutive attempts timed out without any input since they were sent
+        self.last_silent_timeout = 0  # when the last of them timed out
+        self.last_received = self.idle_since = pool.caches.engine.clock.now()
+        self.answer_line: AnswerLine | None = None  # the line of the answer whose body is being received
+        self._line_began = 0  # when an incomplete line began to arrive; 0: none
+        self._unrequested = 0  # consecutive answers without a request
+        self.counted = False  # connection_made was called, so its end is counted in Pool.lost
 
     def opened(self) -> None:
         self.pool.opened(self)
@@ -104,94 +104,100 @@
             return False
         return not self.stalled()
 
-    def carries(self, id: str) -> bool:
-        """Whether an answer under this id may come here that is not a new attempt's."""
-        return id in self.open or id in self.used or id in self.done
+    def has_carried(self, id: str) -> bool:
+        """Whether an answer with this id may arrive here that belongs to an earlier attempt."""
+        return id in self.open or id in self.cancelled_ids or id in self.answered_ids
 
-    def fresh(self) -> bool:
-        """Whether it was heard of lately enough for what must not run twice, where idle connections were seen cut."""
-        new = not self.done and not self.used  # nothing was sent on it yet
-        return self.pool.caches.engine.clock.now() - self.heard < max(self.pool.caches.fresh_for, new * NEW)
+    def recently_active(self) -> bool:
+        """Whether it was active so recently that an attempt which must not run twice is unlikely to meet an idle cut."""
+        new = not self.answered_ids and not self.cancelled_ids  # nothing has been answered or cancelled on it yet
+        return self.pool.caches.engine.clock.now() - self.last_received < max(
+            self.pool.caches.safe_idle_time, new * NEW_CONNECTION_TIME
+        )
 
     def stalled(self) -> bool:
-        """Whether an answer stopped in the middle: one whose length is wrong swallows those that follow. Its line is
-        short, and must be there soon however it comes."""
-        since = self._line_since or (self.heard if self.head is not None else 0)
-        return since > 0 and self.pool.caches.engine.clock.now() - since > STALL
-
-    def whole(self, upto: int) -> bool:
-        """Whether the first so many bytes written may all have left this process. Of a connection that is gone, the
-        transport was full if any of what it was given last had not."""
+        """Whether an answer has stopped in the middle: one with a wrong length consumes those that follow. A line is
+        short, so it must be complete within the timeout even if it keeps arriving."""
+        since = self._line_began or (self.last_received if self.answer_line is not None else 0)
+        return since > 0 and self.pool.caches.engine.clock.now() - since > STALL_TIMEOUT
+
+    def fully_sent(self, end_offset: int) -> bool:
+        """Whether all bytes up to this offset may have left this process. On a lost connection, the transport is still
+        paused if any of the last data given to it had not been sent."""
         if self.transport is not None:
-            return self.bytes_written - self.backlog() >= upto
-        return not self._paused or self.bytes_written - len(self.outbound) > upto
-
-    def cut_short(self, head: object) -> None:
-        """An answer whose attempt was given up still comes: others wait behind it, and it may never end."""
-        if self.head is head and self.transport is not None:
-            self._broken("an answer went on after it was given up")
-
-    def answering(self, id: str) -> bool:
-        """Whether the answer under this id has begun to come."""
-        return self.head is not None and self.head.id == id
-
-    def doubt(self, sent: int) -> None:
-        """An attempt sent then was given up, and nothing came since. The machine may have vanished, which no reset
-        will tell; or the attempt was slow. A connection that is left for nothing costs its handshake, and one that
-        is kept for nothing another attempt: what handshakes cost says how often that may happen."""
-        if sent >= self.doubted:  # those that were out together say it once
-            self.unheard, self.doubted = self.unheard + 1, self.pool.caches.engine.clock.now()
-        self.suspect = self.suspect or self.unheard > self.pool.caches.limits.handshake / VANISHED
+            return self.bytes_written - self.backlog() >= end_offset
+        return not self._paused or self.bytes_written - len(self.outbound) > end_offset
+
+    def abort_unfinished(self, answer_line: object) -> None:
+        """Abort if the answer of a cancelled attempt is still arriving: it blocks others, and may never end."""
+        if self.answer_line is answer_line and self.transport is not None:
+            self._protocol_error("the answer of a cancelled attempt did not end in time")
+
+    def is_answering(self, id: str) -> bool:
+        """Whether the answer with this id is being received."""
+        return self.answer_line is not None and self.answer_line.id == id
+
+    def note_silent_timeout(self, sent: int) -> None:
+        """An attempt sent at that time was cancelled without any input since. Either the machine has vanished, which no
+        reset will report, or the attempt was slow. Leaving a good connection costs a handshake, keeping a dead one
+        costs another attempt: the cost of handshakes determines how many timeouts are tolerated."""
+        if sent >= self.last_silent_timeout:  # attempts in flight together count once
+            self.silent_timeouts, self.last_silent_timeout = (
+                self.silent_timeouts + 1,
+                self.pool.caches.engine.clock.now(),
+            )
+        self.suspect = self.suspect or self.silent_timeouts > self.pool.caches.limits.handshake / VANISHED_SHARE
 
     def parse(self) -> None:
-        self.heard, self.suspect, self.unheard = self.pool.caches.engine.clock.now(), False, 0
+        self.last_received, self.suspect, self.silent_timeouts = self.pool.caches.engine.clock.now(), False, 0
         while not self._closing:
-            if self.head is None:
-                line = self.inbound.peek(HEAD)
+            if self.answer_line is None:
+                line = self.inbound.peek(MAX_LINE)
                 end = line.find(b"\r\n")
                 if end < 0:
-                    if len(line) >= HEAD:
-                        self._broken("a line is too long")
+                    if len(line) >= MAX_LINE:
+                        self._protocol_error("an answer line is too long")
                     elif line:
-                        self._line_since = self._line_since or self.heard
+                        self._line_began = self._line_began or self.last_received
                     return
-                self._line_since = 0
+                self._line_began = 0
                 answer = read_answer(line[:end])
                 if answer is None:
-                    self._broken("not an answer")
+                    self._protocol_error("invalid answer line")
                     return
                 self.inbound.skip(end + 2)
-                self.head, self.bytes_needed = answer, answer.length + 2
+                self.answer_line, self.bytes_needed = answer, answer.length + 2
             if len(self.inbound) < self.bytes_needed:
                 return
             body = self.inbound.take(self.bytes_needed)
             if body[-2:] != b"\r\n":
-                self._broken("a body does not end where it should")
+                self._protocol_error("the body does not end with CRLF")
                 return
-            answer, self.head, self.bytes_needed = self.head, None, 1
-            self._answer(answer.id, answer.word, answer.fields, body[:-2])
+            answer, self.answer_line, self.bytes_needed = self.answer_line, None, 1
+            self._handle_answer(answer.id, answer.word, answer.fields, body[:-2])
 
-    def _broken(self, why: str) -> None:
+    def _protocol_error(self, why: str) -> None:
         self.pool.caches.engine.stats.count("malformed", "server")
         self.pool.caches.log(f"{self.pool.name}: {why}")
         self.abort()
 
-    def _answer(self, id: str, word: str, fields: dict[str, str], body: bytes) -> None:
+    def _handle_answer(self, id: str, word: str, fields: dict[str, str], body: bytes) -> None:
         attempt = self.open.get(id)
-        if attempt is None:  # given up meanwhile, a second copy, or nothing that was asked for here
+        if attempt is None:  # cancelled meanwhile, a duplicate, or never requested here
             self.pool.caches.engine.stats.count("unasked", word)
-            self._unasked += 1
-            if self._unasked > DONE:
-                self._broken("it answers what was not asked")
+            self._unrequested += 1
+            if self._unrequested > MAX_ANSWERED:
+                self._protocol_error("too many answers without a request")
             return
         if word == "current" and self.pool.caches.attempts[attempt].order.request.client_tag != fields.get("ver", ""):
-            self._broken("it calls current what was not named to it")  # the client would take its copy for good
+            # The client would wrongly keep its copy.
+            self._protocol_error("confirmed as current a version that the request did not name")
             return
         del self.open[id]
-        self._unasked = 0
-        remember(self.done, id, None, DONE)
+        self._unrequested = 0
+        remember(self.answered_ids, id, None, MAX_ANSWERED)
         ended = AttemptResult(
-            ENDS[word],
+            OUTCOMES[word],
             body,
             fields.get("ver", ""),
             word == "current",
@@ -200,115 +206,115 @@
             read_waited(fields.get("waited", "")),
             read_born(fields.get("born", "")),
         )
-        self.pool.done(self)
+        self.pool.attempt_done(self)
         self.pool.caches.ended(attempt, ended)
 
 
 class Pool:
-    """The connections to one server at one address, and the attempts that wait for one. A server that comes back, or
-    another one at the same address, gets a pool of its own."""
+    """The connections to one server at one address, and the attempts waiting for one. A server that returns, or another
+    one at the same address, gets a new pool."""
 
     def __init__(self, caches: CacheServers, name: str, host: str, port: int) -> None:
         self.caches, self.name, self.host, self.port = caches, name, host, port
         self.connections: list[UpstreamConnection] = []
         self.waiting: deque[int] = deque()
         self.dialling = 0
-        self._put_off = False  # what waits is written in the next turn
+        self._flush_deferred = False  # waiting attempts are written in the next loop iteration
         self.ready = True
-        self.down = False  # the last dial failed, and none has come up since
-        self.missed = False  # the last dial failed, whatever else is up
+        self.unreachable = False  # the last dial failed, and no usable connection is left
+        self.last_dial_failed = False  # whatever other connections are up
 
     def send(self, attempt: int) -> None:
         self.waiting.append(attempt)
-        self._drain()
+        self._flush()
 
-    def _drain(self) -> None:
-        """Write what waits, in its order, as far as there are connections; dial for the rest. After a hold-up of the
-        loop in the next turn: what discovery told meanwhile comes first, and gives back what it concerns."""
+    def _flush(self) -> None:
+        """Send waiting attempts in order, as far as connections are available, and dial for the rest. After a delay of
+        the event loop this waits for the next iteration: journal events that arrived meanwhile are applied first, and
+        return the attempts they affect."""
         if self.waiting and self.caches.loop_lag():
-            if not self._put_off:
-                self._put_off = True
-                asyncio.get_running_loop().call_soon(self._go_on)
+            if not self._flush_deferred:
+                self._flush_deferred = True
+                asyncio.get_running_loop().call_soon(self._deferred_flush)
             return
         gate = self.caches.engine.recovery_gate
         if gate is not None and self.waiting and not gate.may_send(self.caches.engine.clock.now()):
-            self._give_back()
+            self._return_waiting()
             return
         while self.waiting:
             pending = self.caches.attempts.get(self.waiting[0])
-            over = self.caches.overdue(pending) if pending is not None else None
-            if over is not None:  # its timer's turn has not come yet
-                self.caches.ended(self.waiting.popleft(), AttemptResult(over))
+            outcome = self.caches.expired_outcome(pending) if pending is not None else None
+            if outcome is not None:  # its timer has not run yet
+                self.caches.ended(self.waiting.popleft(), AttemptResult(outcome))
                 continue
             connection = self._pick(pending.order) if pending is not None else None
             if pending is not None and connection is None:
                 break
             attempt = self.waiting.popleft()
             if connection is not None and not self._write(connection, attempt):
-                self.waiting.appendleft(attempt)  # nothing of it was taken: it goes on the next connection
+                self.waiting.appendleft(attempt)  # nothing was written: it goes on the next connection
         if self.waiting:
             order = self.caches.attempts[self.waiting[0]].order
             while self.ready and self.dialling < len(self.waiting) and self._may_dial(order):
                 self.caches.dial(self)
 
-    def _go_on(self) -> None:
-        self._put_off = False
-        self._drain()
+    def _deferred_flush(self) -> None:
+        self._flush_deferred = False
+        self._flush()
 
-    def _good(self, order: AttemptSpec) -> list[UpstreamConnection]:
-        """Connections that this attempt may use. What must not run twice keeps off those that may be cut as it is
-        written, unless there is no dialling a new one either."""
-        good = [connection for connection in self.connections if connection.usable]
-        if order.at_most_once and not self.missed and self.caches.connection_count < self.caches.limits.descriptors:
-            return [connection for connection in good if connection.fresh()]
-        return good
+    def _eligible(self, order: AttemptSpec) -> list[UpstreamConnection]:
+        """Connections that this attempt may use. An attempt that must not run twice avoids those that may be cut while
+        it is written, unless no new one can be dialled either."""
+        eligible = [connection for connection in self.connections if connection.usable]
+        if order.at_most_once and not self.last_dial_failed and self.caches.connection_count < self.caches.limits.descriptors:
+            return [connection for connection in eligible if connection.recently_active()]
+        return eligible
 
     def _may_dial(self, order: AttemptSpec) -> bool:
-        """Whether one more connection may be opened for this request: within this server's share and what the machine
-        has, and not while sharing those there are costs less. A server that cannot be reached at all otherwise gets
-        its first one in any case."""
-        good = self._good(order)
-        some = len(good) + self.dialling
-        if not some:
+        """Whether to open one more connection for this attempt: only within the limits per server and of descriptors,
+        and if sharing the existing ones would cost more. A server without any usable connection always gets one."""
+        eligible = self._eligible(order)
+        total = len(eligible) + self.dialling
+        if not total:
             return True
         if self.dialling or any(
-            not connection.slow and not connection.carries(order.request.request_id) for connection in good
+            not connection.slow and not connection.has_carried(order.request.request_id) for connection in eligible
         ):
-            shared = sum(len(connection.open) for connection in good) + len(self.waiting)
-            if shared * HOLDS_UP < some * self.caches.limits.handshake:
+            shared = sum(len(connection.open) for connection in eligible) + len(self.waiting)
+            if shared * SHARING_COST < total * self.caches.limits.handshake:
                 return False
-        return some < self.caches.pool_most and self.caches.connection_count < self.caches.limits.descriptors
+        return total < self.caches.max_pool_size and self.caches.connection_count < self.caches.limits.descriptors
 
     def _pick(self, order: AttemptSpec) -> UpstreamConnection | None:
-        """An idle connection, the last used first; where no more may be dialled, the one with the fewest out."""
-        good = [connection for connection in self._good(order) if not connection.slow]
-        fit = [connection for connection in good if not connection.carries(order.request.request_id)]
-        idle = [connection for connection in fit if not connection.open]
+        """The idle connection used last; if there is none and no dial is allowed, the one with the fewest attempts."""
+        eligible = [connection for connection in self._eligible(order) if not connection.slow]
+        candidates = [connection for connection in eligible if not connection.has_carried(order.request.request_id)]
+        idle = [connection for connection in candidates if not connection.open]
         if idle:
             return max(idle, key=lambda connection: connection.idle_since)
         if self._may_dial(order):
-            left = [connection for connection in self.connections if not connection.open]
-            if left and len(self.connections) + self.dialling >= self.caches.pool_most:
-                # It is not fresh, and makes room for one that is.
-                min(left, key=lambda connection: connection.idle_since).close()
+            replaceable = [connection for connection in self.connections if not connection.open]
+            if replaceable and len(self.connections) + self.dialling >= self.caches.max_pool_size:
+                # It has been idle too long: close it to make room for a new one.
+                min(replaceable, key=lambda connection: connection.idle_since).close()
             return None
-        if good and not fit:  # all have carried this id: the one with the least on it makes room
-            spare = min(good, key=lambda connection: len(connection.open))
-            if not spare.open:
-                spare.close()
+        if eligible and not candidates:  # all have carried this id: close the least loaded one if it is idle
+            least_loaded = min(eligible, key=lambda connection: len(connection.open))
+            if not least_loaded.open:
+                least_loaded.close()
             return None
         return min(
-            (connection for connection in fit if len(connection.open) < self.caches.streams),
+            (connection for connection in candidates if len(connection.open) < self.caches.streams),
             key=lambda connection: len(connection.open),
             default=None,
         )
 
     def _write(self, connection: UpstreamConnection, attempt: int) -> bool:
-        """Whether it is written: a connection that was reset meanwhile takes nothing, which is no fault of the
-        server and no proof that the attempt ran."""
+        """Send the attempt. False if nothing was written, as the server is not reading or the connection was reset: that
+        is no failure of the server, and the attempt did not run."""
         pending = self.caches.attempts[attempt]
         body = pending.order.request.body
-        if not connection.writable():  # the server reads nothing: what is written now would begin when its time is over
+        if not connection.writable():  # the server is not reading: the attempt would begin too late
             connection.suspect = True
             return False
         order = pending.order
@@ -316,12 +322,12 @@
         if not connection.write(write_request(order, source, self.caches.engine.clock.now()), body, b"\r\n"):
             connection.suspect = True
             return False
-        pending.connection, pending.at, pending.upto = (
+        pending.connection, pending.sent_at, pending.end_offset = (
             connection,
             self.caches.engine.clock.now(),
             connection.bytes_written,
         )
-        self.caches.engine.deadlines.cancel(pending.due)
+        self.caches.engine.deadlines.cancel(pending.deadline)
         connection.open[pending.order.request.request_id] = attempt
         self.caches.engine.stats.count("relayed", pending.order.request.class_name)
         self.caches.engine.stats.count("bytes_out", "servers", len(body))
@@ -331,15 +337,15 @@
         self.connections.append(connection)
         connection.counted = True
         self.caches.engine.stats.count("connection", "opened")
-        connection.heard = connection.idle_since = self.caches.engine.clock.now()
-        if not self.ready:  # the server drains or is gone since it was dialled
+        connection.last_received = connection.idle_since = self.caches.engine.clock.now()
+        if not self.ready:  # the server has started draining or gone since it was dialled
             connection.close()
 
-    def done(self, connection: UpstreamConnection) -> None:
-        """A connection has room again: what waits longest takes it."""
+    def attempt_done(self, connection: UpstreamConnection) -> None:
+        """An attempt on this connection ended: send the next waiting one."""
         connection.idle_since = self.caches.engine.clock.now()
-        self._drain()
-        if not connection.open and (not self.ready or len(connection.used) > USED):
+        self._flush()
+        if not connection.open and (not self.ready or len(connection.cancelled_ids) > MAX_CANCELLED):
             connection.close()
 
     def lost(self, connection: UpstreamConnection) -> None:
@@ -350,93 +356,95 @@
         attempts, connection.open = list(connection.open.values()), {}
         self.caches.engine.trace.add(self.caches.engine.clock.now(), Step.CONNECTION_LOST, self.name, len(attempts))
         if len(attempts) == 1 and attempts[0] in self.caches.attempts:
-            self.caches.cut(self.caches.attempts[attempts[0]].at, connection.heard)
-        for attempt in attempts:  # what the server cannot have whole did not run
+            self.caches.note_cut(self.caches.attempts[attempts[0]].sent_at, connection.last_received)
+        for attempt in attempts:  # an attempt that was not fully sent cannot have run
             pending = self.caches.attempts.get(attempt)
-            ran = pending is None or connection.whole(pending.upto)
-            self.caches.ended(attempt, AttemptResult(api.Outcome.BROKEN if ran else api.Outcome.UNREACHED))
-        self._drain()
+            may_have_run = pending is None or connection.fully_sent(pending.end_offset)
+            self.caches.ended(attempt, AttemptResult(api.Outcome.BROKEN if may_have_run else api.Outcome.UNREACHED))
+        self._flush()
 
-    def short(self) -> None:
-        """A dial failed for a shortage of this machine: that says nothing of the server. What waits is given back."""
+    def dial_shortage(self) -> None:
+        """A dial failed for lack of local resources, which says nothing about the server. Return waiting attempts."""
         self.dialling -= 1
         while len(self.waiting) > self.dialling:
             self.caches.ended(self.waiting.popleft(), AttemptResult(api.Outcome.SHORTAGE))
-        self._drain()
+        self._flush()
 
     def dialled(self, up: bool) -> None:
-        """A dial ended. Where it failed, what waits beyond the dials still out has no way to the server."""
+        """A dial ended. If it failed and no connection is usable, waiting attempts beyond the pending dials fail."""
         self.dialling -= 1
-        self.missed = not up
-        self.down = not up and not any(connection.usable for connection in self.connections)
-        no_way = not up and not any(connection.usable for connection in self.connections)
-        while no_way and len(self.waiting) > self.dialling:
+        self.last_dial_failed = not up
+        self.unreachable = not up and not any(connection.usable for connection in self.connections)
+        no_connection = not up and not any(connection.usable for connection in self.connections)
+        while no_connection and len(self.waiting) > self.dialling:
             self.caches.ended(self.waiting.popleft(), AttemptResult(api.Outcome.UNREACHED))
-        self._drain()
+        self._flush()
 
     def retire(self) -> None:
-        """The server drains or is gone: what waits must not be written to it any more."""
+        """The server is draining or gone: nothing more may be sent to it."""
         self.ready = False
-        self._give_back()
+        self._return_waiting()
         self.close_idle(self.caches.engine.clock.now() + 1)
 
-    def _give_back(self) -> None:
+    def _return_waiting(self) -> None:
         while self.waiting:
             self.caches.ended(self.waiting.popleft(), AttemptResult(api.Outcome.UNSENT))
 
     def close_idle(self, before: int) -> None:
-        for connection in [w for w in self.connections if not w.open and w.idle_since < before]:
+        for connection in [
+            connection for connection in self.connections if not connection.open and connection.idle_since < before
+        ]:
             connection.close()
 
 
 class CacheServers:
-    """The core's `CacheTransport` port on sockets."""
+    """Implements the core's `CacheTransport` port on TCP connections."""
 
     def __init__(self, engine: Engine, limits: Limits, log: Callable[[str], None]) -> None:
         self.engine, self.log = engine, log
-        self.loop_lag: Callable[[], int] = lambda: 0  # microseconds for which the loop was held up before this turn
+        self.loop_lag: Callable[[], int] = lambda: 0  # microseconds of event loop delay before this iteration
         self.set_limits(limits)
-        self.servers: dict[int, Pool] = {}  # of the list: who has gone is forgotten, its pool ends by itself
+        self.servers: dict[int, Pool] = {}  # servers of the list; the pool of a removed one closes by itself
         self.attempts: dict[int, PendingAttempt] = {}
-        self._ip_versions: set[int] | None = None  # what `ip_versions` tells; every DNS query asks
-        self.connection_count = 0  # connections to servers and dials, those of retired pools too
+        self._ip_versions: set[int] | None = None  # cache of `ip_versions`, which every DNS query reads
+        self.connection_count = 0  # connections and pending dials, including those of retired pools
         self._tasks: set[asyncio.Task[None]] = set()
-        self._cut: tuple[int, int] | None = None  # the shortest idle time after which one was cut, and when
-        self._tidy()
+        self._idle_cut: tuple[int, int] | None = None  # shortest idle time after which a connection was cut, and when
+        self._close_idle_connections()
 
     def set_limits(self, limits: Limits) -> None:
-        """What the site and the machine allow from now on."""
+        """Apply new limits."""
         self.limits, self.streams = limits, limits.streams
-        self.idle_time = max(int(limits.idle * IDLE_LEAST), limits.idle - IDLE_MARGIN)
+        self.idle_time = max(int(limits.idle * MIN_IDLE_SHARE), limits.idle - IDLE_MARGIN)
 
-    def _tidy(self) -> None:
-        """Close what has been idle for long before the peer does: a request that crosses its close is lost."""
+    def _close_idle_connections(self) -> None:
+        """Close connections before the peer's idle timeout: a request that crosses the peer's close is lost."""
         now = self.engine.clock.now()
         for pool in self.servers.values():
             pool.close_idle(now - self.idle_time)
-        self.engine.deadlines.add(now + 1_000_000, self._tidy)
+        self.engine.deadlines.add(now + 1_000_000, self._close_idle_connections)
 
-    def cut(self, sent: int, heard: int) -> None:
-        """A connection with one attempt on it ended: an idle one that was cut as the attempt was written, where it had
-        said nothing for longer than a way there and back, and ended within one."""
-        now, idle = self.engine.clock.now(), sent - heard
-        if now - sent < CUT_AT_ONCE < idle:
+    def note_cut(self, sent: int, last_received: int) -> None:
+        """A connection with one attempt on it was lost. It counts as an idle connection that was cut if it had been
+        silent for longer than a round trip before the attempt, and ended within one after it."""
+        now, idle = self.engine.clock.now(), sent - last_received
+        if now - sent < RESET_ROUND_TRIP < idle:
             self.engine.stats.count("connection", "cut_idle")
-            known = self._cut is not None and now - self._cut[1] < CUT_MEMORY
-            self._cut = min(idle, self._cut[0]) if known else idle, now
+            remembered = self._idle_cut is not None and now - self._idle_cut[1] < IDLE_CUT_MEMORY
+            self._idle_cut = min(idle, self._idle_cut[0]) if remembered else idle, now
 
     @property
-    def fresh_for(self) -> float:
-        """Microseconds after which a silent connection may be cut: half of the shortest that was, while that is
-        remembered. A peer's idle time and a box between that forgets connections show in the same way."""
-        if self._cut is None or self.engine.clock.now() - self._cut[1] >= CUT_MEMORY:
+    def safe_idle_time(self) -> float:
+        """Microseconds of silence after which a connection may be cut: half of the shortest remembered idle time of one
+        that was. The cause may be the peer's idle timeout, or a middlebox that drops connection state."""
+        if self._idle_cut is None or self.engine.clock.now() - self._idle_cut[1] >= IDLE_CUT_MEMORY:
             return math.inf
-        return self._cut[0] / 2
+        return self._idle_cut[0] / 2
 
     @property
-    def pool_most(self) -> int:
-        """Connections to one server at most: the descriptors that clients leave, shared out evenly."""
-        return max(2, min(POOL, self.limits.descriptors // (len(self.servers) + 2)))
+    def max_pool_size(self) -> int:
+        """Limit of connections per server: the available descriptors, shared evenly among servers."""
+        return max(2, min(MAX_POOL, self.limits.descriptors // (len(self.servers) + 2)))
 
     # --- the port
 
@@ -449,48 +457,48 @@
         pending = self.attempts[attempt] = PendingAttempt(order.server, order)
         server.send(attempt)
         if order.start_by and pending.connection is None and attempt in self.attempts:
-            pending.due = self.engine.deadlines.add(
+            pending.deadline = self.engine.deadlines.add(
                 order.start_by, lambda: self.ended(attempt, AttemptResult(api.Outcome.UNSENT))
             )
 
-    def overdue(self, pending: PendingAttempt) -> api.Outcome | None:
-        """How one that still waits ends, if it must not begin any more; None: it may."""
+    def expired_outcome(self, pending: PendingAttempt) -> api.Outcome | None:
+        """The outcome of a waiting attempt that must not be sent any more; None if it still may be."""
         now, order = self.engine.clock.now(), pending.order
         if 0 < order.start_by <= now:
             return api.Outcome.UNSENT
         return api.Outcome.UNREACHED if 0 < order.deadline <= now else None
 
-    def _leave(self, attempt: int) -> PendingAttempt | None:
-        """The one way out of the table: what it held is given back once."""
+    def _remove(self, attempt: int) -> PendingAttempt | None:
+        """Remove an attempt from the table and drop its deadline. The only place that does, so each ends once."""
         pending = self.attempts.pop(attempt, None)
         if pending is not None:
-            self.engine.deadlines.cancel(pending.due)
+            self.engine.deadlines.cancel(pending.deadline)
         return pending
 
     def cancel(self, attempt: int) -> bool:
-        pending = self._leave(attempt)
+        pending = self._remove(attempt)
         if pending is None or pending.connection is None:
             return False
         connection, id = pending.connection, pending.order.request.request_id
-        ran = connection.whole(pending.upto)
+        may_have_run = connection.fully_sent(pending.end_offset)
         if connection.open.pop(id, None) is None or connection.transport is None:
-            return ran
-        if connection.heard < pending.at and self.engine.clock.now() - pending.at >= LEAST_WAIT:
-            connection.doubt(pending.at)
-        if connection.suspect:  # what else is out here may wait; an idle connection knows no better
+            return may_have_run
+        if connection.last_received < pending.sent_at and self.engine.clock.now() - pending.sent_at >= MIN_SILENCE:
+            connection.note_silent_timeout(pending.sent_at)
+        if connection.suspect:  # other attempts on it may continue; idle connections are no more trustworthy
             connection.pool.close_idle(self.engine.clock.now() + 1)
         if connection.stalled() or connection.suspect and not connection.open:
-            # A stalled one is of no use to the others on it either: they may be asked again elsewhere.
+            # A stalled connection is useless to other attempts on it too: they may be retried elsewhere.
             connection.abort()
-            return ran
-        connection.used.add(id)
-        if connection.answering(id):
-            head, now = connection.head, self.engine.clock.now()
-            self.engine.deadlines.add(now + STALL, lambda: connection.cut_short(head))
+            return may_have_run
+        connection.cancelled_ids.add(id)
+        if connection.is_answering(id):
+            answer_line, now = connection.answer_line, self.engine.clock.now()
+            self.engine.deadlines.add(now + STALL_TIMEOUT, lambda: connection.abort_unfinished(answer_line))
         else:
             connection.write(write_cancel(id))
-        connection.pool.done(connection)
-        return ran
+        connection.pool.attempt_done(connection)
+        return may_have_run
 
     def list_changed(self, entries: list[api.Entry]) -> None:
         self._ip_versions = None
@@ -499,7 +507,7 @@
             if pool is None:
                 continue
             if entry.state is api.State.READY:
-                if not pool.ready:  # back from a drain that only this side knew of: its address stands
+                if not pool.ready:  # returned from a drain known only to this side: same address
                     self.servers[entry.server] = Pool(self, pool.name, pool.host, pool.port)
                 continue
             pool.retire()
@@ -510,45 +518,46 @@
                 del self.servers[entry.server]
 
     def purge_received(self, object: str | None, group: int | None) -> None:
-        """What still waits for a connection was decided on before the purge, and says nothing of its age."""
+        """Return waiting attempts for purged objects: they were decided before the purge, without its limit on age."""
         for attempt, pending in list(self.attempts.items()):
             ask = pending.order.request
-            touched = object == ask.object if object is not None else group is None or ask.group == group
-            if pending.connection is None and touched:
+            affected = object == ask.object if object is not None else group is None or ask.group == group
+            if pending.connection is None and affected:
                 self.ended(attempt, AttemptResult(api.Outcome.UNSENT))
 
-    # --- what the list tells of addresses
+    # --- addresses from the server list
 
     def server_ready(self, number: int, name: str, host: str, port: int) -> None:
-        """A server that is ready, at this address; a new address or a return from draining means a new pool."""
+        """A server is ready at this address. A new address, or a return from draining, means a new pool."""
         self._ip_versions = None
         old = self.servers.get(number)
         if old is not None and (old.host, old.port) == (host, port) and old.ready:
             return
-        self.servers[number] = Pool(self, name, host, port)  # first: what waited may be decided on for it again
+        # Before the old one is retired: attempts that it returns may be sent to this server again.
+        self.servers[number] = Pool(self, name, host, port)
         if old is not None:
             old.retire()
 
     def address_of(self, number: int) -> tuple[str, str, int] | None:
-        """The name and address of a server that is ready now."""
+        """The name, host and port of a server, if it is ready."""
         pool = self.servers.get(number)
         return (pool.name, pool.host, pool.port) if pool is not None and pool.ready else None
 
     def reachability(self) -> tuple[list[str], list[str]]:
-        """Of the servers that were dialled: those that are up, and those that the last dial did not reach."""
-        up = [pool.name for pool in self.servers.values() if pool.connections and not pool.down]
-        return up, [pool.name for pool in self.servers.values() if pool.down]
+        """The names of the servers that are connected, and of those that the last dial did not reach."""
+        up = [pool.name for pool in self.servers.values() if pool.connections and not pool.unreachable]
+        return up, [pool.name for pool in self.servers.values() if pool.unreachable]
 
     def ip_versions(self) -> set[int]:
-        """The IP versions that ready servers' addresses have."""
+        """The IP versions of ready servers' addresses."""
         if self._ip_versions is None:
             self._ip_versions = {6 if ":" in pool.host else 4 for pool in self.servers.values() if pool.ready}
         return self._ip_versions
 
-    # --- what the pools call
+    # --- called by the pools
 
     def ended(self, attempt: int, end: AttemptResult) -> None:
-        if self._leave(attempt) is not None:
+        if self._remove(attempt) is not None:
             self.engine.attempt_ended(attempt, end)
 
     def dial(self, pool: Pool) -> None:
@@ -564,20 +573,20 @@
         try:
             async with asyncio.timeout(self.limits.connect_timeout / 1e6):
                 await loop.create_connection(lambda: connection, pool.host, pool.port)
-        except OSError as error:  # a time-out is one too
+        except OSError as error:  # TimeoutError is a subclass
             self.engine.stats.count("connection", "failed")
             self.log(f"{pool.name}: no connection: {error!r}")
             if not connection.counted:
                 self.connection_count -= 1
             if is_own_shortage(error):
-                pool.short()
+                pool.dial_shortage()
             else:
                 pool.dialled(up=False)
             return
         if connection.transport is not None and connection.transport.get_extra_info("peername") is None:
-            # asyncio takes EAGAIN of connect(2), no free port, for a connection that is under way.
+            # connect(2) fails with EAGAIN if no local port is free; asyncio takes that for a connection in progress.
             self.engine.stats.count("connection", "failed")
             connection.abort()
-            pool.short()
+            pool.dial_shortage()
             return
         pool.dialled(up=True)
--- a/threadhill/net/upstream_codec.py
+++ b/threadhill/net/upstream_codec.py
@@ -1,6 +1,6 @@
-"""The cache servers' protocol as it stands on the wire: lines of words, the last of which may be a body's length.
+"""Encodes and decodes the cache servers' protocol: lines of space-separated words, the last may be a body's length.
 
-Nothing here does I/O. What cannot be read is None, or a figure that counts as not told: an answer may come spoilt.
+Nothing here does I/O. Answers may be corrupt: an invalid line is read as None, an invalid figure as not given.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from threadhill.core.stamps import EARLIEST, LATEST
 from threadhill.decision import interface as api
 
-HEAD = 1_024  # bytes of an answer's line at most
-BODY = 256 << 10  # of its body; objects have up to 240,000
-BORN_DIGITS = 13  # of a Unix millisecond before LATEST
+MAX_LINE = 1_024  # limit of an answer's line, in bytes
+MAX_BODY = 256 << 10  # limit of its body, in bytes; objects have up to 240,000
+BORN_DIGITS = 13  # digits of a Unix time in milliseconds before LATEST
 MODES = (
     (api.FillMode.JOIN, "collapse"),
     (api.FillMode.CACHED_ONLY, "only-if-cached"),
     (api.FillMode.PARENT_NO_STORE, "no-store-up"),
     (api.FillMode.REFRESH, "refresh"),
 )
-ENDS = {
+OUTCOMES = {
     "ok": api.Outcome.SERVED,
     "current": api.Outcome.SERVED,
     "nothing": api.Outcome.MISS,
@@ -29,7 +29,7 @@
     "error": api.Outcome.ERROR,
     "stale": api.Outcome.UNSENT,
 }
-# What an answer's `remark` says of the fill behind it; on a site that tells nothing it is absent.
+# The meaning of an answer's `remark` field, about the fill; absent on sites that do not send it.
 NOTES = {
     "local": api.CacheStatus.HIT,
     "pulled": api.CacheStatus.FILLED,
@@ -42,7 +42,8 @@
     "no_place": api.CacheStatus.NO_FILL_SLOT,
     "far_fault": api.CacheStatus.ORIGIN_FAILED,
 }
-# In the module's names, and what a figure can be at most; one beyond that, or none at all, would upset its averages.
+# Load figures with their names in the decision module and their limits: larger or invalid values would distort its
+# averages.
 REPORT = {
     "inflight": ("inflight", 1e6),
     "rif": ("inflight", 1e6),
@@ -51,27 +52,27 @@
     "x1": ("link", 1e3),
     "x0": ("hits", 1.0),
 }
-FIGURE = re.compile(r"[0-9]{1,9}(\.[0-9]{1,18})?([eE]-[0-9]{1,2})?")
-ANSWER = re.compile(rb"([!-~]{1,64}) ([a-z]{1,16}) ([!-~]{1,900}) ([0-9]{1,9})")
+NUMBER = re.compile(r"[0-9]{1,9}(\.[0-9]{1,18})?([eE]-[0-9]{1,2})?")
+ANSWER_LINE = re.compile(rb"([!-~]{1,64}) ([a-z]{1,16}) ([!-~]{1,900}) ([0-9]{1,9})")
 
 
 def read_report(text: str) -> dict[str, float]:
-    """`inflight:7;util:0.61` in the module's names; what it does not know or cannot be is skipped."""
+    """Parse `inflight:7;util:0.61`, with the decision module's names; unknown or invalid items are skipped."""
     load = {}
     for item in text.split(";"):
         name, _, value = item.partition(":")
-        if name in REPORT and FIGURE.fullmatch(value) and float(value) <= REPORT[name][1]:
+        if name in REPORT and NUMBER.fullmatch(value) and float(value) <= REPORT[name][1]:
             load[REPORT[name][0]] = float(value)
     return load
 
 
 def read_waited(text: str) -> int:
-    """`waited`, milliseconds spent on the source, as microseconds; what is no such figure counts as nothing waited."""
-    return round(float(text) * 1_000) if FIGURE.fullmatch(text) else 0
+    """`waited`, the milliseconds spent on the source, in microseconds; 0 if invalid."""
+    return round(float(text) * 1_000) if NUMBER.fullmatch(text) else 0
 
 
 def read_born(text: str) -> int:
-    """`born`, Unix milliseconds, as microseconds; 0 for what is no such number, or no time that has been."""
+    """`born`, in Unix milliseconds, as microseconds; 0 if it is not a number or not a plausible time."""
     if not (text.isascii() and text.isdigit() and len(text) <= BORN_DIGITS):
         return 0
     born = int(text) * 1_000
@@ -80,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerLine:
-    """An answer's line: whose it is, how the attempt ended, and how long the body behind it is."""
+    """An answer's line: the request id, how the attempt ended, fields, and the length of the body that follows."""
 
     id: str
     word: str
@@ -89,21 +90,21 @@
 
 
 def read_answer(line: bytes) -> AnswerLine | None:
-    """An answer's line; None where it is none."""
-    match = ANSWER.fullmatch(line)
+    """Parse an answer's line; None if it is invalid."""
+    match = ANSWER_LINE.fullmatch(line)
     if match is None:
         return None
     id, word, raw, size = (group.decode("ascii") for group in match.groups())
     pairs = [item.partition("=") for item in raw.split(",")] if raw != "-" else []
     fields = {name: value for name, equals, value in pairs if equals and name}
-    if word not in ENDS or len(fields) < len(pairs) or int(size) > (BODY - 2 if word != "current" else 0):
+    if word not in OUTCOMES or len(fields) < len(pairs) or int(size) > (MAX_BODY - 2 if word != "current" else 0):
         return None
     return AnswerLine(id, word, fields, int(size))
 
 
 def write_request(order: AttemptSpec, source: str | None, now: int) -> bytes:
-    """The line of an attempt that is written at this local time; `source` is the id of where a miss is filled from.
-    What it waited for meanwhile is off the time that the server is told it has."""
+    """The line of an attempt sent at this local time; `source` is the id of the server that a miss is filled from. The
+    time it waited to be sent is deducted from the time limit told to the server."""
     ask = order.request
     fields = [f"profile={ask.class_name}", f"thing={ask.object}", f"nth={ask.part}"]
     if order.timeout:
@@ -126,5 +127,5 @@
 
 
 def write_cancel(id: str) -> bytes:
-    """The line that gives an attempt up."""
+    """The line that cancels an attempt."""
     return b"undo %s\r\n" % id.encode()
