--- a/threadhill/net/upstream.py
+++ b/threadhill/net/upstream.py
@@ -109,7 +109,7 @@
         return id in self.open or id in self.cancelled_ids or id in self.answered_ids
 
     def recently_active(self) -> bool:
-        """Whether it was active so recently that an attempt which must not run twice is unlikely to meet an idle cut."""
+        """Whether it was active so recently that it is unlikely to be cut as idle; for attempts that must not run twice."""
         new = not self.answered_ids and not self.cancelled_ids  # nothing has been answered or cancelled on it yet
         return self.pool.caches.engine.clock.now() - self.last_received < max(
             self.pool.caches.safe_idle_time, new * NEW_CONNECTION_TIME
@@ -310,8 +310,8 @@
         )
 
     def _write(self, connection: UpstreamConnection, attempt: int) -> bool:
-        """Send the attempt. False if nothing was written, as the server is not reading or the connection was reset: that
-        is no failure of the server, and the attempt did not run."""
+        """Send the attempt. False if nothing was written, as the server is not reading or the connection was reset:
+        that is no failure of the server, and the attempt did not run."""
         pending = self.caches.attempts[attempt]
         body = pending.order.request.body
         if not connection.writable():  # the server is not reading: the attempt would begin too late
