--- a/threadhill/net/upstream.py
+++ b/threadhill/net/upstream.py
@@ -109,7 +109,7 @@
         return id in self.open or id in self.cancelled_ids or id in self.answered_ids
 
     def recently_active(self) -> bool:
-        """Whether it was active so recently that it is unlikely to be cut as idle; for attempts that must not run twice."""
+        """Whether it was active so recently that it is unlikely to be cut as idle (for what must not run twice)."""
         new = not self.answered_ids and not self.cancelled_ids  # nothing has been answered or cancelled on it yet
         return self.pool.caches.engine.clock.now() - self.last_received < max(
             self.pool.caches.safe_idle_time, new * NEW_CONNECTION_TIME
