--- a/threadhill/config.py
+++ b/threadhill/config.py
@@ -72,7 +72,9 @@
         ),
         journal=address(raw["journal"], "journal") if raw.get("journal") else None,
         limits=Limits(
-            descriptors=max(16, min(sockets - clients - LEFT_FREE, int(spare * INBOUND_SHARE) // CONNECTION_BYTES)),
+            descriptors=max(
+                16, min(sockets - clients - RESERVED_DESCRIPTORS, int(spare * INBOUND_SHARE) // CONNECTION_BYTES)
+            ),
             streams=integer(site.get("max-streams"), "max-streams") or 32,
             idle=integer(site.get("conn-idle"), "conn-idle") or 30_000_000,
             connect_timeout=integer(site.get("connect-timeout"), "connect-timeout") or 400_000,
--- a/threadhill/net/upstream.py
+++ b/threadhill/net/upstream.py
@@ -266,7 +266,11 @@
         """Connections that this attempt may use. An attempt that must not run twice avoids those that may be cut while
         it is written, unless no new one can be dialled either."""
         eligible = [connection for connection in self.connections if connection.usable]
-        if order.at_most_once and not self.last_dial_failed and self.caches.connection_count < self.caches.limits.descriptors:
+        if (
+            order.at_most_once
+            and not self.last_dial_failed
+            and self.caches.connection_count < self.caches.limits.descriptors
+        ):
             return [connection for connection in eligible if connection.recently_active()]
         return eligible
 
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -66,7 +66,12 @@
         self.caches = CacheServers(self.engine, self._limits(config), log)
         self.journal = Journal(self.engine, self.caches, log, config.name, config.report, config.max_event_bytes)
         self.front = RespFront(
-            self.engine, config.settings.classes, config.max_clients, config.max_outbound_bytes, self.loop.call_soon, log
+            self.engine,
+            config.settings.classes,
+            config.max_clients,
+            config.max_outbound_bytes,
+            self.loop.call_soon,
+            log,
         )
         self.caches.loop_lag = self.front.loop_lag = LoopLag(self.loop, self.clock).current_lag
         self.front.updates_pending = self.journal.lines_pending
