--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,5 +1,5 @@
-"""How connections of clients and the process itself end, with the crossing forced: the real program as a process, and
-the test at each of its sockets.
+"""Races at the end of client connections and of the process: the real program as a process, with the test controlling
+each of its sockets to force the order of events.
 
 `docs/endings.md` has a row for each way in which something ends, and names the test that forces it.
 """
@@ -19,21 +19,21 @@
 from tests.upstream_stub import Transport
 from tests.world import SETTINGS, Box, ProxyHarness, until
 from threadhill.core.deadlines import Deadlines
-from threadhill.net.door import AcceptedConnection
+from threadhill.net.listener import AcceptedConnection
 from threadhill.net.resp import bulk
 from threadhill.net.stream import LINGER
 from threadhill.stats import Stats
 
-BIG = 200_000  # bytes of an answer that fills a small client's buffers
+LARGE_ANSWER = 200_000  # bytes; an answer that overflows the buffers of a client with a small receive buffer
 
 
 def test_an_answer_that_was_not_read_yet_survives_the_end_of_the_program(tmp_path: Path) -> None:
-    """Guards against a process that ends over a connection: what the client sends just then meets a closed socket, the
-    reset takes along what it has not read of its answer. Nothing that comes after the shutdown is sent on."""
+    """Guards against a process that exits with a connection open: data sent by the client just then meets a closed
+    socket, and the reset destroys the unread part of its answer. Requests after the shutdown reach no server."""
 
     async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
-            box.behave = lambda ask: ("ok", "ver=a,born=1", b"x" * BIG)
+            box.behave = lambda ask: ("ok", "ver=a,born=1", b"x" * LARGE_ANSWER)
         slow = await RawClient.connect(w, receive=4_096)
         await slow.send(build_request(1))
         await until(lambda: w.counter("served", "art-pages") == 1, "the answer to be written")
@@ -42,7 +42,7 @@
         asked = len(w.asked())
         await slow.send(build_request(2, obj="00000000000000aa"))  # it crosses the close
         raw = await slow.read_to_end()
-        assert raw.count(b"x") == BIG and raw.endswith(b"\r\n")
+        assert raw.count(b"x") == LARGE_ANSWER and raw.endswith(b"\r\n")
         slow.socket.close()
         watch.socket.close()
         await wait_for_exit(w)
@@ -52,16 +52,16 @@
 
 
 def test_what_waits_in_the_listeners_queue_when_the_program_stops_taking_is_answered(tmp_path: Path) -> None:
-    """Guards against an end in the very turn in which the queue was emptied: its connections were taken, and closed
-    unread. The process stands still while they come, until its time for taking is over."""
+    """Guards against closing in the same loop iteration in which the accept queue is emptied: the connections were
+    accepted, and closed unread. The process is stopped while they arrive, until its time for accepting is over."""
 
     async def scene(w: ProxyHarness) -> None:
         await start_shutdown(w)
         with paused(w):
-            clients = [await RawClient.connect(w) for _ in range(40)]  # more than are taken in one turn
+            clients = [await RawClient.connect(w) for _ in range(40)]  # more than are accepted in one loop iteration
             for client in clients:
                 await client.send(build_request(1))
-            await asyncio.sleep(0.8)  # SHUTDOWN_GRACE is over when it goes on
+            await asyncio.sleep(0.8)  # SHUTDOWN_GRACE has passed when it continues
         for client in clients:
             raw = await client.read_to_end()
             assert raw.count(b"\r\n200\r\n") + raw.count(b"\r\n503\r\n") == 1, raw
@@ -82,7 +82,7 @@
         if half == "read":
             await slow.send(raw[:40])
             await until(lambda: w.counter("client", "opened") == 2)
-            await watch.read_to_end()  # it lets go of who is idle
+            await watch.read_to_end()  # idle connections are closed by now
         else:
             with paused(w):
                 await slow.send(raw[:40])
@@ -120,8 +120,8 @@
 
 
 def test_the_end_comes_before_sigkill_where_all_deadlines_are_short(tmp_path: Path) -> None:
-    """Guards against a figure of one deployment: three seconds were taken for the longest deadline where all are
-    shorter, and SIGKILL comes 0.7 s after the longest. Here a client holds its connection, and reads nothing."""
+    """Guards against a constant from one deployment: three seconds were assumed as the longest deadline although all
+    are shorter, and SIGKILL comes 0.7 s after the longest. Here a client keeps its connection open without reading."""
 
     async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
@@ -131,7 +131,7 @@
         watch = await start_shutdown(w)
         began = time.monotonic()
         await wait_for_exit(w)
-        assert time.monotonic() - began < 2.5  # 1.0 by the clock; how late the machine is, is its own affair
+        assert time.monotonic() - began < 2.5  # 1.0 as designed; the rest allows for a busy machine
         dead.socket.close()
         watch.socket.close()
 
@@ -141,13 +141,14 @@
 
 # --- clients that leave
 
-BAD = b"".join(bulk(b"ASK", b"%d" % tag, b"no-such-class", b"-") for tag in range(1, 81))
+INVALID_REQUESTS = b"".join(bulk(b"ASK", b"%d" % tag, b"no-such-class", b"-") for tag in range(1, 81))
 
 
 @pytest.mark.parametrize("how", ["closes", "resets", "ends its side", "takes it back"])
 def test_a_request_that_waits_behind_others_is_not_begun_for_a_client_that_has_left(tmp_path: Path, how: str) -> None:
-    """Guards against attempts for nobody: who sends much that cannot be used is taken from ever more slowly, and what
-    stood behind that was begun half a second after its client had gone, which stood behind it in turn."""
+    """Guards against attempts for clients that have gone: after many invalid requests a connection is processed ever
+    more slowly, so a request behind them was begun half a second after the client's disconnect, which was further back
+    in the same input."""
 
     async def scene(w: ProxyHarness) -> None:
         before = await w.client()
@@ -155,14 +156,14 @@
         client = await RawClient.connect(w)
         wanted = build_request(100, obj="00000000000000aa")
         if how == "takes it back":
-            await client.send(BAD, wanted, bulk(b"NEVERMIND", b"100"), build_request(101, obj="00000000000000bb"))
+            await client.send(INVALID_REQUESTS, wanted, bulk(b"NEVERMIND", b"100"), build_request(101, obj="00000000000000bb"))
             await until(lambda: [a for a in w.asked() if a["thing"] == "00000000000000bb"])
         else:
-            await client.send(BAD, wanted)
+            await client.send(INVALID_REQUESTS, wanted)
             if how == "ends its side":
                 client.end_writing()
                 raw = await client.read_to_end()
-                assert b"$2\r\n16\r\n" in raw  # what was answered before comes all the same
+                assert b"$2\r\n16\r\n" in raw  # earlier answers still arrive
             elif how == "resets":
                 client.reset()
             client.socket.close()
@@ -204,7 +205,7 @@
 
 @pytest.mark.parametrize("how", ["closes", "resets", "ends its side", "takes it back"])
 def test_who_has_left_gets_no_further_attempt_when_the_first_one_fails(tmp_path: Path, how: str) -> None:
-    """The refusal comes after the client has gone; so does the reset of the attempt's connection."""
+    """The refusal arrives after the client has gone; so does the reset of the attempt's connection."""
 
     async def scene(w: ProxyHarness) -> None:
         for box in w.boxes:
@@ -231,9 +232,9 @@
         assert (await other.get(obj="00000000000000bb"))[0] == "200"
         assert len([a for a in w.asked() if a["id"] == "00000000000000aa"]) == 1
 
-    run_scenario(
+    play(
         tmp_path, scene, settings={"costs": {"handshake": 0.08}}
-    )  # a connection is not left for one that was given up
+    )  # a connection is not abandoned after one cancelled attempt
 
 
 def test_a_client_that_sends_and_leaves_in_one_write_is_given_up_at_once(tmp_path: Path) -> None:
@@ -252,58 +253,58 @@
     run_scenario(tmp_path, scene, settings={"costs": {"handshake": 0.08}})
 
 
-def guest(now: list[int]) -> tuple[AcceptedConnection, Transport, Deadlines]:
-    """A connection of a door, its other end and the deadlines, with the time in `now`."""
+def accepted_connection(now: list[int]) -> tuple[AcceptedConnection, Transport, Deadlines]:
+    """A connection of a listener, its transport and its deadlines; the time is in `now`."""
     deadlines = Deadlines(lambda when: None, lambda error: None)
     host = SimpleNamespace(clock=SimpleNamespace(now=lambda: now[0]), stats=Stats(), deadlines=deadlines)
-    door = SimpleNamespace(engine=host, connections={}, name="client", release=lambda group: None)
-    one, transport = AcceptedConnection(door, 1_000, 10_000), Transport()
-    one.parse = lambda: None
-    one.connection_made(transport)
+    listener = SimpleNamespace(engine=host, connections={}, name="client", release=lambda group: None)
+    connection, transport = AcceptedConnection(listener, 1_000, 10_000), Transport()
+    connection.parse = lambda: None
+    connection.connection_made(transport)
     transport.ends.clear()
-    return one, transport, deadlines
+    return connection, transport, deadlines
 
 
 def test_who_ends_its_side_while_its_answer_is_half_written_gets_the_rest() -> None:
-    """Guards against an end of the peer's side that took along what waited for it in the ring. Forced at the protocol:
-    the kernel's buffers take megabytes, and tell of room in steps larger than what may wait here."""
-    one, transport, deadlines = guest([1_000_000])
-    one.write(b"first ")
-    one.pause_writing()
-    one.write(b"second ")
-    one.write(b"third")
-    assert one.eof_received() is True  # the transport stays up
-    assert not transport.is_closing() and not one.write(b"no more")
-    one.resume_writing()
+    """Guards against an EOF from the peer that discarded buffered output. Forced at the protocol object, as the kernel
+    buffers megabytes and reports free space in steps larger than the output buffer."""
+    connection, transport, deadlines = accepted_connection([1_000_000])
+    connection.write(b"first ")
+    connection.pause_writing()
+    connection.write(b"second ")
+    connection.write(b"third")
+    assert connection.eof_received() is True  # the transport stays up
+    assert not transport.is_closing() and not connection.write(b"no more")
+    connection.resume_writing()
     assert transport.taken == b"first second third" and transport.ends[-1] == "close"
-    one.connection_lost(None)
+    connection.connection_lost(None)
     assert len(deadlines) == 0
 
 
 def test_a_close_waits_as_long_as_the_peer_takes_what_it_is_owed_and_not_longer() -> None:
     now = [1_000_000]
-    one, transport, deadlines = guest(now)
-    one.pause_writing()
-    one.write(b"x" * 3_000)
-    one.close()
-    one.close()
-    for _ in range(3):  # it reads a little in each bound
+    connection, transport, deadlines = accepted_connection(now)
+    connection.pause_writing()
+    connection.write(b"x" * 3_000)
+    connection.close()
+    connection.close()
+    for _ in range(3):  # it reads a little within each timeout
         now[0] += LINGER
-        one.outbound.skip(500)
+        connection.outbound.skip(500)
         deadlines.run_due(now[0])
         assert "abort" not in transport.ends and "write_eof" not in transport.ends
-    one.resume_writing()
+    connection.resume_writing()
     assert transport.ends.count("write_eof") == 1
-    one.get_buffer(-1)[:3] = b"..."
-    one.buffer_updated(3)  # it goes on sending: that is thrown away
-    assert not len(one.inbound)
+    connection.get_buffer(-1)[:3] = b"..."
+    connection.buffer_updated(3)  # further input is discarded
+    assert not len(connection.inbound)
     now[0] += LINGER
     deadlines.run_due(now[0])
     assert transport.ends[-1] == "abort" and len(deadlines) == 0
 
 
 def test_a_slow_writer_loses_none_of_the_answers_it_is_owed(tmp_path: Path) -> None:
-    """Guards against a bound on half a message that ended the whole connection, with the requests open on it."""
+    """Guards against a timeout for an incomplete message that closed the connection despite its open requests."""
 
     async def scene(w: ProxyHarness) -> None:
         held: list[str] = []
@@ -316,11 +317,11 @@
         await until(lambda: w.counter("sent", "clip-parts") == 1)
         idle = await RawClient.connect(w)
         await idle.send(bulk(b"STATUS", b"1"), late[:30])
-        await idle.read_to_end()  # who is owed nothing is ended: the bound has passed for the other, which began before
+        await idle.read_to_end()  # closed, as no answer is pending: the timeout has passed for the other, which began earlier
         for box in w.boxes:
             for writer in box.writers:
                 writer.write(f"{held[-1]} ok ver=a,born=1 4\r\nlate\r\n".encode())
         assert b"late" in await client.read_until(b"late")
-        assert await client.read_to_end() in (b"", b"\r\n")  # then it is
+        assert await client.read_to_end() in (b"", b"\r\n")  # then it is closed
 
     run_scenario(tmp_path, scene)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links that fail: relays by themselves, then 24 proxies whose links drop, stall, reset and refuse under load."""
+"""Link failures: the relay itself, then 24 proxies under load whose links drop, stall, reset and refuse."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     writer.close()
 
 
-def through(scene: Callable[[Relay], Awaitable[None]]) -> None:
-    """A relay before a server that sends back what it gets."""
+def with_relay(scene: Callable[[Relay], Awaitable[None]]) -> None:
+    """Run the scene with a relay in front of an echo server."""
 
     async def run() -> None:
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
@@ -41,8 +41,8 @@
     asyncio.run(run())
 
 
-async def says(reader: asyncio.StreamReader, within: float = 0.3) -> bytes:
-    """What comes, or nothing for so long."""
+async def read_or_silence(reader: asyncio.StreamReader, within: float = 0.3) -> bytes:
+    """The next data, or `(silence)` if none arrives in time."""
     try:
         async with asyncio.timeout(within):
             return await reader.read(100)
@@ -57,10 +57,10 @@
         assert await reader.read(100) == b"one"
         relay.set(down=Way(drop=True))  # one direction only
         writer.write(b"lost")
-        assert await says(reader) == b"(silence)"
+        assert await read_or_silence(reader) == b"(silence)"
         relay.both(Way(stall=True))
         writer.write(b"two")
-        assert await says(reader) == b"(silence)"
+        assert await read_or_silence(reader) == b"(silence)"
         relay.both(PASS)
         assert await reader.read(100) == b"two"
         relay.both(Way(delay=0.15))
@@ -69,15 +69,15 @@
         assert await reader.read(100) == b"three" and time.monotonic() - began >= 0.3
         relay.both(Way(rate=2_000))
         writer.write(b"x" * 1_000)
-        began, got = time.monotonic(), 0
-        while got < 1_000:
-            got += len(await reader.read(2_000))
+        began, received = time.monotonic(), 0
+        while received < 1_000:
+            received += len(await reader.read(2_000))
         assert time.monotonic() - began >= 0.45
         relay.reset()
         with pytest.raises(ConnectionResetError):
             await reader.read(100)
 
-    through(scene)
+    with_relay(scene)
 
 
 def test_a_relay_refuses_and_stands_half_open() -> None:
@@ -85,7 +85,7 @@
         await play({"a": relay}, [Change(0.0, ("a",), "half")])
         reader, writer = await asyncio.open_connection(*relay.address)
         writer.write(b"anyone?")
-        assert await says(reader) == b"(silence)"
+        assert await read_or_silence(reader) == b"(silence)"
         await play({"a": relay}, [Change(0.0, ("a",), "refuse")])
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(*relay.address)
@@ -96,11 +96,11 @@
         with pytest.raises(ValueError, match="no such change"):
             await play({"a": relay}, [Change(0.0, ("a",), "melt")])
 
-    through(scene)
+    with_relay(scene)
 
 
-def swarm(folder: Path, scene: Callable[[Swarm, Crowd], Awaitable[None]], **more: Any) -> None:
-    """24 proxies, caches behind links, and clients that ask all along."""
+def with_swarm(folder: Path, scene: Callable[[Swarm, Crowd], Awaitable[None]], **more: Any) -> None:
+    """Run the scene with 24 proxies, caches behind links, and clients that send requests throughout."""
 
     async def run() -> None:
         one = Swarm(folder, "127.0.0.1", settings_for(PROXIES), ROOT)
@@ -118,10 +118,10 @@
     asyncio.run(run())
 
 
-async def asked_anew(one: Swarm, crowd: Crowd, names: list[str]) -> None:
-    """Wait until each of these caches has work again, with clients going on."""
+async def served_again(one: Swarm, crowd: Crowd, names: list[str]) -> None:
+    """Wait until each of these caches receives requests again, while clients continue."""
     since = time.time()
-    going = asyncio.ensure_future(crowd.run(30))
+    load = asyncio.ensure_future(crowd.run(30))
     try:
         await until(
             lambda: all(any(a.at > since for a in one.fleet.servers[name].arrivals) for name in names),
@@ -129,7 +129,7 @@
         )
     finally:
         crowd.stopped = True
-        await going
+        await load
         crowd.stopped = False
 
 
@@ -137,14 +137,14 @@
     async def scene(one: Swarm, crowd: Crowd) -> None:
         await crowd.run(4)
         assert crowd.answers["200"] >= 0.995 * crowd.answers.total()
-        await asked_anew(one, crowd, [box.name for box in one.boxes])
+        await served_again(one, crowd, [box.name for box in one.boxes])
 
-    swarm(tmp_path, scene)
+    with_swarm(tmp_path, scene)
 
 
 def test_caches_whose_links_drop_stall_or_reset_are_left_and_found_again(tmp_path: Path) -> None:
-    """One cache is cut off in silence, one stalls, one resets connections: what clients lose is bounded, each request
-    has one answer, and once the links are whole all three have work again."""
+    """One cache is cut off silently, one stalls, one resets connections: lost requests are bounded, each request gets
+    one answer, and once the links are restored all three caches receive requests again."""
 
     async def scene(one: Swarm, crowd: Crowd) -> None:
         await crowd.run(2)
@@ -158,29 +158,29 @@
         await playing
         assert crowd.answers["200"] >= 0.85 * crowd.answers.total()  # two of eight caches are gone
         await play(one.links, [Change(0.0, tuple(names[:3]), "pass"), Change(0.0, tuple(names[:2]), "reset")])
-        await asked_anew(one, crowd, names[:3])
+        await served_again(one, crowd, names[:3])
         crowd.answers.clear()
         await crowd.run(2)
         assert crowd.answers["200"] >= 0.98 * crowd.answers.total()
 
-    swarm(tmp_path, scene)
+    with_swarm(tmp_path, scene)
 
 
 def test_a_cache_that_only_a_third_of_the_proxies_cannot_reach_is_not_starved_by_the_others(tmp_path: Path) -> None:
-    """A third of the proxies are told an address behind a relay of its own, which refuses."""
+    """A third of the proxies have an address for one cache behind a separate relay, which refuses connections."""
 
     async def run() -> None:
         one = Swarm(tmp_path, "127.0.0.1", settings_for(PROXIES), ROOT)
         other = JournalService()
         try:
             await one.serve(CACHES, linked=True)
-            ill = one.boxes[0]
-            bad = one.links["bad"] = Relay(lambda: ill.address)
-            await bad.start()
+            unreachable = one.boxes[0]
+            refusing_link = one.links["bad"] = Relay(lambda: unreachable.address)
+            await refusing_link.start()
             await other.start("127.0.0.1")
-            member = one.member(ill.name) | {"host_port": f"127.0.0.1:{bad.address[1]}"}
+            member = one.member(unreachable.name) | {"host_port": f"127.0.0.1:{refusing_link.address[1]}"}
             await other.hosts(
-                *(m for name, m in one.journal.members.items() if name != ill.name), member, complete=True
+                *(m for name, m in one.journal.members.items() if name != unreachable.name), member, complete=True
             )
             where = f"127.0.0.1:{other.address[1]}"
             for n in range(PROXIES):
@@ -189,16 +189,18 @@
             await one.launch(list(one.proxies))
             crowd = Crowd(one, RATE)
             await crowd.run(2)
-            await bad.refuse(True)
-            bad.reset()
+            await refusing_link.refuse(True)
+            refusing_link.reset()
             await crowd.run(2)
             crowd.answers.clear()
             since = time.time()
             await crowd.run(4)
             crowd.close()
-            got = [sum(a.at > since and not a.fill for a in box.arrivals) for box in one.boxes]
+            counts = [sum(a.at > since and not a.fill for a in box.arrivals) for box in one.boxes]
             assert crowd.answers["200"] >= 0.99 * crowd.answers.total()
-            assert got[0] > 0.2 * sum(got) / len(got)  # of two thirds of the requests that are its
+            assert counts[0] > 0.2 * sum(counts) / len(
+                counts
+            )  # it is reachable for two thirds of its share of requests
         finally:
             await one.close()
             other.close()
@@ -214,58 +216,60 @@
         crowd.rate, since = 4 * RATE, time.time()
         crowd.answers.clear()
         await crowd.run(3)
-        got = [sum(a.at > since and not a.fill for a in box.arrivals) for box in one.boxes]
-        assert max(got) <= 2.5 * sum(got) / len(got) and min(got) > 0
+        counts = [sum(a.at > since and not a.fill for a in box.arrivals) for box in one.boxes]
+        assert max(counts) <= 2.5 * sum(counts) / len(counts) and min(counts) > 0
         assert crowd.answers["200"] >= 0.99 * crowd.answers.total()
 
-    swarm(tmp_path, scene)
+    with_swarm(tmp_path, scene)
 
 
 def test_half_of_the_caches_replaced_within_seconds_is_no_stampede_on_the_new_ones(tmp_path: Path) -> None:
-    """The new ones start cold: no second brings one more than the rule's multiple of what it can do."""
+    """The new ones start cold: in no second does one get more than the allowed multiple of its capacity."""
 
     async def scene(one: Swarm, crowd: Crowd) -> None:
         await crowd.run(3)
         old = [box.name for box in one.boxes[: CACHES // 2]]
-        going = asyncio.ensure_future(crowd.run(8))
-        fresh = []
+        load = asyncio.ensure_future(crowd.run(8))
+        replacements = []
         for n, name in enumerate(old):
-            born = await one.fleet.add(f"s-0000aa{n:02x}", "box", (one.host, 0), cold=16.0, upstream="s-00000200")
-            born.base = 0.025
-            fresh.append(born)
-            await one.link(born.name, born)
-            await one.journal.hosts(one.member(born.name), one.member(name, "DRAINING"))
+            replacement = await one.fleet.add(
+                f"s-0000aa{n:02x}", "box", (one.host, 0), cold=16.0, upstream="s-00000200"
+            )
+            replacement.base = 0.025
+            replacements.append(replacement)
+            await one.link(replacement.name, replacement)
+            await one.journal.hosts(one.member(replacement.name), one.member(name, "DRAINING"))
             await asyncio.sleep(1.0)
         drained = time.time()
-        await going
+        await load
         assert crowd.answers["200"] >= 0.97 * crowd.answers.total()
         for name in old:
             late = [a for a in one.fleet.servers[name].arrivals if a.at > drained + 0.5]
             assert not late, f"{name} got {len(late)} after it drained"
-        # What one can do warm is what its peers do at most; cold it starts at 0.16 of that, and falls at 2.5 times it.
-        most = max(box.most_open[s] for box in one.boxes for s in box.most_open)
-        assert all(max(born.most_open.values(), default=0) <= max(6, most) for born in fresh)
-        assert sum(len(born.arrivals) for born in fresh) > 0
+        # The peers' peak shows a warm server's capacity; a cold one has 0.16 of that at first, and collapses at 2.5 times it.
+        peak = max(box.most_open[s] for box in one.boxes for s in box.most_open)
+        assert all(max(replacement.most_open.values(), default=0) <= max(6, peak) for replacement in replacements)
+        assert sum(len(replacement.arrivals) for replacement in replacements) > 0
 
-    swarm(tmp_path, scene)
+    with_swarm(tmp_path, scene)
 
 
 def test_proxies_that_were_stopped_and_continued_answer_once_and_go_on(tmp_path: Path) -> None:
-    """A third of them stand still for two seconds with requests in hand."""
+    """A third of them are stopped for two seconds with requests in progress."""
 
     async def scene(one: Swarm, crowd: Crowd) -> None:
         await crowd.run(2)
-        some = list(one.proxies.values())[::3]
-        going = asyncio.ensure_future(crowd.run(4))
-        for proxy in some:
+        stopped_proxies = list(one.proxies.values())[::3]
+        load = asyncio.ensure_future(crowd.run(4))
+        for proxy in stopped_proxies:
             proxy.signal(signal.SIGSTOP)
         await asyncio.sleep(2)
-        for proxy in some:
+        for proxy in stopped_proxies:
             proxy.signal(signal.SIGCONT)
-        await going
+        await load
         crowd.answers.clear()
         await crowd.run(2)
         assert crowd.answers["200"] >= 0.98 * crowd.answers.total()
-        assert all(proxy.process.returncode is None for proxy in some)
+        assert all(proxy.process.returncode is None for proxy in stopped_proxies)
 
-    swarm(tmp_path, scene)
+    with_swarm(tmp_path, scene)
