--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -261,7 +261,7 @@
     connection, transport = AcceptedConnection(listener, 1_000, 10_000), Transport()
     connection.parse = lambda: None
     connection.connection_made(transport)
-    transport.ends.clear()
+    transport.calls.clear()
     return connection, transport, deadlines
 
 
@@ -276,7 +276,7 @@
     assert connection.eof_received() is True  # the transport stays up
     assert not transport.is_closing() and not connection.write(b"no more")
     connection.resume_writing()
-    assert transport.taken == b"first second third" and transport.ends[-1] == "close"
+    assert transport.sent == b"first second third" and transport.calls[-1] == "close"
     connection.connection_lost(None)
     assert len(deadlines) == 0
 
@@ -292,15 +292,15 @@
         now[0] += LINGER
         connection.outbound.skip(500)
         deadlines.run_due(now[0])
-        assert "abort" not in transport.ends and "write_eof" not in transport.ends
+        assert "abort" not in transport.calls and "write_eof" not in transport.calls
     connection.resume_writing()
-    assert transport.ends.count("write_eof") == 1
+    assert transport.calls.count("write_eof") == 1
     connection.get_buffer(-1)[:3] = b"..."
     connection.buffer_updated(3)  # further input is discarded
     assert not len(connection.inbound)
     now[0] += LINGER
     deadlines.run_due(now[0])
-    assert transport.ends[-1] == "abort" and len(deadlines) == 0
+    assert transport.calls[-1] == "abort" and len(deadlines) == 0
 
 
 def test_a_slow_writer_loses_none_of_the_answers_it_is_owed(tmp_path: Path) -> None:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Connections to cache servers where the settings price them: the real program, against stand-ins."""
+"""Pooling of connections to cache servers, with a cost per handshake: the real program against stand-in servers."""
 
 from __future__ import annotations
 
@@ -18,33 +18,35 @@
 from threadhill.net.upstream import CacheServers, Limits
 from threadhill.stats import Stats
 
-# A proxy with one cache and no way past it: it keeps asking that, however silent it is.
-ONE = {"extra": SETTINGS["extra"] | {"bypass-allowed": False}}
+# A proxy that may not bypass its only cache: it keeps using that, however silent it is.
+NO_BYPASS = {"extra": SETTINGS["extra"] | {"bypass-allowed": False}}
 
 
-@pytest.mark.parametrize(("price", "most"), [(0.08, 1), (0.0, 9)])
-def test_a_connection_is_shared_and_kept_as_far_as_its_price_says(tmp_path: Path, price: float, most: int) -> None:
-    """Guards against a fleet that opens a connection for each attempt beside another and leaves all of a server's
-    after one that ran out of time: from one proxy it is nothing, from 40 it was one in four requests."""
+@pytest.mark.parametrize(("cost", "max_connections"), [(0.08, 1), (0.0, 9)])
+def test_a_connection_is_shared_and_kept_as_far_as_its_price_says(
+    tmp_path: Path, cost: float, max_connections: int
+) -> None:
+    """Guards against opening a connection for every concurrent attempt, and abandoning all of a server's connections
+    after one timeout: the load is negligible from one proxy, but from 40 it was one connection in four requests."""
 
     async def scene(w: ProxyHarness) -> None:
         box = w.caches[0]
         box.behave = lambda ask: None
         client = await w.client()
-        for n in range(2):  # each runs out of time unheard
+        for n in range(2):  # each times out without an answer
             tags = [client.ask(n=n, obj=f"{i:016x}", budget=300) for i in range(4)]
             for tag in tags:
                 await client.answer(tag)
         box.behave = box.default_answer
         assert (await client.get(n=9))[0] == "200"
         assert await until(lambda: len(box.asked) == 9)
-        assert (box.accepted == 1) if most == 1 else (4 < box.accepted <= most)
+        assert (box.accepted == 1) if max_connections == 1 else (4 < box.accepted <= max_connections)
 
-    run_scenario(tmp_path, scene, caches=1, settings=ONE | {"costs": {"handshake": price}})
+    run_scenario(tmp_path, scene, caches=1, settings=NO_BYPASS | {"costs": {"handshake": cost}})
 
 
 def test_a_connection_that_stays_silent_is_left_in_the_end(tmp_path: Path) -> None:
-    """Guards against a price that keeps a dead connection for good: a third attempt unheard ends its use."""
+    """Guards against a cost that keeps a dead connection for ever: a third unanswered attempt ends its use."""
 
     async def scene(w: ProxyHarness) -> None:
         box = w.caches[0]
@@ -56,12 +58,12 @@
         assert (await client.get(n=9))[0] == "200"
         assert box.accepted == 2
 
-    run_scenario(tmp_path, scene, caches=1, settings=ONE | {"costs": {"handshake": 0.08}})
+    run_scenario(tmp_path, scene, caches=1, settings=NO_BYPASS | {"costs": {"handshake": 0.08}})
 
 
 def test_a_second_attempt_at_the_same_server_waits_for_nobody(tmp_path: Path) -> None:
-    """Guards against a queue that stands still: an id goes on a connection once, and where that is the only one, the
-    next attempt under it, with all that came after, waited until all else there was over."""
+    """Guards against a blocked queue: an id is used once per connection, so with only one connection the next attempt
+    with the same id, and all behind it, waited until everything else on it had ended."""
 
     async def scene(w: ProxyHarness) -> None:
         box, refused = w.caches[0], []
@@ -81,11 +83,11 @@
         assert (await client.get(n=0))[0] == "200"
         assert slow not in client.answers
 
-    run_scenario(tmp_path, scene, caches=1, settings=ONE | {"costs": {"handshake": 0.08}})
+    run_scenario(tmp_path, scene, caches=1, settings=NO_BYPASS | {"costs": {"handshake": 0.08}})
 
 
 def test_a_purge_gives_back_what_waits_for_a_connection() -> None:
-    """Guards against an attempt that was decided on before the purge and is written long after it: it names no age."""
+    """Guards against an attempt decided before a purge and sent long after it, without a limit on the copy's age."""
     ends: list[tuple[int, AttemptResult]] = []
     clock = Clock()
     engine = SimpleNamespace(
@@ -96,7 +98,7 @@
         attempt_ended=lambda attempt, end: ends.append((attempt, end)),
     )
     caches = CacheServers(engine, Limits(), lambda text: None)
-    caches.dial = lambda pool: setattr(pool, "dialling", pool.dialling + 1)  # it never comes up
+    caches.dial = lambda pool: setattr(pool, "dialling", pool.dialling + 1)  # it never succeeds
     caches.server_ready(1, "s-1", "127.0.0.1", 1)
     for attempt, (object, group) in enumerate([("aa", 1), ("bb", 1), ("cc", 2), ("dd", 3)]):
         ask = ClientRequest(
@@ -109,8 +111,8 @@
 
 
 def test_what_must_not_run_twice_keeps_off_connections_that_are_cut_when_idle(tmp_path: Path) -> None:
-    """Seen with peers that cut a connection as the next request came after a tenth of a second: one order in six was
-    lost so, as an order goes to the origin alone, whose connections are idle in between."""
+    """Seen with peers that reset a connection when the next request arrived after 0.1 s of idleness: one order in six
+    was lost, as orders go only to the origin, whose connections are idle in between."""
 
     async def scene(w: ProxyHarness) -> None:
         seen: list[int] = []
@@ -136,7 +138,7 @@
 
 @pytest.mark.parametrize(("peer", "kept"), [(30_000_000, 27_500_000), (4_000_000, 2_800_000), (1_000_000, 700_000)])
 def test_an_idle_connection_is_kept_until_shortly_before_its_peer_closes_it(peer: int, kept: int) -> None:
-    """Each one that is closed early is dialled anew: with 200 proxies 0.17 connections a request in place of 0.10."""
+    """Closing early means dialling again: with 200 proxies there were 0.17 connections per request instead of 0.10."""
     caches = CacheServers.__new__(CacheServers)
     caches.set_limits(Limits(idle=peer))
     assert caches.idle_time == kept
--- a/tests/upstream_stub.py
+++ b/tests/upstream_stub.py
@@ -1,4 +1,4 @@
-"""The cache servers' side without sockets: dials that come up when the test says, and what is written to them."""
+"""`CacheServers` without sockets, for tests that control when dials succeed and inspect what is sent."""
 
 from __future__ import annotations
 
@@ -12,53 +12,53 @@
 from threadhill.net.upstream import CacheServers, Limits, Pool, UpstreamConnection
 from threadhill.stats import Stats
 
-WRITABLE = open(os.devnull, "wb")  # noqa: SIM115 - stands for a socket that takes all, as long as the tests run
+WRITABLE = open(os.devnull, "wb")  # noqa: SIM115 - polls as a writable socket; open until the tests end
 
 
 class Transport:
-    """A transport whose peer reads when the test says: what it took, and what became of it."""
+    """A fake transport: records what was written and which methods were called, and buffers as the test sets."""
 
     def __init__(self) -> None:
-        self.taken = b""
-        self.ends: list[str] = []
-        self.held = 0  # bytes that wait in it
+        self.sent = b""
+        self.calls: list[str] = []
+        self.buffered = 0  # bytes reported as not sent yet
         self.reset = False
 
     def write(self, data: bytes) -> None:
         if self.reset:
-            self.ends.append("abort")
+            self.calls.append("abort")
         else:
-            self.taken += data
+            self.sent += data
 
     def get_write_buffer_size(self) -> int:
-        return self.held
+        return self.buffered
 
     def can_write_eof(self) -> bool:
         return True
 
     def is_closing(self) -> bool:
-        return "close" in self.ends or "abort" in self.ends
+        return "close" in self.calls or "abort" in self.calls
 
     def get_extra_info(self, name: str) -> Any:
         return WRITABLE if name == "socket" else None
 
     def __getattr__(self, name: str) -> Any:
-        return lambda *more, **named: self.ends.append(name)
+        return lambda *more, **named: self.calls.append(name)
 
 
-class Below:
-    """The cache servers' side without sockets: dials that come up when the test says, and what is written to them."""
+class PoolHarness:
+    """One server's pool, whose dials succeed when the test calls `connect`."""
 
     def __init__(self) -> None:
         self.now = 1_000_000
-        self.ends: list[tuple[int, AttemptResult]] = []
+        self.results: list[tuple[int, AttemptResult]] = []
         engine = SimpleNamespace(
             recovery_gate=None,
             clock=SimpleNamespace(now=lambda: self.now),
             stats=Stats(),
             trace=Trace(),
             deadlines=Deadlines(lambda when: None, lambda error: None),
-            attempt_ended=lambda attempt, end: self.ends.append((attempt, end)),
+            attempt_ended=lambda attempt, end: self.results.append((attempt, end)),
         )
         self.deadlines = engine.deadlines
         self.caches = CacheServers(engine, Limits(), lambda text: None)
@@ -76,13 +76,13 @@
         )
         self.caches.send(attempt, AttemptSpec(ask, 1, source, 1_000_000, **more))
 
-    def up(self, transport: Transport | None = None) -> tuple[UpstreamConnection, Transport]:
-        """A dial comes up: the connection, and its other end."""
-        wire, transport = UpstreamConnection(self.pool), transport or Transport()
-        wire.connection_made(transport)
+    def connect(self, transport: Transport | None = None) -> tuple[UpstreamConnection, Transport]:
+        """A dial succeeds; returns the connection and its transport."""
+        connection, transport = UpstreamConnection(self.pool), transport or Transport()
+        connection.connection_made(transport)
         self.pool.dialled(up=True)
-        return wire, transport
+        return connection, transport
 
     @property
     def outcomes(self) -> list[tuple[int, str]]:
-        return [(attempt, end.outcome.value) for attempt, end in self.ends]
+        return [(attempt, end.outcome.value) for attempt, end in self.results]
