--- a/tests/faults/test_discovery.py
+++ b/tests/faults/test_discovery.py
@@ -66,14 +66,14 @@
 
 
 def test_purges_missed_while_discovery_is_down_bind_once_they_count_as_told(tmp_path: Path) -> None:
-    """Even where servers keep old copies for longer than that. When discovery is back, copies of any age may be served."""
+    """Even if servers keep old copies for longer. When discovery is back, copies of any age may be served."""
 
     async def scene(w: FaultWorld) -> None:
         born = unix_ms() - 400
         hold(w.boxes, born)
         client = await w.client()
         assert (await client.get())[2].startswith(b"old")
-        w.journal.server.close()  # it can't be reached at all: one that takes a connection is asked, which counts
+        w.journal.server.close()  # unreachable: sending a request to a service would count as delivery
         w.journal.reset()
         await w.logged("purges may be missing")
         assert unix_ms() - born >= DELIVERY_TIME_MS
