--- a/tests/test_upstream_endings.py
+++ b/tests/test_upstream_endings.py
@@ -260,4 +260,6 @@
         assert (await client.get(budget=30_000))[0] == "200" and w.counter("fault", "server") == 0
 
     limits = SETTINGS["limits"] | {"conn-idle": 3_600_000_000}  # it is not closed as idle
-    run_scenario(tmp_path, scene, caches=1, settings={"limits": limits, "extra": SETTINGS["extra"] | {"bypass-allowed": False}})
+    run_scenario(
+        tmp_path, scene, caches=1, settings={"limits": limits, "extra": SETTINGS["extra"] | {"bypass-allowed": False}}
+    )
