--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -232,9 +232,8 @@
         assert (await other.get(obj="00000000000000bb"))[0] == "200"
         assert len([a for a in w.asked() if a["id"] == "00000000000000aa"]) == 1
 
-    run_scenario(
-        tmp_path, scene, settings={"costs": {"handshake": 0.08}}
-    )  # a connection is not abandoned after one cancelled attempt
+    # With this cost, a connection is not abandoned after one cancelled attempt.
+    run_scenario(tmp_path, scene, settings={"costs": {"handshake": 0.08}})
 
 
 def test_a_client_that_sends_and_leaves_in_one_write_is_given_up_at_once(tmp_path: Path) -> None:
