--- a/tests/faults/test_beyond.py
+++ b/tests/faults/test_beyond.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.faults.world import FaultWorld, hold, play, unix_ms
+from tests.faults.world import FaultWorld, hold, run_scenario, unix_ms
 from tests.script import MS, SECOND, Script, cache
 from tests.world import OBJECT, SETTINGS, Box, Journal, until
 from threadhill.decision import interface as api
@@ -45,7 +45,7 @@
             service.server.close()
             service.reset()
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize("budget", [1, 5, 20, 50])
@@ -68,7 +68,7 @@
         assert not client.answered_twice and (await w.metrics())["out_of_rotation"] == 0
         assert [(await client.get(obj=f"{n:016x}"))[0] for n in range(40)] == ["200"] * 40
 
-    play(tmp_path, scene, management=True)
+    run_scenario(tmp_path, scene, management=True)
 
 
 @pytest.mark.parametrize("deadline_ms", [300, 3_000, 8_000])
@@ -98,7 +98,7 @@
         assert not client.answered_twice
 
     classes = [cls | {"deadline": deadline_ms * 1_000} for cls in SETTINGS["profiles"]]
-    play(tmp_path, scene, settings={"profiles": classes})
+    run_scenario(tmp_path, scene, settings={"profiles": classes})
 
 
 def test_discovery_that_is_slow_and_crowded_is_followed_all_the_same(tmp_path: Path) -> None:
@@ -131,7 +131,7 @@
         other.server.close()
         other.reset()
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_thirty_seconds_without_discovery_cost_no_service_and_end_with_all_that_was_missed(tmp_path: Path) -> None:
@@ -158,7 +158,7 @@
         answers = [await client.get(n=n) for n in range(4)]
         assert not w.caches[0].asked and not any(body.startswith(b"old") for _, _, body in answers)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 # --- after a long idle period, on the decision module
--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.by_hand import PendingListener
-from tests.faults.world import FaultWorld, play
+from tests.faults.world import FaultWorld, run_scenario
 from tests.world import OBJECT, SETTINGS, Box, Journal, until
 
 OWN_SHORTAGE = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
@@ -42,7 +42,7 @@
         assert (await client.get())[0] == "200"
         assert w.switches.affected("accept") == 3 and w.counter("fault", "loop") == 0
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize(
@@ -63,7 +63,7 @@
         assert (await client.answer(tag))[0] in ("200", "503")
         assert await asyncio.wait_for(w.process.wait(), 40) == 0
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize("call", ["socket", "connect"])
@@ -88,7 +88,7 @@
         assert all(box.asked for box in w.caches)
         assert (await w.metrics())["out_of_rotation"] == 0
 
-    play(tmp_path, scene, management=True)
+    run_scenario(tmp_path, scene, management=True)
 
 
 @pytest.mark.parametrize(
@@ -110,7 +110,7 @@
         assert (await client.get())[0] == "200"
         assert w.switches.affected("recv") == 1
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize("call", ["recv", "send"])
@@ -123,7 +123,7 @@
         assert (await client.get("license-buy", b"x" * 3_000, token="5c0f6e1a"))[0] == "200"
         assert w.switches.affected(call) > 1_000
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize("call", ["socket", "connect"])
@@ -135,7 +135,7 @@
         assert (await client.get())[0] == "200"
         assert w.switches.affected(call) == 6
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_max_is_what_the_client_has_left_when_the_request_is_written(tmp_path: Path) -> None:
@@ -157,7 +157,7 @@
         assert waited >= 1.0 and 0 < int(fields["max"]) <= 3_000 - 1_000
         slow_server.close()
 
-    play(
+    run_scenario(
         tmp_path,
         scene,
         caches=1,
@@ -181,7 +181,7 @@
         other.server.close()
         other.reset()
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE], ids=lambda error: errno.errorcode[error])
@@ -192,7 +192,7 @@
         client = await w.client()
         assert (await client.get())[0] == "200" and w.switches.affected("read_file") == 3
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.EMFILE], ids=lambda error: errno.errorcode[error])
@@ -214,4 +214,4 @@
         assert (await other.get("clip-parts", n=2, budget=2000))[0] == "200"
         assert all(int(ask["max"]) >= 1900 for ask in w.asked()[-2:])
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
--- a/tests/faults/test_cordons.py
+++ b/tests/faults/test_cordons.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.faults.world import FaultWorld, play
+from tests.faults.world import FaultWorld, run_scenario
 from tests.world import until
 
 
@@ -32,7 +32,7 @@
         await until(file.exists, "the file")
         assert json.loads(file.read_bytes())["out"] == [name]
 
-    play(tmp_path, scene, management=True)
+    run_scenario(tmp_path, scene, management=True)
 
 
 def test_one_put_back_is_cold_for_another_process_whose_clock_is_an_hour_ahead(tmp_path: Path) -> None:
@@ -48,4 +48,4 @@
         assert w.switches.wall_readings
         assert len(w.caches[1].asked) < len(w.caches[0].asked) / 2
 
-    play(tmp_path, scene, management=True)
+    run_scenario(tmp_path, scene, management=True)
--- a/tests/faults/test_discovery.py
+++ b/tests/faults/test_discovery.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.faults.world import FaultWorld, hold, play, unix_ms
+from tests.faults.world import FaultWorld, hold, run_scenario, unix_ms
 from tests.world import OBJECT, SETTINGS, until
 
 DELIVERY_TIME_MS = 7_000  # after which the protocol counts any event of discovery as delivered
@@ -30,7 +30,7 @@
         assert not w.caches[0].asked and "200" in [word for word, _, _ in answers]
         assert len(w.journal.tails) == 1  # it did not reconnect
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize("start", [-5, 2**63, "soon", 1.5, 3])
@@ -45,7 +45,7 @@
             await client.get(obj=f"{n:016x}")
         assert len(w.caches[1].asked) < len(w.caches[0].asked) / 2  # it is warmed up
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize("step", [-3600.0, 3600.0])
@@ -62,7 +62,7 @@
             await client.get(obj=f"{n:016x}")
         assert w.switches.wall_readings and len(w.caches[1].asked) < len(w.caches[0].asked) / 2
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_purges_missed_while_discovery_is_down_bind_once_they_count_as_told(tmp_path: Path) -> None:
@@ -84,7 +84,7 @@
         await w.logged("no purge is missing")
         assert (await client.get(n=9))[2].startswith(b"old")
 
-    play(tmp_path, scene, settings={"extra": SETTINGS["extra"] | {"purge-takes": 60_000_000}})
+    run_scenario(tmp_path, scene, settings={"extra": SETTINGS["extra"] | {"purge-takes": 60_000_000}})
 
 
 def test_after_a_gap_in_the_numbers_no_copy_from_before_it_will_do(tmp_path: Path) -> None:
@@ -99,7 +99,7 @@
         assert not any(body.startswith(b"old") for _, _, body in answers)
         assert "200" in [word for word, _, _ in answers]
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_the_events_of_a_configuration_are_applied_whatever_their_order(tmp_path: Path) -> None:
@@ -113,7 +113,7 @@
         answers = [await client.get(n=n) for n in range(4)]
         assert not any(body.startswith(b"old") for _, _, body in answers)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_step_of_the_wall_clock_is_logged_and_counted(tmp_path: Path) -> None:
@@ -122,7 +122,7 @@
         await w.logged("the wall clock was stepped by -7.")
         await until(lambda: w.counter("clock", "stepped") == 1, "the step to be counted")
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_deadlines_are_spans_of_real_time_however_the_clock_is_stepped(tmp_path: Path) -> None:
@@ -137,4 +137,4 @@
             assert (await client.answer(tag))[0] == "503"
             assert time.monotonic() - began > 0.3
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
--- a/tests/faults/test_purge_numbers.py
+++ b/tests/faults/test_purge_numbers.py
@@ -30,7 +30,7 @@
 import pytest
 
 from tests.faults.test_purges import nothing_old_is_served
-from tests.faults.world import FaultWorld, hold, play, unix_ms
+from tests.faults.world import FaultWorld, hold, run_scenario, unix_ms
 from tests.world import OBJECT, SETTINGS, Heartbeat, until
 
 COPIES_KEPT_LONG = {
@@ -68,7 +68,7 @@
         await w.wait_for_events()
         await nothing_old_is_served(w, stamp)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize("form", list(Heartbeat))
@@ -84,7 +84,7 @@
         assert "oldest" not in w.asked()[-1]
         assert "purges may be missing" not in w.log
 
-    play(tmp_path, scene, settings=COPIES_KEPT_LONG)
+    run_scenario(tmp_path, scene, settings=COPIES_KEPT_LONG)
 
 
 @pytest.mark.parametrize("form", list(Heartbeat))
@@ -100,7 +100,7 @@
         await w.logged("no purge is missing")
         await w.wait_for_events()
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_new_connection_on_which_nothing_comes_may_hold_purges_back(tmp_path: Path) -> None:
@@ -121,7 +121,7 @@
         w.journal.silent = False
         await w.wait_for_events()
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_number_of_a_configuration_read_again_hides_no_event_of_discovery(tmp_path: Path) -> None:
@@ -137,7 +137,7 @@
         await until(lambda: w.counter("journal", "events") >= 3, "the events")
         await nothing_old_is_served(w, stamp)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_drain_under_a_number_that_a_configuration_gave_to_another_event_is_heard(tmp_path: Path) -> None:
@@ -152,7 +152,7 @@
             await client.get(obj=f"{n:016x}")
         assert not w.caches[0].asked and w.caches[1].asked
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_purge_of_a_configuration_read_again_binds_whatever_its_number(tmp_path: Path) -> None:
@@ -165,7 +165,7 @@
         await reload(w, known={"pos": 2, "entries": [w.journal.events[0], renumbered]})
         await nothing_old_is_served(w, stamp)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_what_a_configuration_and_discovery_tell_alike_is_applied_once(tmp_path: Path) -> None:
@@ -183,7 +183,7 @@
         w.journal.hosts()
         await until(lambda: w.counter("journal", "events") == 5, "each event to be counted once")
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_last_number_whose_events_a_configuration_does_not_hold_is_asked_for(tmp_path: Path) -> None:
@@ -196,4 +196,4 @@
         await until(lambda: w.counter("purge", "object") == 1, "the purge")
         await nothing_old_is_served(w, stamp)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
--- a/tests/faults/test_purged_copies.py
+++ b/tests/faults/test_purged_copies.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.faults.test_purges import purge
-from tests.faults.world import PURGE_SLACK_MS, FaultWorld, Holding, hold, play, unix_ms
+from tests.faults.world import PURGE_SLACK_MS, FaultWorld, Holding, hold, run_scenario, unix_ms
 from tests.world import OBJECT, SETTINGS, Box, body_of, until
 from threadhill.decision.freshness import Freshness, PurgeRecord
 
@@ -77,7 +77,7 @@
         word, _, body = await client.answer(tag)
         assert word == "200" and not body.startswith(b"old")
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_what_was_asked_for_before_a_purge_is_still_passed_on(tmp_path: Path) -> None:
@@ -90,7 +90,7 @@
         await fill.answer(unix_ms() - 4_000)
         assert (await client.answer(tag))[2].startswith(b"old")
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_purge_is_not_forgotten_while_an_answer_is_out(tmp_path: Path) -> None:
@@ -108,7 +108,7 @@
         word, _, body = await client.answer(tag)
         assert word == "200" and not body.startswith(b"old")
 
-    play(tmp_path, scene, settings=SHORT_PURGE_TIME)
+    run_scenario(tmp_path, scene, settings=SHORT_PURGE_TIME)
 
 
 def test_a_copy_that_outlived_the_time_in_which_servers_drop_it_is_not_passed_on(tmp_path: Path) -> None:
@@ -121,7 +121,7 @@
         answers = [await client.get(n=n) for n in range(4)]
         assert not any(body.startswith(b"old") for _, _, body in answers)
 
-    play(tmp_path, scene, settings=SHORT_PURGE_TIME)
+    run_scenario(tmp_path, scene, settings=SHORT_PURGE_TIME)
 
 
 @pytest.mark.parametrize("born", ["", ",born=", ",born=-5", ",born=1e12", ",born=soon", ",born=3", f",born={10**14}"])
@@ -136,7 +136,7 @@
         assert not body.startswith(b"old")
         assert (await client.get(obj=OTHER, shard=3))[2].startswith(b"old")  # this object was not purged
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_copy_made_in_the_millisecond_of_the_purge_may_be_from_before_it(tmp_path: Path) -> None:
@@ -147,7 +147,7 @@
         client = await w.client()
         assert not (await client.get())[2].startswith(b"old")
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_request_whose_answer_was_turned_down_joins_no_further_fill(tmp_path: Path) -> None:
@@ -164,7 +164,7 @@
         assert word == "200" and not body.startswith(b"old")
         assert "collapse" in w.asked()[0]["mode"] and "collapse" not in w.asked()[-1].get("mode", "")
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_purge_that_waited_while_the_process_stood_still_counts_from_before(tmp_path: Path) -> None:
--- a/tests/faults/test_purges.py
+++ b/tests/faults/test_purges.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.by_hand import paused
-from tests.faults.world import PURGE_SLACK_MS, FaultWorld, hold, play, unix_ms
+from tests.faults.world import PURGE_SLACK_MS, FaultWorld, hold, run_scenario, unix_ms
 from tests.world import OBJECT, until
 
 STEPS = [-3600.0, -5.0, -0.6, 0.0, 0.6, 5.0, 3600.0]  # seconds by which the wall clock is off
@@ -48,7 +48,7 @@
         assert w.switches.wall_readings
         await nothing_old_is_served(w, stamp)
 
-    play(tmp_path, scene, step=step if moment == "before the start" else 0.0)
+    run_scenario(tmp_path, scene, step=step if moment == "before the start" else 0.0)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -64,7 +64,7 @@
         await w.restart()
         await nothing_old_is_served(w, stamp)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize("step", [-5.0, 5.0])
@@ -75,7 +75,7 @@
         w.switches.step_wall(step)
         await nothing_old_is_served(w, stamp)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_server_that_gives_a_purged_copy_all_the_same_is_not_passed_on(tmp_path: Path) -> None:
@@ -91,7 +91,7 @@
         assert not body.startswith(b"old") and word in ("200", "503")
         await until(lambda: w.counter("purged_copy", "turned down"), "it to be counted")
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 @pytest.mark.parametrize("what", ["purge", "drain"])
@@ -126,4 +126,4 @@
             assert not w.caches[0].asked
         assert all(int(ask["max"]) <= 3_000 - PURGE_SLACK_MS for ask in w.asked())
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from tests.faults.test_purges import purge
-from tests.faults.world import PURGE_SLACK_MS, FaultWorld, hold, play, unix_ms
+from tests.faults.world import PURGE_SLACK_MS, FaultWorld, hold, run_scenario, unix_ms
 from tests.world import OBJECT, until
 from threadhill.core.trace import MAX_ENTRIES, MAX_REPORTED, Step, Trace
 
@@ -32,7 +32,7 @@
         assert steps["purge"]["from"] == "discovery" and steps["attempt"]["oldest_us"] > 0
         assert steps["ended"]["born_ms"] == born and steps["ended"]["request"] == "9b1f03aa5c7e2d41"
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def test_sigusr1_logs_the_recent_entries(tmp_path: Path) -> None:
@@ -43,7 +43,7 @@
         await w.logged('"answer":"served"')
         assert [entry["step"] for entry in entries(w.log)] == ["attempt", "ended", "answer"]
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def test_the_trace_is_bounded() -> None:
