--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.test_deployments import OTHER
+from tests.test_deployments import OTHER_SETTINGS
 from tests.test_proxy import run_scenario
 from tests.world import SETTINGS, ProxyHarness, until
 from threadhill.core.clock import Clock
@@ -131,7 +131,7 @@
         assert words == ["200", "500", *["200"] * 4]
         assert w.origin.accepted == 5 and len(seen) == 6  # none of them was asked twice
 
-    run_scenario(tmp_path, scene, settings=OTHER)
+    run_scenario(tmp_path, scene, settings=OTHER_SETTINGS)
 
 
 @pytest.mark.parametrize(("peer", "kept"), [(30_000_000, 27_500_000), (4_000_000, 2_800_000), (1_000_000, 700_000)])
