--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -156,7 +156,9 @@
         client = await RawClient.connect(w)
         wanted = build_request(100, obj="00000000000000aa")
         if how == "takes it back":
-            await client.send(INVALID_REQUESTS, wanted, bulk(b"NEVERMIND", b"100"), build_request(101, obj="00000000000000bb"))
+            await client.send(
+                INVALID_REQUESTS, wanted, bulk(b"NEVERMIND", b"100"), build_request(101, obj="00000000000000bb")
+            )
             await until(lambda: [a for a in w.asked() if a["thing"] == "00000000000000bb"])
         else:
             await client.send(INVALID_REQUESTS, wanted)
@@ -316,7 +318,9 @@
         await until(lambda: w.counter("sent", "clip-parts") == 1)
         idle = await RawClient.connect(w)
         await idle.send(bulk(b"STATUS", b"1"), late[:30])
-        await idle.read_to_end()  # closed, as no answer is pending: the timeout has passed for the other, which began earlier
+        await (
+            idle.read_to_end()
+        )  # closed, as no answer is pending: the timeout has passed for the other, which began earlier
         for box in w.boxes:
             for writer in box.writers:
                 writer.write(f"{held[-1]} ok ver=a,born=1 4\r\nlate\r\n".encode())
--- a/threadhill/control/feed.py
+++ b/threadhill/control/feed.py
@@ -14,7 +14,7 @@
 from threadhill.control.adoption import AdoptionHold
 from threadhill.control.ledger import Ledger
 from threadhill.control.pace import CatchUpLimiter
-from threadhill.net.door import Listener, AcceptedConnection
+from threadhill.net.door import AcceptedConnection, Listener
 from threadhill.settings import Malformed
 
 if TYPE_CHECKING:
