--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -80,7 +80,7 @@
         self.overload_control: Control | None = None
         self.node_overload_controls: dict[str, Control] = {}  # by node of the DNS views
         self.recovery: Recovery | None = None
-        self._shutdown_at = 0  # local time of SIGTERM; 0: none yet
+        self._stopping_since = 0  # local time of SIGTERM; 0: none yet
         self._reload_retry: tuple[int, int] | None = None  # deadline of the next attempt to read the configuration
         self._watch_clock()
         self._open_failed = False  # open requests were failed, as SIGKILL is near
@@ -139,7 +139,7 @@
                 await self._serve_dns(self.operator.dns)
             if self.operator.admin is not None:
                 await self._serve_admin(self.operator.admin)
-        self.front.ready = not self._shutdown_at
+        self.front.ready = not self._stopping_since
         log.write(f"{self.config.name}: serving on {host}:{port}")
         await self.finished.wait()
         self.front.listener.stop_accepting()
@@ -367,7 +367,7 @@
 
     def healthy(self) -> bool:
         blind = self.recovery is not None and not self.recovery.may_send(self.clock.now())
-        return self.front.listener.listening and not self._shutdown_at and not blind
+        return self.front.listener.listening and not self._stopping_since and not blind
 
     def figures(self) -> dict[str, int]:
         from threadhill.core.figures import operator_metrics
@@ -393,7 +393,7 @@
         self.front.quiesce()
 
     def resume(self) -> None:
-        if not self._shutdown_at:
+        if not self._stopping_since:
             log.event("resume: clients are taken again")
             self.front.resume()
 
@@ -427,8 +427,8 @@
 
     def shut_down(self) -> None:
         """SIGTERM: clients are still accepted for a while, and every accepted request is answered before the end."""
-        if not self._shutdown_at:
-            self._shutdown_at = self.clock.now()
+        if not self._stopping_since:
+            self._stopping_since = self.clock.now()
             self.front.ready = False
             if self.config.listen_fd is not None:
                 # Another process accepts from the same socket: take no new clients here and release those connected.
@@ -444,7 +444,7 @@
         unread requests would reset connections and lose answers already written. What is still open shortly before
         SIGKILL may come is failed; clients that do not read are not waited for."""
         now = self.clock.now()
-        elapsed, door = now - self._shutdown_at, self.front.listener
+        elapsed, door = now - self._stopping_since, self.front.listener
         longest = max((cls.deadline for cls in self.config.settings.classes.values()), default=MAX_KILL_DEADLINE)
         # An upgrade has already closed the listener and drains; else new clients are accepted at first, and released
         # gradually.
