--- a/tests/by_hand.py
+++ b/tests/by_hand.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.world import OBJECT, SETTINGS, ProxyHarness
+from tests.harness import OBJECT, SETTINGS, ProxyHarness
 from threadhill.net.resp import bulk
 
 
--- a/tests/conformance/table.py
+++ b/tests/conformance/table.py
@@ -13,9 +13,9 @@
 import trustme
 
 from tests.conformance.rows import LEFT_OUT, ROWS, ZONE, Row, ask
+from tests.harness import ProxyHarness, until
 from tests.test_dns import OPERATOR
 from tests.test_dns_tls import TLS, certify
-from tests.world import ProxyHarness, until
 
 RECORDS = f"""records = ['note.{ZONE} 60 TXT one', 'note.{ZONE} 60 TXT two', 'alias.{ZONE} CNAME note.{ZONE}',
     '{ZONE} CAA 0 issue ca.example', 'x.deep.{ZONE} A 192.0.2.1']"""
--- a/tests/faults/test_beyond.py
+++ b/tests/faults/test_beyond.py
@@ -11,8 +11,8 @@
 import pytest
 
 from tests.faults.world import FaultWorld, hold, run_scenario, unix_ms
+from tests.harness import OBJECT, SETTINGS, Box, Journal, until
 from tests.script import MS, SECOND, Script, cache
-from tests.world import OBJECT, SETTINGS, Box, Journal, until
 from threadhill.decision import interface as api
 
 IDLE_PERIOD = 20 * 60 * SECOND
--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -12,7 +12,7 @@
 
 from tests.by_hand import PendingListener
 from tests.faults.world import FaultWorld, run_scenario
-from tests.world import OBJECT, SETTINGS, Box, Journal, until
+from tests.harness import OBJECT, SETTINGS, Box, Journal, until
 
 OWN_SHORTAGE = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 ACCEPT_ERRORS = [
--- a/tests/faults/test_cordons.py
+++ b/tests/faults/test_cordons.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.faults.world import FaultWorld, run_scenario
-from tests.world import until
+from tests.harness import until
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
--- a/tests/faults/test_discovery.py
+++ b/tests/faults/test_discovery.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.faults.world import FaultWorld, hold, run_scenario, unix_ms
-from tests.world import OBJECT, SETTINGS, until
+from tests.harness import OBJECT, SETTINGS, until
 
 DELIVERY_TIME_MS = 7_000  # after which the protocol counts any event of discovery as delivered
 
--- a/tests/faults/test_purge_numbers.py
+++ b/tests/faults/test_purge_numbers.py
@@ -31,7 +31,7 @@
 
 from tests.faults.test_purges import nothing_old_is_served
 from tests.faults.world import FaultWorld, hold, run_scenario, unix_ms
-from tests.world import OBJECT, SETTINGS, Heartbeat, until
+from tests.harness import OBJECT, SETTINGS, Heartbeat, until
 
 COPIES_KEPT_LONG = {
     "extra": SETTINGS["extra"] | {"purge-takes": 60_000_000}
--- a/tests/faults/test_purged_copies.py
+++ b/tests/faults/test_purged_copies.py
@@ -15,7 +15,7 @@
 
 from tests.faults.test_purges import purge
 from tests.faults.world import PURGE_SLACK_MS, FaultWorld, Holding, hold, run_scenario, unix_ms
-from tests.world import OBJECT, SETTINGS, Box, body_of, until
+from tests.harness import OBJECT, SETTINGS, Box, body_of, until
 from threadhill.decision.freshness import Freshness, PurgeRecord
 
 GROUP, OTHER = 17, "00000000000000ff"
--- a/tests/faults/test_stamps.py
+++ b/tests/faults/test_stamps.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from threadhill.core.stamps import EARLIEST, LATEST, MAX_AHEAD, StampAges
+from threadhill.core.timestamps import MAX_AHEAD, MAX_TIMESTAMP, MIN_TIMESTAMP, TimestampAges
 
 TRUE_START = 1_764_576_000_000_000  # Unix microseconds at local time 0
 HOUR = 3_600_000_000
@@ -23,8 +23,8 @@
     def true(self) -> int:
         return TRUE_START + self.local
 
-    def ages(self) -> StampAges:
-        return StampAges(lambda: self.local, lambda: self.true + self.off)
+    def ages(self) -> TimestampAges:
+        return TimestampAges(lambda: self.local, lambda: self.true + self.off)
 
 
 steps = st.integers(-HOUR, HOUR)
@@ -63,7 +63,7 @@
     assert ages.age(clocks.true - 10 * SECOND) >= 10 * SECOND - least
 
 
-@given(st.integers().filter(lambda stamp: not EARLIEST <= stamp <= LATEST) | st.just(2**63 * 1_000))
+@given(st.integers().filter(lambda stamp: not MIN_TIMESTAMP <= stamp <= MAX_TIMESTAMP) | st.just(2**63 * 1_000))
 def test_a_stamp_that_is_no_time_is_taken_for_one_of_now_and_proves_nothing(stamp: int) -> None:
     clocks = Clocks()
     ages = clocks.ages()
--- a/tests/faults/world.py
+++ b/tests/faults/world.py
@@ -12,7 +12,7 @@
 
 from tests import test_proxy
 from tests.faults.switches import Switches
-from tests.world import Box, ProxyHarness, body_of
+from tests.harness import Box, ProxyHarness, body_of
 
 PURGE_SLACK_MS = 550  # from a purge until it must be in effect: the settings' slack, plus socket latency
 
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -16,8 +16,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from tests.harness import ROOT, ProxyHarness, until
 from tests.test_dns import play
-from tests.world import ROOT, ProxyHarness, until
 from threadhill.settings import Malformed
 from threadhill.tenancy import audit, keyfile, keys
 from threadhill.tenancy.keys import Gate, Refused, Scope
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.world import ROOT, ProxyHarness, open_silent_connections, read_to_end, until
+from tests.harness import ROOT, ProxyHarness, open_silent_connections, read_to_end, until
 
 TOKEN = "t" * 20
 OPERATOR = """
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -9,8 +9,8 @@
 
 import pytest
 
+from tests.harness import ROOT, ProxyHarness, until
 from tests.test_proxy import run_scenario
-from tests.world import ROOT, ProxyHarness, until
 
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -11,8 +11,8 @@
 
 import pytest
 
+from tests.harness import ROOT, SETTINGS, ProxyHarness, body_of
 from tests.test_proxy import run_scenario
-from tests.world import ROOT, SETTINGS, ProxyHarness, body_of
 from threadhill.decision import interface as api
 from threadhill.net.upstream_codec import read_waited
 from threadhill.settings import Malformed, read_settings
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from tests.world import OBJECT, ProxyHarness, open_silent_connections, read_to_end, until
+from tests.harness import OBJECT, ProxyHarness, open_silent_connections, read_to_end, until
 
 OPERATOR = """
 [dns]
@@ -222,7 +222,7 @@
         await w.wait_for_events()
         assert (await r.ask()).code == SERVFAIL
 
-    from tests.world import SETTINGS
+    from tests.harness import SETTINGS
 
     play(tmp_path, scene, settings={"extra": SETTINGS["extra"] | {"bypass-allowed": False}})
 
--- a/tests/test_dns_limits.py
+++ b/tests/test_dns_limits.py
@@ -10,8 +10,8 @@
 
 import pytest
 
+from tests.harness import ProxyHarness, until
 from tests.test_dns import NAME, NOERROR, OPERATOR, SRV, Reply, Resolver, play, query
-from tests.world import ProxyHarness, until
 from threadhill.dns import limits
 from threadhill.dns.cookies import Cookies, Verdict, siphash24
 from threadhill.dns.limits import Limits, Send
--- a/tests/test_dns_signing.py
+++ b/tests/test_dns_signing.py
@@ -19,8 +19,8 @@
 import pytest
 from cryptography.hazmat.primitives.asymmetric import ec
 
+from tests.harness import OBJECT, ROOT, ProxyHarness, until
 from tests.test_dns import NAME, NXDOMAIN, OPERATOR, Resolver, play
-from tests.world import OBJECT, ROOT, ProxyHarness, until
 from threadhill.dns import keys, message
 from threadhill.dns.keys import Refused, State
 from threadhill.dns.message import Record, Response
--- a/tests/test_dns_static.py
+++ b/tests/test_dns_static.py
@@ -19,11 +19,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from tests.harness import ProxyHarness
 from tests.test_dns import NAME, OPERATOR, Resolver, play
 from tests.test_dns_signing import SIGNED, check, key_command, key_set, nsec
 from tests.test_dns_signing import ask as ask_signed
 from tests.test_plans import BASE, read
-from tests.world import ProxyHarness
 from threadhill import zonefile
 from threadhill.documents import Invalid, read_tenant, write_tenant
 
--- a/tests/test_dns_tls.py
+++ b/tests/test_dns_tls.py
@@ -11,8 +11,8 @@
 import pytest
 import trustme
 
+from tests.harness import ProxyHarness, until
 from tests.test_dns import NAME, NOERROR, OPERATOR, Reply, play, query
-from tests.world import ProxyHarness, until
 
 TLS = """
 [dns.tls]
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.world import ROOT, until
+from tests.harness import ROOT, until
 from threadhill.drills.page import page
 from threadhill.drills.scenario import Faulty, Scenario, read
 from threadhill.drills.verdict import back, failures, shares, show
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,9 +15,9 @@
 import pytest
 
 from tests.by_hand import PendingListener, RawClient, build_request, paused, start_shutdown, wait_for_exit
+from tests.harness import SETTINGS, Box, ProxyHarness, until
 from tests.test_proxy import run_scenario
 from tests.upstream_stub import Transport
-from tests.world import SETTINGS, Box, ProxyHarness, until
 from threadhill.core.deadlines import Deadlines
 from threadhill.net.door import AcceptedConnection
 from threadhill.net.resp import bulk
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -11,9 +11,9 @@
 import pytest
 
 from benchmarks.rig import Rig, until
+from tests.harness import ROOT
 from tests.script import MS, ORIGIN, SECOND, Script
 from tests.test_spread import Many
-from tests.world import ROOT
 from threadhill.decision import interface as api
 from threadhill.decision.interface import Outcome
 from threadhill.decision.state import OFF
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -7,7 +7,7 @@
 import sys
 from pathlib import Path
 
-from tests.world import ROOT
+from tests.harness import ROOT
 
 # From the decision module up to the command line. A part may import only itself and those before it.
 LAYERS = (
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.world import ROOT, until
+from tests.harness import ROOT, until
 from threadhill.standin.links import PASS, Change, Relay, Way, play
 from threadhill.standin.swarm import Crowd, JournalService, Swarm, settings_for
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -7,8 +7,8 @@
 import time
 from pathlib import Path
 
+from tests.harness import ProxyHarness, until
 from tests.test_proxy import run_scenario
-from tests.world import ProxyHarness, until
 
 
 def test_calls_that_cannot_be_used_are_refused_with_a_reason_and_change_nothing(tmp_path: Path) -> None:
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.world import ROOT
+from tests.harness import ROOT
 from threadhill.control import progress
 from threadhill.control.membership import ProxyReports
 from threadhill.control.store import StepState
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.world import OBJECT, Box, Journal, ProxyHarness, body_of, open_silent_connections, read_to_end, until
+from tests.harness import OBJECT, Box, Journal, ProxyHarness, body_of, open_silent_connections, read_to_end, until
 
 
 def run_scenario(
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -17,9 +17,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from tests.harness import ROOT, until
 from tests.script import CACHES, MS, SECOND, Script, cache
 from tests.test_links import PROXIES, RATE
-from tests.world import ROOT, until
 from threadhill.control.pace import CatchUpLimiter
 from threadhill.decision import interface as api
 from threadhill.decision.interface import State
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -8,8 +8,8 @@
 from contextlib import suppress
 from pathlib import Path
 
+from tests.harness import ROOT, ProxyHarness, open_silent_connections, until
 from tests.test_proxy import run_scenario
-from tests.world import ROOT, ProxyHarness, open_silent_connections, until
 from threadhill.standin.ask import Client
 from threadhill.standin.swarm import Crowd, Swarm, settings_for
 
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -15,9 +15,9 @@
 
 from benchmarks import storm, storm_ways
 from benchmarks.report import page
+from tests.harness import ROOT, SETTINGS, ProxyHarness, until
 from tests.test_dns import Resolver, play, query
 from tests.test_views import subnet
-from tests.world import ROOT, SETTINGS, ProxyHarness, until
 from threadhill.operators import read_operator
 from threadhill.settings import Malformed
 from threadhill.standin import faults
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -8,7 +8,7 @@
 
 from tests.faults.test_purges import purge
 from tests.faults.world import PURGE_SLACK_MS, FaultWorld, hold, run_scenario, unix_ms
-from tests.world import OBJECT, until
+from tests.harness import OBJECT, until
 from threadhill.core.trace import MAX_ENTRIES, MAX_REPORTED, Step, Trace
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,8 +11,8 @@
 import time
 from pathlib import Path
 
+from tests.harness import ROOT, Client, ProxyHarness, until
 from tests.test_proxy import run_scenario
-from tests.world import ROOT, Client, ProxyHarness, until
 
 
 async def health_status(port: int) -> int:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -8,9 +8,9 @@
 
 import pytest
 
+from tests.harness import SETTINGS, ProxyHarness, until
 from tests.test_deployments import OTHER_SETTINGS
 from tests.test_proxy import run_scenario
-from tests.world import SETTINGS, ProxyHarness, until
 from threadhill.core.clock import Clock
 from threadhill.core.deadlines import Deadlines
 from threadhill.core.ports import AttemptResult, AttemptSpec, ClientRequest
--- a/tests/test_upstream_endings.py
+++ b/tests/test_upstream_endings.py
@@ -13,9 +13,9 @@
 import pytest
 
 from tests.by_hand import PendingListener, RawClient, build_request, changed_profiles
+from tests.harness import OBJECT, SETTINGS, Box, ProxyHarness, until
 from tests.test_proxy import run_scenario
 from tests.upstream_stub import PoolHarness, Transport
-from tests.world import OBJECT, SETTINGS, Box, ProxyHarness, until
 from threadhill.core.ports import AttemptResult
 from threadhill.decision import interface as api
 from threadhill.net.upstream import UpstreamConnection
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -9,8 +9,8 @@
 
 import pytest
 
+from tests.harness import ProxyHarness
 from tests.test_dns import NOERROR, OPERATOR, SERVFAIL, Reply, Resolver, query
-from tests.world import ProxyHarness
 from threadhill.dns.views import View, Views
 
 TABLE = [
--- a/threadhill/admin/management.py
+++ b/threadhill/admin/management.py
@@ -16,7 +16,7 @@
 from typing import Any, Protocol
 
 from threadhill.admin.http import Call, HttpConnection, Problem
-from threadhill.core.figures import format_metrics
+from threadhill.core.metrics import format_metrics
 from threadhill.net.door import Listener
 
 BODY = 4_096  # bytes of a call's body at most
--- a/threadhill/core/clock.py
+++ b/threadhill/core/clock.py
@@ -1,7 +1,7 @@
 """Clocks. This is the only module of a running program that reads the wall clock.
 
 Deadlines, windows and waits are measured in local microseconds, which are monotonic and independent of changes to the
-wall clock. `core.stamps` converts Unix times from other processes into ages.
+wall clock. `core.timestamps` converts Unix times from other processes into ages.
 """
 
 from __future__ import annotations
--- a/threadhill/net/event_applier.py
+++ b/threadhill/net/event_applier.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from threadhill.core.engine import Engine
-from threadhill.core.stamps import StampAges
+from threadhill.core.timestamps import TimestampAges
 from threadhill.decision import interface as api
 from threadhill.net.event_numbers import EventNumbers, last_without_gap
 from threadhill.net.journal_events import SLICE, Event, KnownMembers, Member
@@ -35,7 +35,7 @@
         self.recovery: Recovery | None = None  # set if the operator's file enables it
         self.pos = 0
         self.known_members = KnownMembers()
-        self._stamps = StampAges(engine.clock.now, engine.clock.unix_now)
+        self._stamps = TimestampAges(engine.clock.now, engine.clock.unix_now)
         self._numbers = EventNumbers()
         self._source = EventSource.DISCOVERY  # where the events now applied come from, for the trace
         # Number -> event applied from a configuration and not yet received from the service.
--- a/threadhill/net/upstream_codec.py
+++ b/threadhill/net/upstream_codec.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 
 from threadhill.core.ports import AttemptSpec
-from threadhill.core.stamps import EARLIEST, LATEST
+from threadhill.core.timestamps import MAX_TIMESTAMP, MIN_TIMESTAMP
 from threadhill.decision import interface as api
 
 MAX_LINE = 1_024  # limit of an answer's line, in bytes
 MAX_BODY = 256 << 10  # limit of its body, in bytes; objects have up to 240,000
-BORN_DIGITS = 13  # digits of a Unix time in milliseconds before LATEST
+BORN_DIGITS = 13  # digits of a Unix time in milliseconds before MAX_TIMESTAMP
 MODES = (
     (api.FillMode.JOIN, "collapse"),
     (api.FillMode.CACHED_ONLY, "only-if-cached"),
@@ -76,7 +76,7 @@
     if not (text.isascii() and text.isdigit() and len(text) <= BORN_DIGITS):
         return 0
     born = int(text) * 1_000
-    return born if EARLIEST <= born <= LATEST else 0
+    return born if MIN_TIMESTAMP <= born <= MAX_TIMESTAMP else 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -370,7 +370,7 @@
         return self.front.listener.listening and not self._stopping_since and not blind
 
     def figures(self) -> dict[str, int]:
-        from threadhill.core.figures import operator_metrics
+        from threadhill.core.metrics import operator_metrics
 
         return operator_metrics(
             self.stats, self.config.settings.classes, len(self.engine.requests), *self.engine.rotation_counts()
