--- a/threadhill/core/engine.py
+++ b/threadhill/core/engine.py
@@ -173,7 +173,7 @@
         self.deadlines.cancel(attempt.timer)
         pending = self.requests.get(attempt.request_handle)
         now = self.clock.now()
-        closed = pending is None
+        request_closed = pending is None
         if pending is not None:
             pending.in_flight.remove(handle)
             self.trace.add(
@@ -190,7 +190,7 @@
             ):
                 result = self._reject_purged_copy(pending, attempt, result)
             if result.outcome is api.Outcome.SERVED:
-                closed = True
+                request_closed = True
                 self._finish(
                     attempt.request_handle, Answer(FinalStatus.SERVED, result.body, result.tag, result.not_modified)
                 )
@@ -213,7 +213,7 @@
                 attempt.server,
                 result.outcome,
                 duration,
-                closed,
+                request_closed,
                 result.cache_status,
                 min(result.source_wait, duration),
                 result.load,
@@ -284,16 +284,16 @@
         fleet, now = self.router.fleet, self.clock.now()
         upstream_kinds = (fleet.parent_kind, fleet.origin_kind)
         listed = [entry for entry in self.cordons.entries.values() if entry.kind not in upstream_kinds]
-        out = 0
+        out_of_rotation = 0
         for entry in listed:
             server = fleet.servers.get(entry.server)
-            out += (
+            out_of_rotation += (
                 entry.server in self.cordons.cordoned
                 or entry.state is not api.State.READY
                 or server is None
                 or server.ejected_until > now
             )
-        return len(listed), out
+        return len(listed), out_of_rotation
 
     def hints_received(self, hints: api.Hints) -> None:
         """Hints merged from the reports of all proxies of the location."""
