--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -187,9 +187,9 @@
 
 def test_an_address_can_be_reused_by_a_new_server(tmp_path: Path) -> None:
     async def scenario(w: ProxyHarness) -> None:
-        gone = w.caches[0].member("DELETED")
-        w.journal.hosts(gone)
-        w.journal.hosts(gone | {"id": "s-0000000a", "phase": "SERVING"})
+        removed = w.caches[0].member("DELETED")
+        w.journal.hosts(removed)
+        w.journal.hosts(removed | {"id": "s-0000000a", "phase": "SERVING"})
         await w.wait_for_events()
         client = await w.client()
         for i in range(20):
@@ -454,8 +454,8 @@
     at once if room is needed. A client that has sent a request keeps its connection while there is room."""
 
     async def scenario(w: ProxyHarness) -> None:
-        kept = await w.client()
-        assert (await kept.get())[0] == "200"
+        known = await w.client()
+        assert (await known.get())[0] == "200"
         silent = await open_silent_connections(w.port, 200)
         half = await w.client()
         half.writer.write(b"*5\r\n$3\r\nASK\r\n$1\r\n1\r\n")
@@ -465,7 +465,7 @@
             await read_to_end(reader)
             writer.close()
         await asyncio.wait_for(half.task, 30)
-        assert (await kept.get())[0] == "200" and (await usual[0].get())[0] == "200"
+        assert (await known.get())[0] == "200" and (await usual[0].get())[0] == "200"
 
     run_scenario(tmp_path, scenario, sockets=96)
 
@@ -496,8 +496,8 @@
     async def scenario(w: ProxyHarness) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None if ask["nth"] == "1" else Box.default_answer(ask)
-        owed = [await w.client() for _ in range(48)]
-        for client in owed:
+        busy = [await w.client() for _ in range(48)]
+        for client in busy:
             client.ask("license-buy", n=1, token="t", budget=2_500)
         await until(lambda: w.counter("taken", "license-buy") == 48, "all connections to have an open request")
         late = [await w.client() for _ in range(10)]
--- a/threadhill/operators.py
+++ b/threadhill/operators.py
@@ -88,7 +88,7 @@
     table = optional_table(raw, "knowledge", {"share"})
     enabled = table.get("share", True) if table is not None else False
     if not isinstance(enabled, bool):
-        raise Malformed("knowledge.share: is true or false")
+        raise Malformed("knowledge.share: must be true or false")
     return enabled
 
 
@@ -101,9 +101,9 @@
 
     blind, learn = table.get("blind", Blind.REFUSE.value), table.get("learn", True)
     if blind not in {kind.value for kind in Blind}:
-        raise Malformed(f"recovery.blind: is refuse or serve, not {str(blind)[:20]!r}")
+        raise Malformed(f"recovery.blind: must be refuse or serve, not {str(blind)[:20]!r}")
     if not isinstance(learn, bool):
-        raise Malformed("recovery.learn: is true or false")
+        raise Malformed("recovery.learn: must be true or false")
     times = {}
     for key, default, lower, upper in (("trust_ms", 7_000, 1_500, 600_000), ("every_ms", 5_000, 200, 600_000)):
         times[key] = integer(table[key], f"recovery.{key}") if key in table else default
@@ -128,16 +128,18 @@
     for key in ("retry_budgets", "admission", "comebacks"):
         flags[key] = raw.get(key, True)
         if not isinstance(flags[key], bool):
-            raise Malformed(f"overload.{key}: is true or false")
+            raise Malformed(f"overload.{key}: must be true or false")
     times = {key: integer(raw.get(key), f"overload.{key}") for key in ("horizon_ms", "leave_ms")}
     if not 0 <= times["horizon_ms"] <= 60_000 or not 0 <= times["leave_ms"] <= 2_500:
-        raise Malformed("overload: horizon_ms is from 0 (as far as the site allows) to 60000, leave_ms from 0 to 2500")
+        raise Malformed(
+            "overload: horizon_ms must be from 0 (as far as the site allows) to 60000, leave_ms from 0 to 2500"
+        )
     return OverloadConfig(**flags, horizon=times["horizon_ms"] * 1_000, leave=times["leave_ms"] * 1_000)
 
 
 def _read_admin(raw: dict[str, Any], environ: Mapping[str, str], base: Path) -> AdminConfig:
     if sum(key in raw for key in ("token_file", "token_env", "keys_file")) != 1:
-        raise Malformed("admin: name one of token_file, token_env and keys_file")
+        raise Malformed("admin: exactly one of token_file, token_env and keys_file must be given")
     keys = base / text(raw["keys_file"], "admin.keys_file") if "keys_file" in raw else None
     audit = base / text(raw["audit_file"], "admin.audit_file") if "audit_file" in raw else None
     if keys is not None:
@@ -147,7 +149,7 @@
     else:
         token = environ.get(text(raw["token_env"], "admin.token_env"), "")
     if keys is None and len(token) < 16:
-        raise Malformed("admin: the token has under 16 characters")
+        raise Malformed("admin: the token must have at least 16 characters")
     listen = address(raw.get("listen"), "admin.listen")
     if not listen[0].startswith("127.") and listen[0] != "::1":
         raise Malformed("admin.listen: the API speaks plain HTTP and listens on loopback only")
--- a/threadhill/settings.py
+++ b/threadhill/settings.py
@@ -57,7 +57,7 @@
         or not math.isfinite(value)
         or not 0 <= value <= most
     ):
-        raise Malformed(f"{what} is from 0 to {most:g}, not {str(value)[:20]}")
+        raise Malformed(f"{what} must be from 0 to {most:g}, not {str(value)[:20]}")
     return float(value)
 
 
