--- a/tests/harness.py
+++ b/tests/harness.py
@@ -180,6 +180,7 @@
 
 
 def body_of(ask: dict[str, str]) -> bytes:
+    """The body that a fake server gives for a request."""
     return f"{ask['thing']}/{ask['nth']}".encode()
 
 
@@ -394,6 +395,7 @@
             self.log += line.decode()
 
     async def listening_port(self, name: str) -> int:
+        """The port that the log names for this listener."""
         found = await until(lambda: re.search(rf"^{name}: serving on .*:(\d+)$", self.log, re.M), f"{name} to serve")
         return int(found[1])
 
@@ -403,6 +405,7 @@
         return client
 
     def asked(self) -> list[dict[str, str]]:
+        """The requests that all fake servers received."""
         return [ask for box in self.boxes for ask in box.asked]
 
     async def wait_for_events(self) -> None:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -20,6 +20,8 @@
     make: type[ProxyHarness] = ProxyHarness,
     **more: object,
 ) -> None:
+    """Run a scenario against a proxy of its own."""
+
     async def run() -> None:
         async with make(folder, **more) as harness:
             await scenario(harness)
--- a/threadhill/core/slots.py
+++ b/threadhill/core/slots.py
@@ -21,6 +21,7 @@
         return len(self._entries) - len(self._free)
 
     def add(self, entry: T) -> int:
+        """Store an entry and return its handle."""
         if self._free:
             slot = self._free.pop()
             self._entries[slot] = entry
@@ -31,6 +32,7 @@
         return self._generations[slot] * MAX_SLOTS + slot
 
     def get(self, handle: int) -> T | None:
+        """The entry of a handle; None if the handle is stale."""
         generation, slot = divmod(handle, MAX_SLOTS)
         if slot >= len(self._entries) or self._generations[slot] != generation:
             return None
@@ -47,4 +49,5 @@
         return entry
 
     def live(self) -> list[tuple[int, T]]:
+        """All entries with their handles."""
         return [(self._generations[i] * MAX_SLOTS + i, e) for i, e in enumerate(self._entries) if e is not None]
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -479,6 +479,8 @@
 
 
 def serve(config: Config, operator: OperatorConfig | None) -> None:
+    """Run a proxy until it is told to stop."""
+
     async def main() -> None:
         await Proxy(config, operator).run()
 
--- a/threadhill/stats.py
+++ b/threadhill/stats.py
@@ -12,6 +12,7 @@
         self.counts: Counter[tuple[str, str]] = Counter()
 
     def count(self, name: str, label: str = "", by: int = 1) -> None:
+        """Increase a counter."""
         self.counts[name, label] += by
 
     def table(self) -> dict[str, dict[str, int]]:
