--- a/threadhill/core/ports.py
+++ b/threadhill/core/ports.py
@@ -67,9 +67,8 @@
     mode: api.FillMode = api.FillMode.PLAIN
     keep_rank: int = 0
     at_most_once: bool = False  # it must never run twice, so it is not sent again once it may have run
-    deadline: int = (
-        0  # local time at which `timeout` ends; the time left is computed from it when the request is written
-    )
+    # Local time at which `timeout` ends: the time left is computed from it when the request is written.
+    deadline: int = 0
     start_by: int = 0  # local time from which on the attempt must not be started any more; 0: no limit
 
 
