--- a/threadhill/control/adoption.py
+++ b/threadhill/control/adoption.py
@@ -120,6 +120,6 @@
     def _release(self, pos: int, change: Change) -> None:
         self.ledger.adopt(pos, change)
         self.holdings.clear()
-        self.log("held no more", was=self.reason, pos=pos)
+        self.log("no longer held", was=self.reason, pos=pos)
         self.reason, self.ledger.hold_reason = "", ""
         self.ledger.on_publish()
--- a/threadhill/control/commands.py
+++ b/threadhill/control/commands.py
@@ -238,7 +238,7 @@
 
 def _abandon(api: client.ApiClient, number: int, json: bool) -> None:
     result = api("POST", f"/v1/applies/{number}/abandon", {"who": _who()})
-    _print_json(result) if json else _print(f"Apply {number} is abandoned; `threadhill show` prints what stands.")
+    _print_json(result) if json else _print(f"Apply {number} is abandoned; `threadhill show` prints the current state.")
 
 
 def _print_progress() -> client.ProgressCallback:
--- a/threadhill/control/council.py
+++ b/threadhill/control/council.py
@@ -253,18 +253,16 @@
                 try:
                     async with asyncio.timeout(1.0):
                         await self._post(owner["api"], b"[" + b",".join(batch) + b"]")
-                except (
-                    Exception
-                ) as error:  # of any kind: the next reports come within a second, and the loop must go on
+                except Exception as error:  # of any kind: the loop must go on, and new reports come every second
                     self.log("reports not relayed", to=owner["api"], error=repr(error))
                     self._disconnect()
 
-    async def _post(self, where: str, body: bytes) -> None:
+    async def _post(self, owner_address: str, body: bytes) -> None:
         """Send reports to the owner's API, over one connection while it lasts."""
-        if self._writer is None or self._relay_address != where:
+        if self._writer is None or self._relay_address != owner_address:
             self._disconnect()
-            self._reader, self._writer = await asyncio.open_connection(*address(where, "api"))
-            self._relay_address = where
+            self._reader, self._writer = await asyncio.open_connection(*address(owner_address, "api"))
+            self._relay_address = owner_address
         self._writer.write(
             b"POST /v1/reports HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n"
             b"\r\n%s" % (self.token.encode(), len(body), body)
--- a/threadhill/control/ledger.py
+++ b/threadhill/control/ledger.py
@@ -129,7 +129,7 @@
     def _require_not_held(self) -> None:
         if self.hold_reason:
             raise Refused(
-                "held", f"nothing is changed or told: {self.hold_reason}; look at `threadhill recovery status`"
+                "held", f"nothing is changed or published: {self.hold_reason}; see `threadhill recovery status`"
             )
 
     def tick(self, now: int) -> list[tuple[Record, str]]:
--- a/threadhill/control/progress.py
+++ b/threadhill/control/progress.py
@@ -64,7 +64,7 @@
         return Phase.WARM, note
     due = record.at + attrs.get("drain_ms", 0) + options.settle_ms(attrs) if attrs else record.at
     if now < due:
-        return None, f"requests in progress to end, {(due - now) / 1e3:.1f} s at most"
+        return None, f"open requests to end, {(due - now) / 1e3:.1f} s at most"
     return Phase.DRAINED, note
 
 
