--- a/benchmarks/owner_model.py
+++ b/benchmarks/owner_model.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from threadhill.ownership.tenure import LeaseState, NextCommand, Timing
-from threadhill.ownership.terms import Register
+from threadhill.ownership.lease import LeaseState, NextCommand, Timing
+from threadhill.ownership.register import Register
 
 NAMES = ("a", "b", "c")
 RATES = (1.0, 1.02, 0.98)  # how fast each one's clock runs
--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from tests.by_hand import PendingListener
 from tests.faults.world import FaultWorld, run_scenario
+from tests.raw_client import PendingListener
 from tests.world import OBJECT, SETTINGS, Box, Journal, until
 
 OWN_SHORTAGE = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
--- a/tests/faults/test_purges.py
+++ b/tests/faults/test_purges.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from tests.by_hand import paused
 from tests.faults.world import PURGE_SLACK_MS, FaultWorld, hold, run_scenario, unix_ms
+from tests.raw_client import paused
 from tests.world import OBJECT, until
 
 STEPS = [-3600.0, -5.0, -0.6, 0.0, 0.6, 5.0, 3600.0]  # seconds by which the wall clock is off
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.by_hand import PendingListener, RawClient, build_request, paused, start_shutdown, wait_for_exit
+from tests.raw_client import PendingListener, RawClient, build_request, paused, start_shutdown, wait_for_exit
 from tests.test_proxy import run_scenario
 from tests.upstream_stub import Transport
 from tests.world import SETTINGS, Box, ProxyHarness, until
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -26,9 +26,9 @@
 from threadhill.control.members_file import read
 from threadhill.control.store import Apply, Change, StepState, Version
 from threadhill.ownership.feeds import Feeds, Fence
-from threadhill.ownership.tenure import LeaseState, NextCommand, Timing
-from threadhill.ownership.terms import Register
-from threadhill.ownership.works import list_tasks, snapshot_member
+from threadhill.ownership.lease import LeaseState, NextCommand, Timing
+from threadhill.ownership.register import Register
+from threadhill.ownership.tasks import list_tasks, snapshot_member
 from threadhill.plans.rules import Phase, Record
 from threadhill.recovery import saved
 from threadhill.recovery.numbers import Memory
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -13,7 +13,7 @@
 
 from tests.world import ROOT
 from threadhill.control import progress
-from threadhill.control.membership import ProxyReports
+from threadhill.control.proxy_reports import ProxyReports
 from threadhill.control.store import StepState
 from threadhill.decision import interface as api
 from threadhill.plans import configuration, fmt, forecast, options, planner, rules, saved, syntax
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -20,7 +20,7 @@
 from tests.script import CACHES, MS, SECOND, Script, cache
 from tests.test_links import PROXIES, RATE
 from tests.world import ROOT, until
-from threadhill.control.pace import CatchUpLimiter
+from threadhill.control.catch_up import CatchUpLimiter
 from threadhill.decision import interface as api
 from threadhill.decision.interface import State
 from threadhill.recovery import adopt, learned, saved
--- a/tests/test_upstream_endings.py
+++ b/tests/test_upstream_endings.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.by_hand import PendingListener, RawClient, build_request, changed_profiles
+from tests.raw_client import PendingListener, RawClient, build_request, changed_profiles
 from tests.test_proxy import run_scenario
 from tests.upstream_stub import PoolHarness, Transport
 from tests.world import OBJECT, SETTINGS, Box, ProxyHarness, until
--- a/threadhill/control/agreed.py
+++ b/threadhill/control/agreed.py
@@ -1,7 +1,7 @@
 """Replicated state: one member's end of the Raft group, and the `Store` on top of it.
 
 pysyncobj implements Raft: it delivers commands to all members in one order, keeps them in a log on each member's disk,
-and elects the leader that orders them. ownership/terms.py decides what a command does; the result is written to this
+and elects the leader that orders them. ownership/register.py decides what a command does; the result is written to this
 member's own SQLite file, which the ledger reads. Commands are JSON. pysyncobj pickles its own messages, so it encrypts
 them with the installation's secret: nothing that arrives without it is unpickled (docs/ownership.md).
 
@@ -28,7 +28,7 @@
 
 from threadhill.control.sqlite import STORE_FILE, SqliteStore
 from threadhill.control.store import Apply, Change, StepState, Version, WriteFailed
-from threadhill.ownership.terms import CommandOutcome, Register
+from threadhill.ownership.register import CommandOutcome, Register
 from threadhill.plans.rules import Phase, Record
 
 COMMIT_TIMEOUT = (
--- a/threadhill/control/api.py
+++ b/threadhill/control/api.py
@@ -34,7 +34,7 @@
 from threadhill.stats import Stats
 
 if TYPE_CHECKING:
-    from threadhill.control.council import Cluster
+    from threadhill.control.cluster import Cluster
 
 PAGE_SIZE = 50
 OWNER_ONLY = (["observed"], ["recovery"], ["works"])  # paths that only the owner can answer
--- a/threadhill/control/council.py
+++ b/threadhill/control/cluster.py
@@ -21,8 +21,8 @@
 from threadhill.control.members_file import MembersFile
 from threadhill.control.store import Change, WriteFailed
 from threadhill.core.clock import unix_now
-from threadhill.ownership.tenure import LeaseState, NextCommand
-from threadhill.ownership.terms import CommandOutcome, Register
+from threadhill.ownership.lease import LeaseState, NextCommand
+from threadhill.ownership.register import CommandOutcome, Register
 from threadhill.settings import address
 
 TICK = 0.05  # seconds between checks of the lease
--- a/threadhill/control/feed.py
+++ b/threadhill/control/feed.py
@@ -1,7 +1,7 @@
 """The feed: the journal service of PROTOCOL. After `tail N` a proxy gets every later event, and the last number each
 second.
 
-An extension of PROTOCOL: a proxy may send reports on the same connection, one JSON object a line (membership.py).
+An extension of PROTOCOL: a proxy may send reports on the same connection, one JSON object a line (proxy_reports.py).
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 import orjson
 
 from threadhill.control.adoption import AdoptionHold
+from threadhill.control.catch_up import CatchUpLimiter
 from threadhill.control.ledger import Ledger
-from threadhill.control.pace import CatchUpLimiter
 from threadhill.net.door import AcceptedConnection, Listener
 from threadhill.settings import Malformed
 
 if TYPE_CHECKING:
-    from threadhill.control.council import Cluster
+    from threadhill.control.cluster import Cluster
 
 MAX_LINE = 64 << 10  # bytes of a line that a proxy sends: a report names some hundred servers
 MAX_OUTBOUND = 8 << 20  # bytes buffered for a proxy: the whole list of a large installation fits
--- a/threadhill/control/ledger.py
+++ b/threadhill/control/ledger.py
@@ -16,7 +16,7 @@
 import orjson
 
 from threadhill.control import progress
-from threadhill.control.membership import ProxyReports
+from threadhill.control.proxy_reports import ProxyReports
 from threadhill.control.store import Apply, Change, StepState, Store, Version
 from threadhill.plans import options, planner, rules, saved
 from threadhill.plans.planner import Observed, Step
--- a/threadhill/control/members_file.py
+++ b/threadhill/control/members_file.py
@@ -10,8 +10,8 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
 from threadhill.files import check_private
-from threadhill.ownership.tenure import Timing
-from threadhill.ownership.terms import MAX_MEMBERS
+from threadhill.ownership.lease import Timing
+from threadhill.ownership.register import MAX_MEMBERS
 from threadhill.settings import Malformed, address
 
 MIN_SECRET_LENGTH = 32
--- a/threadhill/control/progress.py
+++ b/threadhill/control/progress.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from threadhill.control.membership import ProxyReports
+from threadhill.control.proxy_reports import ProxyReports
 from threadhill.control.store import StepState
 from threadhill.plans import options, planner
 from threadhill.plans.planner import Step
--- a/threadhill/control/server.py
+++ b/threadhill/control/server.py
@@ -28,12 +28,12 @@
 from threadhill.log import Log
 from threadhill.net.door import AcceptedConnection, Listener
 from threadhill.net.turns import LoopRuntime
-from threadhill.ownership.works import SNAPSHOT_INTERVAL_MS, list_tasks, snapshot_member
+from threadhill.ownership.tasks import SNAPSHOT_INTERVAL_MS, list_tasks, snapshot_member
 from threadhill.plans.rules import Phase
 from threadhill.recovery.phases import FleetPhases
 
 if TYPE_CHECKING:  # imported only by a control plane with members, since pysyncobj is slow to load
-    from threadhill.control.council import Cluster
+    from threadhill.control.cluster import Cluster
     from threadhill.control.members_file import MembersFile
 
 TICK_INTERVAL = 100_000  # microseconds between checks of what time and reports have confirmed
@@ -80,7 +80,7 @@
         self.cluster: Cluster | None = None
         if config.members is not None:
             from threadhill.control.agreed import ReplicatedStore
-            from threadhill.control.council import Cluster
+            from threadhill.control.cluster import Cluster
 
             self.cluster = Cluster(config.data, *config.members, config.member, config.token, log.warning)
             self.store: Store = ReplicatedStore(self.cluster.consensus, self.cluster.owned_term)
--- a/threadhill/ownership/tenure.py
+++ b/threadhill/ownership/lease.py
@@ -2,7 +2,7 @@
 
 An owner counts its lease from before it sent the renewal, and the others count from when they saw it committed. So the
 owner's lease ends first, as long as clock rates differ by no more than `drift`. Leases are not the only protection:
-each write is checked again when it is committed (terms.py). Times are in seconds.
+each write is checked again when it is committed (register.py). Times are in seconds.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from threadhill.ownership.terms import Register
+from threadhill.ownership.register import Register
 
 
 @dataclass(frozen=True, slots=True)
