--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -171,7 +171,7 @@
     learned.prime(fresh.router, known, 0, fresh.now)
     fresh.wait(SECOND)
     sent = [fresh.serve("o1") for _ in range(20)]
-    assert all(s.server != home and s.source != home and 0 < s.age <= SECOND for s in sent)
+    assert all(s.server != home and s.source != home and 0 < s.max_age <= SECOND for s in sent)
     cold = Script()
     cold.list([cache(home, reported_start=cold.now)])
     learned.prime(cold.router, known, 0, cold.now)
