--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from tests.by_hand import PendingListener
 from tests.faults.world import FaultWorld, run_scenario
 from tests.harness import OBJECT, SETTINGS, Box, Journal, until
+from tests.raw_client import PendingListener
 
 OWN_SHORTAGE = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 ACCEPT_ERRORS = [
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from tests.by_hand import PendingListener, RawClient, build_request, paused, start_shutdown, wait_for_exit
 from tests.harness import SETTINGS, Box, ProxyHarness, until
+from tests.raw_client import PendingListener, RawClient, build_request, paused, start_shutdown, wait_for_exit
 from tests.test_proxy import run_scenario
 from tests.upstream_stub import Transport
 from threadhill.core.deadlines import Deadlines
--- a/tests/test_upstream_endings.py
+++ b/tests/test_upstream_endings.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from tests.by_hand import PendingListener, RawClient, build_request, changed_profiles
 from tests.harness import OBJECT, SETTINGS, Box, ProxyHarness, until
+from tests.raw_client import PendingListener, RawClient, build_request, changed_profiles
 from tests.test_proxy import run_scenario
 from tests.upstream_stub import PoolHarness, Transport
 from threadhill.core.ports import AttemptResult
--- a/threadhill/control/progress.py
+++ b/threadhill/control/progress.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from threadhill.control.membership import ProxyReports
+from threadhill.control.proxy_reports import ProxyReports
 from threadhill.control.store import StepState
 from threadhill.plans import options, planner
 from threadhill.plans.planner import Step
@@ -64,7 +64,7 @@
         return Phase.WARM, note
     due = record.at + attrs.get("drain_ms", 0) + options.settle_ms(attrs) if attrs else record.at
     if now < due:
-        return None, f"requests in progress to end, {(due - now) / 1e3:.1f} s at most"
+        return None, f"open requests to end, {(due - now) / 1e3:.1f} s at most"
     return Phase.DRAINED, note
 
 
