--- a/tests/faults/test_beyond.py
+++ b/tests/faults/test_beyond.py
@@ -23,7 +23,9 @@
 
 
 @pytest.mark.parametrize("gap_s", [0.0, 0.05, 0.3])
-def test_reloads_in_a_row_end_with_the_last_ones_discovery_and_miss_nothing(tmp_path: Path, gap_s: float) -> None:
+def test_after_reloads_in_a_row_the_last_discovery_is_followed_and_nothing_is_missed(
+    tmp_path: Path, gap_s: float
+) -> None:
     async def scene(w: FaultWorld) -> None:
         services = [Journal() for _ in range(5)]
         for service in services:
@@ -72,7 +74,9 @@
 
 
 @pytest.mark.parametrize("deadline_ms", [300, 3_000, 8_000])
-def test_all_is_answered_though_servers_hang_through_the_whole_of_a_shutdown(tmp_path: Path, deadline_ms: int) -> None:
+def test_all_requests_are_answered_though_servers_hang_during_the_whole_shutdown(
+    tmp_path: Path, deadline_ms: int
+) -> None:
     """And the process exits before a SIGKILL may follow, 0.7 s after the longest deadline (3 s at most)."""
 
     async def scene(w: FaultWorld) -> None:
@@ -101,7 +105,7 @@
     run_scenario(tmp_path, scene, settings={"profiles": classes})
 
 
-def test_discovery_that_is_slow_and_crowded_is_followed_all_the_same(tmp_path: Path) -> None:
+def test_slow_and_overloaded_discovery_is_still_followed(tmp_path: Path) -> None:
     """It resets some connections and stays silent on others for a while; none of its later events is missed."""
 
     class Crowded(Journal):
@@ -134,7 +138,7 @@
     run_scenario(tmp_path, scene)
 
 
-def test_thirty_seconds_without_discovery_cost_no_service_and_end_with_all_that_was_missed(tmp_path: Path) -> None:
+def test_an_outage_of_discovery_interrupts_no_service_and_missed_events_are_applied_after_it(tmp_path: Path) -> None:
     """Ten seconds here: a longer outage only changes the delay between connection attempts, which is bounded."""
 
     async def scene(w: FaultWorld) -> None:
@@ -173,7 +177,7 @@
     return script
 
 
-def test_a_server_that_hangs_after_a_quiet_time_is_avoided_as_soon_as_any_other_time() -> None:
+def test_a_server_that_hangs_after_an_idle_period_is_avoided_as_soon_as_any_other_time() -> None:
     script = after_idle_period(Script())
     home = script.serve("a").server
     sent = []
@@ -187,7 +191,7 @@
     assert late and late[0].server != home
 
 
-def test_a_cold_server_after_a_quiet_time_gets_no_more_than_at_any_other_time() -> None:
+def test_a_cold_server_after_an_idle_period_gets_no_more_than_at_any_other_time() -> None:
     """Guards against credit that accumulates during an idle period."""
     shares = []
     for prepare in (lambda script: script, after_idle_period):
@@ -201,7 +205,7 @@
     assert shares[1] <= shares[0] * 1.5 + 3
 
 
-def test_purges_and_drains_after_a_quiet_time_hold_at_once() -> None:
+def test_purges_and_drains_after_an_idle_period_hold_at_once() -> None:
     script = after_idle_period(Script())
     script.handle(api.Purge("a", None, 100 * MS))
     script.list([cache(11, state=api.State.DRAINING)])
--- a/tests/faults/test_calls.py
+++ b/tests/faults/test_calls.py
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize(
     "error", [errno.EMFILE, errno.ENFILE, errno.ECONNABORTED, errno.EPROTO], ids=lambda error: errno.errorcode[error]
 )
-def test_who_waits_in_the_queue_is_answered_though_accept_fails_as_the_door_shuts(tmp_path: Path, error: int) -> None:
+def test_queued_connections_are_answered_though_accept_fails_as_the_listener_closes(tmp_path: Path, error: int) -> None:
     """The kernel has completed their handshakes, so their requests count as taken. The calls fail until the listener is
     being closed."""
 
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("call", ["socket", "connect"])
-def test_a_start_waits_for_a_machine_that_is_short_of_something(tmp_path: Path, call: str) -> None:
+def test_a_start_waits_for_a_shortage_of_resources_to_pass(tmp_path: Path, call: str) -> None:
     async def scene(w: FaultWorld) -> None:
         w.switches.fail(call, errno.ENFILE, 6)
         await w.restart()
@@ -138,7 +138,7 @@
     run_scenario(tmp_path, scene)
 
 
-def test_max_is_what_the_client_has_left_when_the_request_is_written(tmp_path: Path) -> None:
+def test_max_is_the_time_left_to_the_client_when_the_request_is_written(tmp_path: Path) -> None:
     """Time that the request has waited is deducted: here for a slow dial."""
 
     async def scene(w: FaultWorld) -> None:
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.EIO, errno.ENFILE], ids=lambda error: errno.errorcode[error])
-def test_a_new_configuration_is_taken_though_its_file_cannot_be_read_at_first(tmp_path: Path, error: int) -> None:
+def test_a_new_configuration_is_loaded_though_its_file_cannot_be_read_at_first(tmp_path: Path, error: int) -> None:
     """Guards against a proxy that keeps following a discovery service which sends no more events."""
 
     async def scene(w: FaultWorld) -> None:
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.EMFILE], ids=lambda error: errno.errorcode[error])
-def test_time_in_the_listeners_queue_is_not_the_servers(tmp_path: Path, error: int) -> None:
+def test_time_in_the_accept_queue_is_deducted_from_max(tmp_path: Path, error: int) -> None:
     """Guards against sending a server the client's whole budget after the request waited while accept failed."""
 
     async def scene(w: FaultWorld) -> None:
--- a/tests/faults/test_control_clock.py
+++ b/tests/faults/test_control_clock.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR_NS, HOUR_NS])
-def test_time_goes_on_after_a_restart_with_the_wall_clock_stepped(
+def test_time_continues_after_a_restart_with_the_wall_clock_stepped(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: int
 ) -> None:
     """Guards against a drain that counts as finished, or a server as warm, because the clock was set ahead."""
@@ -31,7 +31,7 @@
     assert 0 <= second.now() - before < 1_000_000
 
 
-def test_after_a_restart_of_the_machine_the_wall_clock_is_taken_anew(tmp_path: Path) -> None:
+def test_after_a_reboot_time_starts_from_the_wall_clock(tmp_path: Path) -> None:
     continued_clock(tmp_path, print, boot(tmp_path, "a"))
     (tmp_path / CLOCK_FILE).write_text((tmp_path / CLOCK_FILE).read_text().replace('"anchor":', '"anchor":9'))
     again = continued_clock(tmp_path, print, boot(tmp_path, "b"))
@@ -39,14 +39,14 @@
 
 
 @pytest.mark.parametrize("content", [b"", b"{", b"[]", b'{"boot":1}', b'{"boot":"a","anchor":"x"}', b"\xff\xfe"])
-def test_a_file_that_cannot_be_read_is_said_and_costs_nothing_else(tmp_path: Path, content: bytes) -> None:
+def test_a_file_that_cannot_be_read_is_logged_and_has_no_other_effect(tmp_path: Path, content: bytes) -> None:
     (tmp_path / CLOCK_FILE).write_bytes(content)
     lines: list[str] = []
     clock = continued_clock(tmp_path, lines.append, boot(tmp_path, "a"))
     assert "cannot be read" in lines[0] and abs(clock.now() - time.time_ns() // 1_000) < 1_000_000
 
 
-def test_a_folder_that_cannot_be_written_is_said_and_costs_nothing_else(tmp_path: Path) -> None:
+def test_a_folder_that_cannot_be_written_is_logged_and_has_no_other_effect(tmp_path: Path) -> None:
     lines: list[str] = []
     clock = continued_clock(tmp_path / "not there", lines.append, boot(tmp_path, "a"))
     assert "not written" in lines[0] and abs(clock.now() - time.time_ns() // 1_000) < 1_000_000
--- a/tests/faults/test_cordons.py
+++ b/tests/faults/test_cordons.py
@@ -35,7 +35,7 @@
     run_scenario(tmp_path, scene, management=True)
 
 
-def test_one_put_back_is_cold_for_another_process_whose_clock_is_an_hour_ahead(tmp_path: Path) -> None:
+def test_an_uncordoned_server_is_cold_for_another_process_whose_clock_is_an_hour_ahead(tmp_path: Path) -> None:
     async def scene(w: FaultWorld) -> None:
         body = json.dumps({"name": w.caches[1].name}).encode()
         assert (await w.call("POST", "/admin/cordon", body))[0] == 200
--- a/tests/faults/test_discovery.py
+++ b/tests/faults/test_discovery.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("stamp", [-1, 0, 2**63, 10**30, 1.5, "soon", None, True, 999])
-def test_a_purge_with_a_stamp_that_is_no_time_counts_from_now_and_nothing_else_is_lost(
+def test_a_purge_with_an_invalid_stamp_counts_as_issued_now_and_nothing_else_is_lost(
     tmp_path: Path, stamp: Any
 ) -> None:
     async def scene(w: FaultWorld) -> None:
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("start", [-5, 2**63, "soon", 1.5, 3])
-def test_a_start_that_is_no_time_is_taken_for_one_of_now(tmp_path: Path, start: Any) -> None:
+def test_a_server_with_an_invalid_start_time_counts_as_just_started(tmp_path: Path, start: Any) -> None:
     async def scene(w: FaultWorld) -> None:
         w.caches[1].up_since = start
         w.journal.hosts(w.caches[1].member())
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("step", [-3600.0, 3600.0])
-def test_a_server_that_warms_up_is_taken_for_cold_with_the_clock_stepped(tmp_path: Path, step: float) -> None:
+def test_a_server_that_warms_up_counts_as_cold_with_the_clock_stepped(tmp_path: Path, step: float) -> None:
     """Guards against a wall clock that is ahead: the server would be treated as up for long."""
 
     async def scene(w: FaultWorld) -> None:
@@ -65,7 +65,7 @@
     run_scenario(tmp_path, scene)
 
 
-def test_purges_missed_while_discovery_is_down_bind_once_they_count_as_told(tmp_path: Path) -> None:
+def test_purges_missed_while_discovery_is_down_take_effect_once_they_count_as_delivered(tmp_path: Path) -> None:
     """Even if servers keep old copies for longer. When discovery is back, copies of any age may be served."""
 
     async def scene(w: FaultWorld) -> None:
@@ -87,7 +87,7 @@
     run_scenario(tmp_path, scene, settings={"extra": SETTINGS["extra"] | {"purge-takes": 60_000_000}})
 
 
-def test_after_a_gap_in_the_numbers_no_copy_from_before_it_will_do(tmp_path: Path) -> None:
+def test_after_a_gap_in_the_numbers_no_older_copy_is_served(tmp_path: Path) -> None:
     """The service does not send the missing events when asked again: any object may have been purged."""
 
     async def scene(w: FaultWorld) -> None:
@@ -125,7 +125,7 @@
     run_scenario(tmp_path, scene)
 
 
-def test_deadlines_are_spans_of_real_time_however_the_clock_is_stepped(tmp_path: Path) -> None:
+def test_deadlines_do_not_depend_on_the_wall_clock(tmp_path: Path) -> None:
     async def scene(w: FaultWorld) -> None:
         for box in w.boxes:
             box.behave = lambda ask: None
--- a/tests/faults/test_purge_numbers.py
+++ b/tests/faults/test_purge_numbers.py
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize("missed", [1, 2])
 @pytest.mark.parametrize("form", list(Heartbeat))
 @pytest.mark.parametrize("connection", ["after a silence", "after a restart"])
-def test_a_heartbeat_ahead_of_its_events_does_not_stand_for_them(
+def test_a_heartbeat_does_not_replace_the_events_it_announces(
     tmp_path: Path, connection: str, form: Heartbeat, missed: int
 ) -> None:
     async def scene(w: FaultWorld) -> None:
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("form", list(Heartbeat))
-def test_events_that_are_announced_and_do_not_come_may_be_purges(tmp_path: Path, form: Heartbeat) -> None:
+def test_announced_events_that_do_not_arrive_may_be_purges(tmp_path: Path, form: Heartbeat) -> None:
     async def scene(w: FaultWorld) -> None:
         hold(w.boxes, unix_ms() - 400)
         w.journal.heartbeat, w.journal.withheld = form, 2
@@ -103,7 +103,7 @@
     run_scenario(tmp_path, scene)
 
 
-def test_a_new_connection_on_which_nothing_comes_may_hold_purges_back(tmp_path: Path) -> None:
+def test_purges_may_be_missing_while_a_new_connection_is_silent(tmp_path: Path) -> None:
     """Discovery counts events as delivered once they are requested again. Here it accepts the connection, but sends
     nothing for longer than the time until a purge must be in effect."""
 
@@ -124,7 +124,7 @@
     run_scenario(tmp_path, scene)
 
 
-def test_a_number_of_a_configuration_read_again_hides_no_event_of_discovery(tmp_path: Path) -> None:
+def test_a_number_in_a_reloaded_configuration_hides_no_event_of_discovery(tmp_path: Path) -> None:
     """The file gives number 2 to the purge of a group, and discovery to that of the object."""
 
     async def scene(w: FaultWorld) -> None:
@@ -140,7 +140,7 @@
     run_scenario(tmp_path, scene)
 
 
-def test_a_drain_under_a_number_that_a_configuration_gave_to_another_event_is_heard(tmp_path: Path) -> None:
+def test_a_drain_with_a_number_that_a_configuration_gave_to_another_event_is_applied(tmp_path: Path) -> None:
     async def scene(w: FaultWorld) -> None:
         other = {"pos": 2, "expire": {"set": 99, "stamp": unix_ms()}}
         await reload(w, known={"pos": 2, "entries": [w.journal.events[0], other]})
@@ -155,7 +155,7 @@
     run_scenario(tmp_path, scene)
 
 
-def test_a_purge_of_a_configuration_read_again_binds_whatever_its_number(tmp_path: Path) -> None:
+def test_a_purge_in_a_reloaded_configuration_takes_effect_whatever_its_number(tmp_path: Path) -> None:
     async def scene(w: FaultWorld) -> None:
         hold(w.boxes, unix_ms() - 400)
         w.journal.add({"expire": {"set": 99, "stamp": unix_ms()}})
@@ -168,7 +168,7 @@
     run_scenario(tmp_path, scene)
 
 
-def test_what_a_configuration_and_discovery_tell_alike_is_applied_once(tmp_path: Path) -> None:
+def test_an_event_from_both_configuration_and_discovery_is_applied_once(tmp_path: Path) -> None:
     async def scene(w: FaultWorld) -> None:
         w.journal.silent = True
         w.journal.hosts(w.caches[0].member("DRAINING"))
@@ -186,7 +186,7 @@
     run_scenario(tmp_path, scene)
 
 
-def test_a_last_number_whose_events_a_configuration_does_not_hold_is_asked_for(tmp_path: Path) -> None:
+def test_events_that_a_configuration_counts_but_does_not_hold_are_requested(tmp_path: Path) -> None:
     async def scene(w: FaultWorld) -> None:
         hold(w.boxes, unix_ms() - 400)
         stamp = unix_ms()
--- a/tests/faults/test_purged_copies.py
+++ b/tests/faults/test_purged_copies.py
@@ -57,7 +57,7 @@
     "first, second",
     [({"name": OBJECT}, {"name": OBJECT}), ({"set": GROUP}, {"set": GROUP}), ({"name": OBJECT}, {"set": GROUP})],
 )
-def test_a_second_purge_while_an_answer_is_out_does_not_hide_the_first(
+def test_a_second_purge_while_an_answer_is_pending_does_not_hide_the_first(
     tmp_path: Path, first: dict[str, object], second: dict[str, object], restarted: bool
 ) -> None:
     async def scene(w: FaultWorld) -> None:
@@ -80,7 +80,7 @@
     run_scenario(tmp_path, scene)
 
 
-def test_what_was_asked_for_before_a_purge_is_still_passed_on(tmp_path: Path) -> None:
+def test_an_answer_requested_before_a_purge_is_still_forwarded(tmp_path: Path) -> None:
     async def scene(w: FaultWorld) -> None:
         fill = RunningFill(w)
         client = await w.client()
@@ -93,7 +93,7 @@
     run_scenario(tmp_path, scene)
 
 
-def test_a_purge_is_not_forgotten_while_an_answer_is_out(tmp_path: Path) -> None:
+def test_a_purge_is_not_forgotten_while_an_answer_is_pending(tmp_path: Path) -> None:
     async def scene(w: FaultWorld) -> None:
         fill = RunningFill(w)
         born = unix_ms() - 400
@@ -111,7 +111,7 @@
     run_scenario(tmp_path, scene, settings=SHORT_PURGE_TIME)
 
 
-def test_a_copy_that_outlived_the_time_in_which_servers_drop_it_is_not_passed_on(tmp_path: Path) -> None:
+def test_a_copy_kept_longer_than_servers_should_after_a_purge_is_not_forwarded(tmp_path: Path) -> None:
     async def scene(w: FaultWorld) -> None:
         hold(w.caches, unix_ms() - 400, obeys=False)
         stamp = await purge(w)
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("born", ["", ",born=", ",born=-5", ",born=1e12", ",born=soon", ",born=3", f",born={10**14}"])
-def test_a_copy_of_which_no_birth_is_told_will_not_do_after_a_purge(tmp_path: Path, born: str) -> None:
+def test_a_copy_without_a_valid_creation_time_is_not_served_after_a_purge(tmp_path: Path, born: str) -> None:
     async def scene(w: FaultWorld) -> None:
         for box in w.caches:
             box.behave = lambda ask: ("ok", f"ver=old{born}", b"old" + body_of(ask))
@@ -150,7 +150,7 @@
     run_scenario(tmp_path, scene)
 
 
-def test_a_request_whose_answer_was_turned_down_joins_no_further_fill(tmp_path: Path) -> None:
+def test_a_request_whose_answer_was_rejected_joins_no_further_fill(tmp_path: Path) -> None:
     """Otherwise it would get the same copy again, until its attempts are used up."""
 
     async def scene(w: FaultWorld) -> None:
@@ -167,7 +167,7 @@
     run_scenario(tmp_path, scene)
 
 
-def test_a_purge_that_waited_while_the_process_stood_still_counts_from_before(tmp_path: Path) -> None:
+def test_a_purge_that_waited_while_the_process_was_stopped_counts_from_before(tmp_path: Path) -> None:
     """An attempt decided before a delay of the process and sent after it may have left after the purge had to be in
     effect: the purge counts as known for as long as it may have waited unread."""
     freshness = Freshness(6 * SECOND)
--- a/tests/faults/test_purges.py
+++ b/tests/faults/test_purges.py
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_purges_that_a_restart_is_told_hold_with_the_clock_stepped(tmp_path: Path, step: float) -> None:
+def test_purges_in_the_configuration_of_a_restart_hold_with_the_clock_stepped(tmp_path: Path, step: float) -> None:
     """The configuration has the purges of the last seconds, each with its own age, the newest last."""
 
     async def scene(w: FaultWorld) -> None:
@@ -78,7 +78,7 @@
     run_scenario(tmp_path, scene)
 
 
-def test_a_server_that_gives_a_purged_copy_all_the_same_is_not_passed_on(tmp_path: Path) -> None:
+def test_a_purged_copy_that_a_server_still_sends_is_not_forwarded(tmp_path: Path) -> None:
     """The second check: each answer tells when its copy was made, and copies older than a purge known when they were
     requested are rejected."""
 
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("what", ["purge", "drain"])
-def test_what_was_told_while_the_process_stood_still_comes_before_what_was_asked(tmp_path: Path, what: str) -> None:
+def test_events_received_while_the_process_was_stopped_are_applied_before_requests(tmp_path: Path, what: str) -> None:
     """After a CPU shortage or a pause, requests and journal events arrive all at once. Whichever socket is reported
     first, requests must be decided with the events applied; and the time they waited is not granted to the server."""
 
--- a/tests/faults/test_stamps.py
+++ b/tests/faults/test_stamps.py
@@ -34,7 +34,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(st.tuples(waits, delays, steps), min_size=1, max_size=12), waits)
-def test_no_age_is_above_the_true_one_however_the_wall_clock_is_stepped(
+def test_no_age_exceeds_the_true_one_however_the_wall_clock_is_stepped(
     events: list[tuple[int, int, int]], later: int
 ) -> None:
     clocks = Clocks()
@@ -52,7 +52,9 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(waits, delays), min_size=1, max_size=12))
-def test_with_a_true_wall_clock_an_age_is_short_by_the_least_delay_at_most(events: list[tuple[int, int]]) -> None:
+def test_with_a_correct_wall_clock_an_age_is_too_low_by_the_shortest_delay_at_most(
+    events: list[tuple[int, int]],
+) -> None:
     """The cost of this choice: copies from that span are not used although they could be."""
     clocks = Clocks()
     ages = clocks.ages()
@@ -63,8 +65,8 @@
     assert ages.age(clocks.true - 10 * SECOND) >= 10 * SECOND - least
 
 
-@given(st.integers().filter(lambda stamp: not MIN_TIMESTAMP <= stamp <= MAX_TIMESTAMP) | st.just(2**63 * 1_000))
-def test_a_stamp_that_is_no_time_is_taken_for_one_of_now_and_proves_nothing(stamp: int) -> None:
+@given(st.integers().filter(lambda stamp: not EARLIEST <= stamp <= LATEST) | st.just(2**63 * 1_000))
+def test_an_invalid_stamp_has_age_zero_and_does_not_affect_others(stamp: int) -> None:
     clocks = Clocks()
     ages = clocks.ages()
     ages.observe(clocks.true)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -318,9 +318,8 @@
         await until(lambda: w.counter("sent", "clip-parts") == 1)
         idle = await RawClient.connect(w)
         await idle.send(bulk(b"STATUS", b"1"), late[:30])
-        await (
-            idle.read_to_end()
-        )  # closed, as no answer is pending: the timeout has passed for the other, which began earlier
+        # Closed, as no answer is pending. The timeout has passed for the other too, which began earlier.
+        await idle.read_to_end()
         for box in w.boxes:
             for writer in box.writers:
                 writer.write(f"{held[-1]} ok ver=a,born=1 4\r\nlate\r\n".encode())
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -50,7 +50,7 @@
         return b"(silence)"
 
 
-def test_a_relay_passes_drops_stalls_delays_and_goes_on() -> None:
+def test_a_relay_passes_drops_stalls_delays_and_recovers() -> None:
     async def scene(relay: Relay) -> None:
         reader, writer = await asyncio.open_connection(*relay.address)
         writer.write(b"one")
@@ -80,7 +80,7 @@
     with_relay(scene)
 
 
-def test_a_relay_refuses_and_stands_half_open() -> None:
+def test_a_relay_refuses_connections_or_leaves_them_half_open() -> None:
     async def scene(relay: Relay) -> None:
         await play({"a": relay}, [Change(0.0, ("a",), "half")])
         reader, writer = await asyncio.open_connection(*relay.address)
@@ -133,7 +133,7 @@
         crowd.stopped = False
 
 
-def test_a_calm_fleet_of_processes_refuses_nothing_and_leaves_no_cache_idle(tmp_path: Path) -> None:
+def test_a_fleet_without_failures_refuses_nothing_and_leaves_no_cache_idle(tmp_path: Path) -> None:
     async def scene(one: Swarm, crowd: Crowd) -> None:
         await crowd.run(4)
         assert crowd.answers["200"] >= 0.995 * crowd.answers.total()
@@ -208,7 +208,7 @@
     asyncio.run(run())
 
 
-def test_reports_that_come_late_during_a_burst_move_no_herd_to_one_cache(tmp_path: Path) -> None:
+def test_delayed_load_reports_during_a_burst_cause_no_herding_to_one_cache(tmp_path: Path) -> None:
     async def scene(one: Swarm, crowd: Crowd) -> None:
         for box in one.boxes:
             box.late = 4.0
@@ -223,7 +223,7 @@
     with_swarm(tmp_path, scene)
 
 
-def test_half_of_the_caches_replaced_within_seconds_is_no_stampede_on_the_new_ones(tmp_path: Path) -> None:
+def test_replacing_half_of_the_caches_within_seconds_does_not_overload_the_new_ones(tmp_path: Path) -> None:
     """The new ones start cold: in no second does one get more than the allowed multiple of its capacity."""
 
     async def scene(one: Swarm, crowd: Crowd) -> None:
@@ -254,7 +254,7 @@
     with_swarm(tmp_path, scene)
 
 
-def test_proxies_that_were_stopped_and_continued_answer_once_and_go_on(tmp_path: Path) -> None:
+def test_proxies_that_were_stopped_and_continued_answer_each_request_once(tmp_path: Path) -> None:
     """A third of them are stopped for two seconds with requests in progress."""
 
     async def scene(one: Swarm, crowd: Crowd) -> None:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -23,7 +23,9 @@
 
 
 @pytest.mark.parametrize(("price", "most"), [(0.08, 1), (0.0, 9)])
-def test_a_connection_is_shared_and_kept_as_far_as_its_price_says(tmp_path: Path, price: float, most: int) -> None:
+def test_the_handshake_cost_decides_whether_connections_are_shared_and_kept(
+    tmp_path: Path, price: float, most: int
+) -> None:
     """Guards against opening a connection for every concurrent attempt, and abandoning all of a server's connections
     after one timeout: the load is negligible from one proxy, but from 40 it was one connection in four requests."""
 
@@ -43,7 +45,7 @@
     run_scenario(tmp_path, scene, caches=1, settings=NO_BYPASS | {"costs": {"handshake": price}})
 
 
-def test_a_connection_that_stays_silent_is_left_in_the_end(tmp_path: Path) -> None:
+def test_a_connection_that_stays_silent_is_abandoned_in_the_end(tmp_path: Path) -> None:
     """Guards against a cost that keeps a dead connection for ever: a third unanswered attempt ends its use."""
 
     async def scene(w: ProxyHarness) -> None:
@@ -59,7 +61,7 @@
     run_scenario(tmp_path, scene, caches=1, settings=NO_BYPASS | {"costs": {"handshake": 0.08}})
 
 
-def test_a_second_attempt_at_the_same_server_waits_for_nobody(tmp_path: Path) -> None:
+def test_a_second_attempt_at_the_same_server_does_not_wait_for_others(tmp_path: Path) -> None:
     """Guards against a blocked queue: an id is used once per connection, so with only one connection the next attempt
     with the same id, and all behind it, waited until everything else on it had ended."""
 
@@ -84,7 +86,7 @@
     run_scenario(tmp_path, scene, caches=1, settings=NO_BYPASS | {"costs": {"handshake": 0.08}})
 
 
-def test_a_purge_gives_back_what_waits_for_a_connection() -> None:
+def test_a_purge_returns_attempts_that_wait_for_a_connection() -> None:
     """Guards against an attempt decided before a purge and sent long after it, without a limit on the copy's age."""
     ends: list[tuple[int, AttemptResult]] = []
     clock = Clock()
@@ -108,7 +110,7 @@
     assert ends == [(0, AttemptResult(api.Outcome.UNSENT)), (2, AttemptResult(api.Outcome.UNSENT))]
 
 
-def test_what_must_not_run_twice_keeps_off_connections_that_are_cut_when_idle(tmp_path: Path) -> None:
+def test_non_idempotent_requests_avoid_connections_that_are_cut_when_idle(tmp_path: Path) -> None:
     """Seen with peers that reset a connection when the next request arrived after 0.1 s of idleness: one order in six
     was lost, as orders go only to the origin, whose connections are idle in between."""
 
