--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -165,7 +165,7 @@
     ),
     Mutant(
         "the accept queue is dropped at the end",
-        "net/door.py",
+        "net/listener.py",
         "        for _ in range(BACKLOG):\n            if not self._accept_one():\n                break\n",
         "        pass\n",
         (Rule.LOST,),
--- a/threadhill/admin/http.py
+++ b/threadhill/admin/http.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from threadhill.net.door import AcceptedConnection, Listener
+from threadhill.net.listener import AcceptedConnection, Listener
 
 HEAD = 8 << 10  # bytes of a request's line and headers at most
 BODY = 1 << 20
--- a/threadhill/admin/management.py
+++ b/threadhill/admin/management.py
@@ -17,7 +17,7 @@
 
 from threadhill.admin.http import Call, HttpConnection, Problem
 from threadhill.core.metrics import format_metrics
-from threadhill.net.door import Listener
+from threadhill.net.listener import Listener
 
 BODY = 4_096  # bytes of a call's body at most
 NAME = 256  # characters of a cache server's id at most
--- a/threadhill/control/feed.py
+++ b/threadhill/control/feed.py
@@ -14,7 +14,7 @@
 from threadhill.control.adoption import AdoptionHold
 from threadhill.control.catch_up import CatchUpLimiter
 from threadhill.control.ledger import Ledger
-from threadhill.net.door import AcceptedConnection, Listener
+from threadhill.net.listener import AcceptedConnection, Listener
 from threadhill.settings import Malformed
 
 if TYPE_CHECKING:
--- a/threadhill/control/server.py
+++ b/threadhill/control/server.py
@@ -26,7 +26,7 @@
 from threadhill.control.store import Change, Store, StoreDamaged, WriteFailed
 from threadhill.knowledge.merge import Merged
 from threadhill.log import Log
-from threadhill.net.door import AcceptedConnection, Listener
+from threadhill.net.listener import AcceptedConnection, Listener
 from threadhill.net.turns import LoopRuntime
 from threadhill.ownership.tasks import SNAPSHOT_INTERVAL_MS, list_tasks, snapshot_member
 from threadhill.plans.rules import Phase
--- a/threadhill/dns/transport.py
+++ b/threadhill/dns/transport.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from threadhill.dns.front import DnsFront
-from threadhill.net.door import AcceptedConnection, Listener
+from threadhill.net.listener import AcceptedConnection, Listener
 
 if TYPE_CHECKING:
     from threadhill.dns.tls import Certificate
--- a/threadhill/net/resp.py
+++ b/threadhill/net/resp.py
@@ -9,7 +9,7 @@
 from threadhill.core.ports import Answer, ClientRequest, FinalStatus
 from threadhill.decision import interface as api
 from threadhill.net.arrival import waited_in_queue
-from threadhill.net.door import AcceptedConnection, Listener
+from threadhill.net.listener import AcceptedConnection, Listener
 from threadhill.net.stream import Stream
 
 MAX_LENGTH_LINE = 32  # limit of a length line, in bytes
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -19,10 +19,10 @@
 from threadhill.config import BadConfig, Config, UnreadableConfig, load
 from threadhill.core.engine import Engine
 from threadhill.log import Log
-from threadhill.net.door import Listener
 from threadhill.net.journal import Journal
 from threadhill.net.journal_events import server_number
 from threadhill.net.lag import LoopLag
+from threadhill.net.listener import Listener
 from threadhill.net.resp import RespFront
 from threadhill.net.shortage import READ_AGAIN, START_PATIENCE
 from threadhill.net.turns import LoopRuntime
