--- a/threadhill/control/server.py
+++ b/threadhill/control/server.py
@@ -27,7 +27,7 @@
 from threadhill.knowledge.merge import Merged
 from threadhill.log import Log
 from threadhill.net.listener import AcceptedConnection, Listener
-from threadhill.net.turns import LoopRuntime
+from threadhill.net.runtime import LoopRuntime
 from threadhill.ownership.tasks import SNAPSHOT_INTERVAL_MS, list_tasks, snapshot_member
 from threadhill.plans.rules import Phase
 from threadhill.recovery.phases import FleetPhases
--- a/threadhill/net/listener.py
+++ b/threadhill/net/listener.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
+from threadhill.net.runtime import Runtime
 from threadhill.net.shortage import ACCEPT_NEXT, START_PATIENCE, is_own_shortage
 from threadhill.net.stream import LINGER, Stream
-from threadhill.net.turns import Runtime
 
 if TYPE_CHECKING:
     from ssl import SSLContext
--- a/threadhill/net/stream.py
+++ b/threadhill/net/stream.py
@@ -7,7 +7,7 @@
 import traceback
 
 from threadhill.net.ring import Full, Ring
-from threadhill.net.turns import Runtime
+from threadhill.net.runtime import Runtime
 
 WRITE_CHUNK = 64 << 10  # bytes handed to the transport at a time; the rest waits in the ring buffer
 MAX_DISCARD = (
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -24,8 +24,8 @@
 from threadhill.net.lag import LoopLag
 from threadhill.net.listener import Listener
 from threadhill.net.resp import RespFront
+from threadhill.net.runtime import LoopRuntime
 from threadhill.net.shortage import READ_AGAIN, START_PATIENCE
-from threadhill.net.turns import LoopRuntime
 from threadhill.net.upstream import CacheServers, Limits
 from threadhill.settings import Malformed
 
