--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -21,8 +21,8 @@
 from threadhill.log import Log
 from threadhill.net.journal import Journal
 from threadhill.net.journal_events import server_number
-from threadhill.net.lag import LoopLag
 from threadhill.net.listener import Listener
+from threadhill.net.loop_lag import LoopLag
 from threadhill.net.resp import RespFront
 from threadhill.net.runtime import LoopRuntime
 from threadhill.net.shortage import READ_AGAIN, START_PATIENCE
