--- a/threadhill/net/resp.py
+++ b/threadhill/net/resp.py
@@ -8,7 +8,7 @@
 from threadhill.core.engine import Engine
 from threadhill.core.ports import Answer, ClientRequest, FinalStatus
 from threadhill.decision import interface as api
-from threadhill.net.arrival import waited_in_queue
+from threadhill.net.accept_queue import waited_in_queue
 from threadhill.net.listener import AcceptedConnection, Listener
 from threadhill.net.stream import Stream
 
