--- a/tests/test_news_monitor.py
+++ b/tests/test_journal_monitor.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from threadhill.net.news_monitor import DELIVERY_TIME, REPLY_GRACE, REREQUEST_DELAY, JournalMonitor, MissingPurges
+from threadhill.net.journal_monitor import DELIVERY_TIME, REPLY_GRACE, REREQUEST_DELAY, JournalMonitor, MissingPurges
 
 NOW = 10_000_000
 STEP = 1_000
--- a/threadhill/net/journal.py
+++ b/threadhill/net/journal.py
@@ -13,7 +13,7 @@
 from threadhill.decision.hashing import number_of
 from threadhill.net.event_applier import EventApplier
 from threadhill.net.journal_events import Event, read_event_steps, read_heartbeat, server_number
-from threadhill.net.news_monitor import JournalMonitor, MissingPurges
+from threadhill.net.journal_monitor import JournalMonitor, MissingPurges
 from threadhill.net.upstream import CacheServers
 from threadhill.net.watch_connection import WatchConnection
 from threadhill.settings import Malformed, required_integer
