--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -258,7 +258,7 @@
     """A connection of a listener, its transport and its deadlines; the time is in `now`."""
     deadlines = Deadlines(lambda when: None, lambda error: None)
     host = SimpleNamespace(clock=SimpleNamespace(now=lambda: now[0]), stats=Stats(), deadlines=deadlines)
-    listener = SimpleNamespace(engine=host, connections={}, name="client", release=lambda group: None)
+    listener = SimpleNamespace(runtime=host, connections={}, name="client", release=lambda group: None)
     connection, transport = AcceptedConnection(listener, 1_000, 10_000), Transport()
     connection.parse = lambda: None
     connection.connection_made(transport)
--- a/threadhill/control/feed.py
+++ b/threadhill/control/feed.py
@@ -53,7 +53,7 @@
                 raise ValueError(f"not a line of this protocol: {line[:40]!r}")
 
     def fault(self, trace: str) -> None:
-        self.feed.door.engine.stats.count("malformed", "feed")
+        self.feed.door.runtime.stats.count("malformed", "feed")
 
     def _tail(self, number: bytes) -> None:
         if not number.isdigit() or len(number) > 18:
@@ -184,4 +184,4 @@
                 connection.heartbeat()
             elif connection.cursor is not None:
                 connection.close()  # this member is cut off from the others: the proxy goes to another one
-        self.door.engine.deadlines.add(self.door.engine.clock.now() + HEARTBEAT_INTERVAL, self._heartbeat)
+        self.door.runtime.deadlines.add(self.door.runtime.clock.now() + HEARTBEAT_INTERVAL, self._heartbeat)
--- a/threadhill/net/listener.py
+++ b/threadhill/net/listener.py
@@ -36,9 +36,9 @@
     lingers = True
 
     def __init__(self, listener: Listener, max_inbound: int, max_outbound: int) -> None:
-        super().__init__(listener.engine, max_inbound, max_outbound)
+        super().__init__(listener.runtime, max_inbound, max_outbound)
         self.listener = listener
-        self.accepted_at = self.last_message_at = listener.engine.clock.now()
+        self.accepted_at = self.last_message_at = listener.runtime.clock.now()
         self.message_count = 0
         self._message_began: tuple[int, int] | None = None  # when an incomplete message was seen, and which
         self.group = ""  # the group in whose connection quota it is counted; "": none
@@ -48,17 +48,17 @@
     def opened(self) -> None:
         self.established = True
         self.listener.connections[self] = None
-        self.listener.engine.stats.count(self.listener.name, "opened")
+        self.listener.runtime.stats.count(self.listener.name, "opened")
 
     def ended(self) -> None:
         if self.listener.connections.pop(self, self) is None:
-            self.listener.engine.stats.count(self.listener.name, "closed")
+            self.listener.runtime.stats.count(self.listener.name, "closed")
         self.listener.release(self.group)
         self.disconnected()
 
     def message_received(self) -> None:
         self.message_count += 1
-        self.last_message_at = self.listener.engine.clock.now()
+        self.last_message_at = self.listener.runtime.clock.now()
 
     def fault(self, trace: str) -> None:
         self.listener.fault(trace)
@@ -109,7 +109,7 @@
 
     def __init__(
         self,
-        engine: Runtime,
+        runtime: Runtime,
         name: str,
         max_connections: int,
         make_connection: Callable[[Listener], AcceptedConnection],
@@ -118,8 +118,8 @@
         group: Callable[[str], str] | None = None,
         max_per_group: int = 0,
     ) -> None:
-        self.engine, self.name, self.max_connections, self._make_connection, self._log = (
-            engine,
+        self.runtime, self.name, self.max_connections, self._make_connection, self._log = (
+            runtime,
             name,
             max_connections,
             make_connection,
@@ -194,7 +194,7 @@
         return not self.connections and not self._setting_up and not (self._stopping and self._socket is not None)
 
     def fault(self, trace: str) -> None:
-        self.engine.stats.count("fault", self.name)
+        self.runtime.stats.count("fault", self.name)
         self._log(f"{self.name}: {trace}")
 
     def stop_accepting(self) -> None:
@@ -216,7 +216,7 @@
             if not self._accept_one():
                 break
         if self._accept_failed:
-            self.engine.deadlines.add(self.engine.clock.now() + SHORTAGE_RETRY, self._accept_queued)
+            self.runtime.deadlines.add(self.runtime.clock.now() + SHORTAGE_RETRY, self._accept_queued)
         else:
             self._close()
 
@@ -230,22 +230,22 @@
 
     def _pause_accepting(self, wait: int) -> None:
         """Stop accepting for a while; new connections wait in the kernel's queue."""
-        now = self.engine.clock.now()
+        now = self.runtime.clock.now()
         self._queued_since = self._queued_since or now
         self._loop.remove_reader(self._socket)
-        self.engine.deadlines.add(now + wait, self._resume_accepting)
+        self.runtime.deadlines.add(now + wait, self._resume_accepting)
 
     def _accept_ready(self) -> None:
         for _ in range(ACCEPTS_PER_TURN):
             if self._socket is None:
                 return
             if not self._has_room():
-                self.engine.stats.count(self.name, "full")
+                self.runtime.stats.count(self.name, "full")
                 self._pause_accepting(FULL_RETRY)
                 return
             wait = self.accept_delay() if self.accept_delay is not None else 0
             if wait:
-                self.engine.stats.count(self.name, "paced")
+                self.runtime.stats.count(self.name, "paced")
                 self._pause_accepting(wait)
                 return
             if not self._accept_one():
@@ -264,8 +264,8 @@
             return False
         except OSError as error:
             self._accept_failed = True
-            self._queued_since = self._queued_since or self.engine.clock.now()
-            self.engine.stats.count(self.name, f"accept failed, {error.strerror}")
+            self._queued_since = self._queued_since or self.runtime.clock.now()
+            self.runtime.stats.count(self.name, f"accept failed, {error.strerror}")
             if error.errno in ACCEPT_NEXT:
                 return True
             if not is_own_shortage(error):
@@ -276,11 +276,11 @@
         group = self._group_of(address[0]) if self._group_of is not None else ""
         if group:
             if self._group_counts[group] >= self.max_per_group:
-                self.engine.stats.count(self.name, "over its quota")
+                self.runtime.stats.count(self.name, "over its quota")
                 peer.close()
                 return True
             self._group_counts[group] += 1
-        queued = self.engine.clock.now() - self._queued_since if self._queued_since else 0
+        queued = self.runtime.clock.now() - self._queued_since if self._queued_since else 0
         task = self._loop.create_task(self._set_up(peer, group, queued))
         self._setting_up.add(task)
         task.add_done_callback(self._setting_up.discard)
@@ -302,7 +302,7 @@
                 )
         except OSError as error:  # it was closed already, or the TLS handshake failed
             if self._tls_context is not None:
-                self.engine.stats.count(self.name, f"no handshake, {type(error).__name__}")
+                self.runtime.stats.count(self.name, f"no handshake, {type(error).__name__}")
             peer.close()
             if not connection.established:
                 self.release(group)
@@ -340,7 +340,7 @@
 
     def _evict_one(self) -> None:
         """Close one connection that can be closed without loss, if there is one."""
-        now = self.engine.clock.now()
+        now = self.runtime.clock.now()
 
         def eviction_order(connection: AcceptedConnection) -> tuple[int, int] | None:
             if connection.closing_since:
@@ -363,16 +363,16 @@
             2 * ACCEPTS_PER_TURN, self.max_connections // 4
         ):
             return
-        self.engine.stats.count(self.name, "turned out")
+        self.runtime.stats.count(self.name, "turned out")
         connection.close()
 
     def _check_timeouts(self) -> None:
-        now = self.engine.clock.now()
+        now = self.runtime.clock.now()
         for connection in [
             connection
             for connection in self.connections
             if connection.timed_out(now) and not connection.has_unread_input()
         ]:
-            self.engine.stats.count(self.name, "silent")
+            self.runtime.stats.count(self.name, "silent")
             connection.close()
-        self.engine.deadlines.add(now + TIMEOUT_CHECK_INTERVAL, self._check_timeouts)
+        self.runtime.deadlines.add(now + TIMEOUT_CHECK_INTERVAL, self._check_timeouts)
--- a/threadhill/net/stream.py
+++ b/threadhill/net/stream.py
@@ -25,8 +25,8 @@
     lingers = False  # whether to shut down writing and wait for the peer's end, as it may still be reading
     write_high_water = WRITE_CHUNK  # bytes in the transport's buffer above which writing is paused
 
-    def __init__(self, host: Runtime, max_inbound: int, max_outbound: int) -> None:
-        self.host = host
+    def __init__(self, runtime: Runtime, max_inbound: int, max_outbound: int) -> None:
+        self.runtime = runtime
         self.inbound, self.outbound = Ring(max_inbound), Ring(max_outbound)
         self.transport: asyncio.Transport | None = None
         self.bytes_needed = 1  # total size of the message being received, so that the ring buffer grows only once
@@ -49,7 +49,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         self.transport = None
-        self.host.deadlines.cancel(self._close_deadline)
+        self.runtime.deadlines.cancel(self._close_deadline)
         self.ended()
 
     def get_buffer(self, hint: int) -> memoryview:
@@ -126,7 +126,7 @@
         LINGER."""
         if self._closing:
             return
-        self.closing_since = self.host.clock.now()
+        self.closing_since = self.runtime.clock.now()
         self.inbound.skip(len(self.inbound))
         self.bytes_needed = 1
         if self.transport is not None:
@@ -148,7 +148,7 @@
 
     def _arm_close_timeout(self) -> None:
         self._close_backlog = self.backlog()
-        self._close_deadline = self.host.deadlines.add(self.host.clock.now() + LINGER, self._close_timed_out)
+        self._close_deadline = self.runtime.deadlines.add(self.runtime.clock.now() + LINGER, self._close_timed_out)
 
     def _close_timed_out(self) -> None:
         if 0 < self.backlog() < self._close_backlog:
@@ -178,7 +178,7 @@
 
     def abort(self) -> None:
         """Close it at once, discarding unsent output."""
-        self.closing_since = self.closing_since or self.host.clock.now()
+        self.closing_since = self.closing_since or self.runtime.clock.now()
         if self.transport is not None:
             self.transport.abort()
 
