--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -483,9 +483,8 @@
         await until(w.asked)
         for _ in range(100):
             assert (await (await w.client()).get())[0] == "200"
-        assert (
-            open not in asking.answers and not asking.task.done()
-        )  # a client with an open request is not disconnected
+        # A client with an open request is not disconnected.
+        assert open not in asking.answers and not asking.task.done()
         await until(lambda: w.counter("client", "turned out"))
         assert not w.counter("client", "full")  # no client had to wait for a place
 
--- a/threadhill/core/ports.py
+++ b/threadhill/core/ports.py
@@ -81,9 +81,7 @@
     tag: str = ""
     not_modified: bool = False
     load: dict[str, float] = field(default_factory=dict)
-    cache_status: api.CacheStatus = (
-        api.CacheStatus.NONE
-    )  # what the server reported about its fill, on sites that report it
+    cache_status: api.CacheStatus = api.CacheStatus.NONE  # report of the server's fill, on sites that have it
     source_wait: int = 0  # microseconds that the server waited for the source
     created_at: int = 0  # Unix microseconds at which the origin gave out the copy; 0: not reported
 
