--- a/threadhill/control/feed.py
+++ b/threadhill/control/feed.py
@@ -29,8 +29,8 @@
 class FeedConnection(AcceptedConnection):
     """One proxy's connection. Events after its cursor are sent as fast as the proxy reads."""
 
-    def __init__(self, door: Listener, feed: Feed) -> None:
-        super().__init__(door, MAX_LINE, MAX_OUTBOUND)
+    def __init__(self, listener: Listener, feed: Feed) -> None:
+        super().__init__(listener, MAX_LINE, MAX_OUTBOUND)
         self.term = 0  # the last term sent to it
         self.knowledge_sent = self.holdings_requested = False
         self.feed = feed
@@ -53,7 +53,7 @@
                 raise ValueError(f"not a line of this protocol: {line[:40]!r}")
 
     def fault(self, trace: str) -> None:
-        self.feed.door.engine.stats.count("malformed", "feed")
+        self.feed.listener.engine.stats.count("malformed", "feed")
 
     def _tail(self, number: bytes) -> None:
         if not number.isdigit() or len(number) > 18:
@@ -135,7 +135,7 @@
     def __init__(
         self,
         ledger: Ledger,
-        door_for: Callable[[Callable[[Listener], AcceptedConnection]], Listener],
+        make_listener: Callable[[Callable[[Listener], AcceptedConnection]], Listener],
         on_report: Callable[[dict], bool],
         hint: Callable[[str], dict[str, Any] | None],
         adoption: AdoptionHold,
@@ -146,12 +146,12 @@
         self.adoption, self.now, self.cluster = adoption, now, cluster
         self._knowledge_line: tuple[object, bytes | None] = (None, None)
         self.catch_up = CatchUpLimiter()
-        self.door = door_for(lambda door: FeedConnection(door, self))
+        self.listener = make_listener(lambda listener: FeedConnection(listener, self))
         self._heartbeat()
 
     def publish(self) -> None:
         """Send new events, which are in the store by now, to all proxies."""
-        for connection in list(self.door.connections):
+        for connection in list(self.listener.connections):
             connection.send_pending()
 
     def take_holdings(self, raw: dict[str, Any]) -> None:
@@ -174,14 +174,14 @@
     def retry_delay(self, connection: FeedConnection) -> int:
         """Milliseconds until a proxy that has events to catch up on may come back; 0: it is admitted now. Only slow
         readers count towards the limit, since a full list stays buffered for each of them."""
-        waiting = sum(other.slow for other in self.door.connections if other is not connection)
+        waiting = sum(other.slow for other in self.listener.connections if other is not connection)
         return self.catch_up.retry_delay(waiting, self.now())
 
     def _heartbeat(self) -> None:
         up_to_date = self.cluster is None or self.cluster.up_to_date()
-        for connection in list(self.door.connections):
+        for connection in list(self.listener.connections):
             if up_to_date:
                 connection.heartbeat()
             elif connection.cursor is not None:
                 connection.close()  # this member is cut off from the others: the proxy goes to another one
-        self.door.engine.deadlines.add(self.door.engine.clock.now() + HEARTBEAT_INTERVAL, self._heartbeat)
+        self.listener.engine.deadlines.add(self.listener.engine.clock.now() + HEARTBEAT_INTERVAL, self._heartbeat)
--- a/threadhill/control/server.py
+++ b/threadhill/control/server.py
@@ -76,7 +76,7 @@
 
     def __init__(self, config: ServerConfig, log: Any) -> None:
         self.config, self.log = config, log
-        self.turns = LoopRuntime(Log(time.monotonic), continued_clock(config.data, log.warning))
+        self.runtime = LoopRuntime(Log(time.monotonic), continued_clock(config.data, log.warning))
         self.cluster: Cluster | None = None
         if config.members is not None:
             from threadhill.control.agreed import ReplicatedStore
@@ -94,7 +94,7 @@
         self.phases = FleetPhases()
         self.feed = Feed(
             self.ledger,
-            self._door("proxy", MAX_FEEDS),
+            self._listener_factory("proxy", MAX_FEEDS),
             self._take_report,
             lambda proxy: self.knowledge.hint(proxy, self.now()),
             self.adoption,
@@ -103,7 +103,7 @@
         )
         self.api = ControlApi(
             self.ledger,
-            self.turns.stats,
+            self.runtime.stats,
             self.now,
             log.info,
             self.adoption,
@@ -114,8 +114,8 @@
         )
         self._last_step_at = self._snapshot_at = 0  # Unix milliseconds
         self._snapshot_task: asyncio.Task[None] | None = None
-        self.door = self._door("caller", MAX_CALLERS)(
-            lambda door: HttpConnection(config.token, self.api, door, MAX_BODY)
+        self.api_listener = self._listener_factory("caller", MAX_CALLERS)(
+            lambda listener: HttpConnection(config.token, self.api, listener, MAX_BODY)
         )
         self.done = asyncio.Event()
         self._written: dict[str, tuple[int, int]] = {}
@@ -123,17 +123,19 @@
         self._live_proxies: set[str] = set()
 
     def now(self) -> int:
-        return self.turns.clock.now() // 1_000
+        return self.runtime.clock.now() // 1_000
 
-    def _door(self, name: str, most: int) -> Callable[[Callable[[Listener], AcceptedConnection]], Listener]:
-        return lambda make: Listener(self.turns, name, most, make, self.turns.log)
+    def _listener_factory(
+        self, name: str, max_connections: int
+    ) -> Callable[[Callable[[Listener], AcceptedConnection]], Listener]:
+        return lambda make: Listener(self.runtime, name, max_connections, make, self.runtime.log)
 
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT."""
         for signum in (signal.SIGTERM, signal.SIGINT):
-            self.turns.loop.add_signal_handler(signum, self.done.set)
-        feed = await self.feed.door.listen(*self.config.feed)
-        api = await self.door.listen(*self.config.api)
+            self.runtime.loop.add_signal_handler(signum, self.done.set)
+        feed = await self.feed.listener.listen(*self.config.feed)
+        api = await self.api_listener.listen(*self.config.api)
         self.feed_address = f"{self.config.feed[0]}:{feed}"
         if self.cluster is not None:
             self.cluster.on_change, self.cluster.on_reload = self._change_committed, self._state_reloaded
@@ -292,7 +294,7 @@
         self._live_proxies = live
         if {n: r.pos for n, r in proxies.items()} != {n: at for n, (at, _) in self._written.items()}:
             self._schedule_write()
-        self.turns.deadlines.add(self.turns.clock.now() + TICK_INTERVAL, self._tick)
+        self.runtime.deadlines.add(self.runtime.clock.now() + TICK_INTERVAL, self._tick)
 
     def _check_phases(self, names: list[str]) -> None:
         """Log once when the fleet is no longer in full service, and once when it is again."""
@@ -319,7 +321,7 @@
         over its feed."""
         if not self._write_scheduled:
             self._write_scheduled = True
-            self.turns.deadlines.add(self.turns.clock.now() + WRITE_DELAY, self._write_configurations)
+            self.runtime.deadlines.add(self.runtime.clock.now() + WRITE_DELAY, self._write_configurations)
 
     def _newest_filed_number(self) -> int:
         """The highest event number in the existing configuration files. A store that lacks it is out of date."""
