--- a/threadhill/control/api.py
+++ b/threadhill/control/api.py
@@ -88,7 +88,7 @@
                 self.cluster.require_ownership()
             return handlers[call.method](call)
         except Refused as error:
-            raise Problem(STATUS_CODES[error.code], error.code, str(error), **error.more) from None
+            raise Problem(STATUS_CODES[error.code], error.code, str(error), **error.details) from None
         except WriteFailed as error:
             raise Problem(507, "not-written", str(error)) from None
 
--- a/threadhill/control/client.py
+++ b/threadhill/control/client.py
@@ -26,9 +26,9 @@
 class ApiError(Exception):
     """The control plane answered with an error: its code, its message, and the other fields of the error."""
 
-    def __init__(self, code: str, text: str, **more: Any) -> None:
+    def __init__(self, code: str, text: str, **details: Any) -> None:
         super().__init__(text)
-        self.code, self.more = code, more
+        self.code, self.details = code, details
 
 
 class Unreachable(ApiError):
@@ -64,7 +64,7 @@
     def _switch_member(self, error: ApiError) -> None:
         """Turn to the owner that the error names, or else to the next member."""
         self.close()
-        owner = error.more.get("owner")
+        owner = error.details.get("owner")
         if owner:
             self.address = owner
             return
@@ -205,7 +205,7 @@
         try:
             return api("POST", f"/v1/applies/{number}/resume", {"holder": holder})
         except ApiError as error:
-            remaining = error.more.get("wait_ms", 0) / 1e3
+            remaining = error.details.get("wait_ms", 0) / 1e3
             if error.code != "leased" or time.monotonic() + remaining > end:
                 raise
             time.sleep(remaining + 0.01)
--- a/threadhill/control/ledger.py
+++ b/threadhill/control/ledger.py
@@ -32,9 +32,9 @@
 class Refused(Exception):
     """The request can't be carried out on this state; `code` gives the reason for programs."""
 
-    def __init__(self, code: str, text: str, **more: Any) -> None:
+    def __init__(self, code: str, text: str, **details: Any) -> None:
         super().__init__(text)
-        self.code, self.more = code, more
+        self.code, self.details = code, details
 
 
 class Ledger:
@@ -197,7 +197,7 @@
         if now < apply.expires and holder != apply.holder:
             raise Refused(
                 "leased",
-                f"apply {number} is {apply.holder}'s for another {(apply.expires - now) / 1e3:.1f} " "s at least",
+                f"apply {number} is {apply.holder}'s for another {(apply.expires - now) / 1e3:.1f} s at least",
                 wait_ms=apply.expires - now,
             )
         apply = replace(apply, holder=holder, token=self.meta["token"] + 1, expires=now + LEASE_MS)
@@ -259,7 +259,7 @@
         if now < apply.expires and who != apply.holder:
             raise Refused(
                 "leased",
-                f"apply {number} is {apply.holder}'s for another {(apply.expires - now) / 1e3:.1f} " "s at least",
+                f"apply {number} is {apply.holder}'s for another {(apply.expires - now) / 1e3:.1f} s at least",
                 wait_ms=apply.expires - now,
             )
         self._close_apply("abandoned", now)
