--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -55,8 +55,8 @@
     Mutant(
         "the check at the answer is left out",
         "core/engine.py",
-        "if result.outcome is api.Outcome.SERVED and self.router.turns_down(",
-        "if False and self.router.turns_down(",
+        "if result.outcome is api.Outcome.SERVED and self.router.rejects_answer(",
+        "if False and self.router.rejects_answer(",
         PURGES,
     ),
     Mutant(
@@ -92,7 +92,7 @@
     Mutant(
         "a drained source is named",
         "decision/fleet.py",
-        "        if server in self.parents:\n            self.parents.drop(number)\n",
+        "        if server in self.parents:\n            self.parents.remove(number)\n",
         "",
         (Rule.DRAINED,),
     ),
@@ -114,7 +114,7 @@
         "what may have run once is asked again",
         "decision/choice.py",
         "        return (\n"
-        "            min(late, job.may_have_run[0][1] + job.cls.dedup_window - self.set.tick)\n"
+        "            min(late, job.may_have_run[0][1] + job.cls.dedup_window - self.settings.tick)\n"
         "            if effect is api.RetrySafety.KEYED\n"
         "            else 0\n"
         "        )",
@@ -124,7 +124,7 @@
     Mutant(
         "what may have run is refused",
         "decision/choice.py",
-        "or not (job.may_have_run or job.out)",
+        "or not (job.may_have_run or job.attempt_open)",
         "or True",
         (Rule.FALSE_REFUSAL,),
     ),
@@ -187,7 +187,7 @@
     Mutant(
         "timers of requests never fire",
         "decision/choice.py",
-        "        if job is not None and self.now >= job.deadline - ANSWER_EARLY:\n",
+        "        if job is not None and self.now >= job.deadline - DEADLINE_MARGIN:\n",
         "        if False:\n",
         (Rule.LOST,),
         (("decision/choice.py", "        job.timeout = limit\n", "        limit = 0\n        job.timeout = limit\n"),),
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -42,7 +42,7 @@
 if not __package__:  # started by its file's name: the packages stand beside its folder
     sys.path[0] = str(ROOT)
 
-from threadhill.decision.choice import ROOM_FIRST  # noqa: E402
+from threadhill.decision.choice import INITIAL_INFLIGHT_LIMIT  # noqa: E402
 from threadhill.standin.swarm import Crowd, Swarm, settings_for  # noqa: E402
 
 BEFORE = "0480b4e"  # the last version whose bounds were by chance under one
@@ -127,7 +127,9 @@
             told["release"] = spread(arrivals(swarm, since + 2, since + RELEASE_S), RELEASE_S - 2)["busiest"]
             told["release_times"] = arrivals(swarm, since, since + RELEASE_S)
         told["hint_bytes"] = swarm.journal.hint_bytes / crew / (time.monotonic() - began - start)
-        told["pushed_over"] = sum(most > 2 * ROOM_FIRST for box in swarm.boxes for most in box.most_open.values())
+        told["pushed_over"] = sum(
+            most > 2 * INITIAL_INFLIGHT_LIMIT for box in swarm.boxes for most in box.most_open.values()
+        )
         crowd.close()
         told["twice"] = crowd.twice
         return told
--- a/tests/faults/test_purged_copies.py
+++ b/tests/faults/test_purged_copies.py
@@ -172,6 +172,6 @@
     effect: the purge counts as known for as long as it may have waited unread."""
     freshness = Freshness(6 * SECOND)
     now = 100 * SECOND
-    freshness.purge(OBJECT, PurgeRecord(now, now - SECOND, 50 * SECOND))
+    freshness.add_purge(OBJECT, PurgeRecord(now, now - SECOND, 50 * SECOND))
     assert freshness.is_purged(OBJECT, GROUP, now - SECOND // 2, 49 * SECOND, now)
     assert not freshness.is_purged(OBJECT, GROUP, now - 2 * SECOND, 49 * SECOND, now)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -131,12 +131,12 @@
     script = Script()
     home = script.serve("a", size=400.0).server
     (sent,) = script.ask("a", size=400.0)
-    before = script.router.fleet.servers[home].pace
+    before = script.router.fleet.servers[home].latency_ratio
     script.end(sent, duration=SECOND, cache_status=CacheStatus.FILLED)
-    assert script.router.fleet.servers[home].pace == before
+    assert script.router.fleet.servers[home].latency_ratio == before
     (sent,) = script.ask("a", size=400.0)
     script.end(sent, duration=SECOND, cache_status=CacheStatus.HIT)
-    assert script.router.fleet.servers[home].pace > before
+    assert script.router.fleet.servers[home].latency_ratio > before
 
 
 def test_cold_credit_lets_some_of_many_routers_send_and_not_all() -> None:
@@ -157,7 +157,7 @@
 def test_the_last_attempt_ends_before_the_deadlines_timer() -> None:
     """Seen with ageing caches: the last attempt ended with the timer, and nobody learnt from it."""
     (sent,) = Script(replace(SETTINGS, max_attempts=1)).ask("a", time_left=900 * MS)
-    assert sent.timeout < 900 * MS - choice.ANSWER_EARLY
+    assert sent.timeout < 900 * MS - choice.DEADLINE_MARGIN
 
 
 def test_a_passing_burst_on_the_link_does_not_shut_it() -> None:
@@ -193,7 +193,7 @@
     """Seen on a second site: a link from 1.2 to 2.4 times full was open, then shut, and swung between empty and 11."""
     script = Script()
     shares = []
-    for script.router.link in (1.4, 2.6, 3.8, 5.0):
+    for script.router.link_load in (1.4, 2.6, 3.8, 5.0):
         shares.append(filled(script, 200))
     assert shares[0] == 200 and 100 < shares[1] < 150 and 20 < shares[2] < 80 and shares[3] == 0
 
@@ -202,7 +202,7 @@
     """Guards against a mean that just fits: half of the fills take longer than it and are late."""
     script = Script()
     for number in PARENTS:
-        script.router.fleet.servers[number].speed = dict.fromkeys((False, True), (2.06, script.now))
+        script.router.fleet.servers[number].fill_latency_ratio = dict.fromkeys((False, True), (2.06, script.now))
     assert 60 < filled(script, 200, size=8000.0) < 120  # 2.06 of 1.05 s where 2.4 s are wanted
 
 
@@ -213,16 +213,16 @@
     for n in range(12):
         (sent,) = script.ask(f"o{n}")
         script.end(sent, duration=700 * MS, cache_status=CacheStatus.FILLED)
-    assert source.speed[False][0] < 1.2
+    assert source.fill_latency_ratio[False][0] < 1.2
     script.wait(8 * SECOND)
     script.end(script.ask("large")[0], duration=6 * SECOND, cache_status=CacheStatus.FILLED)
-    assert source.speed[False][0] < 1.4
+    assert source.fill_latency_ratio[False][0] < 1.4
 
 
 def test_where_all_are_slow_the_part_that_is_too_much_is_refused() -> None:
     script = Script()
     for number in CACHES:
-        script.router.fleet.servers[number].pace = (4.0, script.now)
+        script.router.fleet.servers[number].latency_ratio = (4.0, script.now)
     kinds = [type(script.ask(f"o{n}", size=4000.0)[0]) for n in range(60)]
     assert 0 < kinds.count(api.Fetch) < 30
 
@@ -247,7 +247,7 @@
 
 
 def test_the_table_of_rates_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(choice, "TABLE_SIZE", 50)
+    monkeypatch.setattr(choice, "MAX_OBJECT_RATES", 50)
     script = Script()
     for n in range(500):
         script.serve(f"object-{n}")
@@ -274,11 +274,11 @@
 def test_a_parent_that_is_faster_by_little_of_the_aim_is_not_taken_from_those_who_share_the_first() -> None:
     """Seen with hubs apart: each location asked its near parent for everything, so both had the origin fetch it all."""
     script = Script()
-    script.router.fill_time = {False: Mean(1.0, 50), True: Mean(1.0, 50)}
+    script.router.mean_fill_ratio = {False: Mean(1.0, 50), True: Mean(1.0, 50)}
     first = script.serve("a", size=400.0).source
     for number in PARENTS:
         time = (1.6 if number == first else 0.8, script.now)
-        script.router.fleet.servers[number].speed = dict.fromkeys((False, True), time)
+        script.router.fleet.servers[number].fill_latency_ratio = dict.fromkeys((False, True), time)
     assert script.serve("a", size=400.0).source == first  # 80 ms of 500
 
 
@@ -326,7 +326,7 @@
     assert len(timers) == 1 and timers[0].delay < 900 * MS
     script.wait(timers[0].delay)
     (end,) = script.handle(api.TimerDue(timers[0].token))
-    assert isinstance(end, api.Refuse) and choice.COME_BACK / 2 <= end.retry_after <= choice.COME_BACK
+    assert isinstance(end, api.Refuse) and choice.RETRY_AFTER / 2 <= end.retry_after <= choice.RETRY_AFTER
     assert script.handle(api.AttemptEnded("x", 0, 11, Outcome.CANCELLED)) == []
 
 
@@ -622,32 +622,32 @@
         replace(SETTINGS, second_copies=True, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=(21,))
     )
     source = script.router.fleet.servers[21]
-    script.router.fleet.origin.pace = (9.0, script.now)  # it is no way out
-    first = source.fill_room
+    script.router.fleet.origin.latency_ratio = (9.0, script.now)  # it is no way out
+    first = source.fill_limit
     out = [script.ask(f"o{n}")[0] for n in range(24)]
-    assert source.fills == 24 and {a.source for a in out} == {21}
+    assert source.inflight_fills == 24 and {a.source for a in out} == {21}
     script.wait(2 * SECOND)
     for sent in out:  # too late for the aim, but answered
         script.end(sent, duration=2 * SECOND)
-    assert source.fills == 0 and source.fill_room == script.router.fills_least < first
-    source.speed.clear()
+    assert source.inflight_fills == 0 and source.fill_limit == script.router.min_fill_limit < first
+    source.fill_latency_ratio.clear()
     out = [script.ask(f"p{n}")[0] for n in range(60)]
     held = [a for a in out if isinstance(a, api.Fetch) and a.mode & api.FillMode.CACHED_ONLY]
     fills = [a for a in out if isinstance(a, api.Fetch) and a.source == 21 and a not in held]
-    assert len(fills) <= source.fill_room + 1 and len(fills) + len(held) == source.fills
+    assert len(fills) <= source.fill_limit + 1 and len(fills) + len(held) == source.inflight_fills
     # Past its room a parent still gives what it holds; what it lacks is refused at once, not tried again.
     assert held and {a.source for a in held} == {21}
     assert isinstance(script.end(held[0], Outcome.MISS)[0], api.Refuse)
-    room = source.fill_room
+    room = source.fill_limit
     for sent in fills:
         script.end(sent, duration=MS)
-    assert source.fill_room > room and not script.router.filling.get((fills[0].id, 0))
+    assert source.fill_limit > room and not script.router.fill_sources.get((fills[0].id, 0))
 
 
 def test_past_its_room_the_origin_is_asked_for_no_fill() -> None:
     """Guards against asking it only for what it holds: that is everything."""
     script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=()))
-    script.router.fleet.origin.fill_room = 12.0
+    script.router.fleet.origin.fill_limit = 12.0
     out = [script.ask(f"o{n}")[0] for n in range(30)]
     assert [a.source == ORIGIN for a in out][:11] == [True] * 11 and 11 <= sum(a.source == ORIGIN for a in out) <= 12
     assert not any(a.mode & api.FillMode.CACHED_ONLY for a in out)
@@ -663,20 +663,20 @@
     scripts = [Script(settings, fleet(parents=(21,)), seed=seed) for seed in range(routers)]
     fills = least = 0
     for script in scripts:
-        script.router.fleet.origin.pace = (9.0, script.now)
+        script.router.fleet.origin.latency_ratio = (9.0, script.now)
         source = script.router.fleet.servers[21]
         for name in range(200 // routers):
             for sent in script.ask(f"o{name}"):
                 fills += isinstance(sent, api.Fetch) and sent.source == 21 and not sent.mode & api.FillMode.CACHED_ONLY
-        source.fills, source.fill_room = 0, script.router.fills_least
+        source.inflight_fills, source.fill_limit = 0, script.router.min_fill_limit
         script.router.jobs.clear()
         for server in script.router.fleet.caches:
-            server.open = 0
+            server.inflight = 0
         for name in range(200 // routers):
             for sent in script.ask(f"p{name}"):
                 least += isinstance(sent, api.Fetch) and sent.source == 21 and not sent.mode & api.FillMode.CACHED_ONLY
-    assert 0.7 * choice.FILLS_FIRST < fills < 1.3 * choice.FILLS_FIRST
-    assert 0.6 * choice.FILLS_LEAST < least < 1.4 * choice.FILLS_LEAST
+    assert 0.7 * choice.INITIAL_FILL_LIMIT < fills < 1.3 * choice.INITIAL_FILL_LIMIT
+    assert 0.6 * choice.MIN_FILL_LIMIT < least < 1.4 * choice.MIN_FILL_LIMIT
 
 
 @pytest.mark.parametrize(("locations", "parents", "sources"), [(3, 0, 1), (30, 0, 10), (30, 10, 1), (30, 5, 2)])
@@ -698,12 +698,12 @@
     for seed in range(routers):
         script = Script(settings, entries, seed=seed)
         if parents:
-            script.router.fleet.origin.pace = (9.0, script.now)  # it is no way out
+            script.router.fleet.origin.latency_ratio = (9.0, script.now)  # it is no way out
         for name in range(max(1, parents) * 2_000 // routers):
             for sent in script.ask(f"o{name}"):
                 held = isinstance(sent, api.Fetch) and sent.mode & api.FillMode.CACHED_ONLY
                 fills += isinstance(sent, api.Fetch) and sent.source == source and not held
-    assert 0.7 * sources * choice.FILLS_FIRST < fills < 1.3 * sources * choice.FILLS_FIRST
+    assert 0.7 * sources * choice.INITIAL_FILL_LIMIT < fills < 1.3 * sources * choice.INITIAL_FILL_LIMIT
 
 
 def test_an_ill_source_is_told_from_the_caches_that_ask_it_by_a_few_failures() -> None:
@@ -733,9 +733,9 @@
         (sent,) = script.ask(f"o{n}", size=800.0)
         script.end(sent, duration=(2000 if sent.source == 21 and n % 2 else 100) * MS)
         script.wait(100 * MS)
-    slow, well = (script.router.fleet.servers[n].speed[False][0] for n in (21, 22))
+    slow, well = (script.router.fleet.servers[n].fill_latency_ratio[False][0] for n in (21, 22))
     assert slow > 4 and slow > 3 * well
-    assert max(server.pace[0] for server in script.router.fleet.caches) < 3
+    assert max(server.latency_ratio[0] for server in script.router.fleet.caches) < 3
 
 
 def test_a_late_fill_tells_so_at_its_aim() -> None:
@@ -743,21 +743,21 @@
     script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=(21,)))
     source = script.router.fleet.servers[21]
     script.ask("a", size=400.0)
-    room = source.fill_room
+    room = source.fill_limit
     script.wait(600 * MS)
     script.serve("b")
-    assert source.fill_room < room and source.speed[False][0] > 1
+    assert source.fill_limit < room and source.fill_latency_ratio[False][0] > 1
 
 
 def test_the_origin_fills_what_the_parents_have_no_room_for_unless_it_is_slow_itself() -> None:
     script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=(21,)))
-    script.router.fleet.servers[21].fill_room = 0.0
+    script.router.fleet.servers[21].fill_limit = 0.0
     out = [script.ask(f"o{n}")[0] for n in range(60)]
     straight = [a for a in out if isinstance(a, api.Fetch) and a.source == ORIGIN]
-    assert choice.ORIGIN_FILLS / 2 - 1 <= len(straight) <= choice.ORIGIN_FILLS / 2 + 1  # one of two routers
+    assert choice.ORIGIN_FILL_LIMIT / 2 - 1 <= len(straight) <= choice.ORIGIN_FILL_LIMIT / 2 + 1  # one of two routers
     script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=(21,)))
-    script.router.fleet.servers[21].fill_room = 0.0
-    script.router.fleet.origin.pace = (4.0, script.now)
+    script.router.fleet.servers[21].fill_limit = 0.0
+    script.router.fleet.origin.latency_ratio = (4.0, script.now)
     assert ORIGIN not in {a.source for n in range(60) for a in script.ask(f"o{n}") if isinstance(a, api.Fetch)}
 
 
@@ -795,7 +795,7 @@
         for sent in [a for a in out if isinstance(a, api.Fetch)]:
             ended += sent.source == 21
             script.end(sent, duration=2 * SECOND if sent.source == 21 and ended % 50 == 10 else MS)
-    assert source.fill_room > 50
+    assert source.fill_limit > 50
 
 
 def test_a_location_whose_caches_are_all_silent_is_passed_by_and_found_again() -> None:
@@ -827,14 +827,14 @@
     caches that were a fifth busy, and a fifth of the requests was refused."""
     script = Script(entries=fleet(caches=(11,)))
     server = script.router.fleet.servers[11]
-    room = server.room
+    room = server.inflight_limit
     for n in range(6):
         (sent,) = script.ask(f"o{n}")
         script.end(sent, duration=3 * SECOND, cache_status=CacheStatus.HIT, load=load)
-    assert (server.room < room) == shrinks
+    assert (server.inflight_limit < room) == shrinks
     (sent,) = script.ask("full")
     script.end(sent, Outcome.REFUSED, load={"util": 0.1})  # it says so itself
-    assert server.room < room
+    assert server.inflight_limit < room
 
 
 def test_what_is_handed_over_spends_room_and_credit_and_tells_nothing_of_health() -> None:
@@ -844,17 +844,17 @@
     assert {type(a) for a in free} == {api.HandOver}  # its room is a guess while nothing was heard of it
     for action in free:
         script.handle(api.AttemptEnded(action.id, 0, 11, Outcome.HANDED_OVER, request_closed=True))
-    server.heard = 1
+    server.last_answer_at = 1
     handed = [script.ask(f"o{n}", hand_over=True)[0] for n in range(30)]
     named = [a for a in handed if isinstance(a, api.HandOver)]
     assert {a.server for a in named} == {11} and isinstance(handed[-1], api.Refuse)
-    assert (server.open, server.unheard, server.doubt) == (len(named), 0, 0.0)
+    assert (server.inflight, server.unanswered, server.fault_log_odds) == (len(named), 0, 0.0)
     assert server.credit < 0 and not script.router.jobs
     script.wait(10 * SECOND)
     for action in named:
         ended = api.AttemptEnded(action.id, 0, 11, Outcome.HANDED_OVER, request_closed=True)
         assert not script.handle(ended)
-    assert (server.open, server.unheard, server.doubt, server.heard) == (0, 0, 0.0, 1)
+    assert (server.inflight, server.unanswered, server.fault_log_odds, server.last_answer_at) == (0, 0, 0.0, 1)
     server.ejections = 1  # on trial: nothing comes back of a client that goes there itself
     (other,) = script.ask("o1", hand_over=True)
     assert isinstance(other, api.HandOver) and other.server != 11
@@ -870,7 +870,7 @@
         fleet(caches=(11,), parents=()),
     )
     server = script.router.fleet.servers[11]
-    server.room, server.open = 20.0, 12.0
+    server.inflight_limit, server.inflight = 20.0, 12.0
     others = [script.ask(f"b{n}", inflight_share=0.5)[-1] for n in range(3)]  # asked only for what it holds
     first = [script.ask(f"c{n}")[-1] for n in range(3)]
     assert all(isinstance(a, api.Fetch) and a.source == 11 for a in others)
@@ -891,19 +891,19 @@
     named = [a for a in heavy if isinstance(a, api.HandOver)]
     assert named and not any(a.server == 11 for a in named)
     held = script.router.fleet.servers[named[0].server]
-    assert held.open >= 200
+    assert held.inflight >= 200
     script.handle(
         api.AttemptEnded(named[0].id, 0, named[0].server, Outcome.HANDED_OVER, request_closed=True, weight=200.0)
     )
-    assert held.open == 200 * (sum(a.server == named[0].server for a in named) - 1)
+    assert held.inflight == 200 * (sum(a.server == named[0].server for a in named) - 1)
     light = [script.ask(f"p{n}", hand_over=True)[0] for n in range(200)]
     assert sum(isinstance(a, api.HandOver) and a.server == 11 for a in light) < 2 * SETTINGS.cold_capacity * 50
     # However long credit grows, what one answer brings must fit in the fall's window at once; one request must not.
-    router, unit = script.router, script.router.work.most / 100
-    cold.credit_at = router.now - 10**5 * SECOND
-    assert router.in_budget(cold, unit)
-    cold.credit_at = router.now - 10**5 * SECOND
-    assert not router.in_budget(cold, 10_000 * unit, 10_000.0)
+    router, unit = script.router, script.router.work.peak / 100
+    cold.credit_updated_at = router.now - 10**5 * SECOND
+    assert router.has_cold_credit(cold, unit)
+    cold.credit_updated_at = router.now - 10**5 * SECOND
+    assert not router.has_cold_credit(cold, 10_000 * unit, 10_000.0)
 
 
 def test_never_all_caches_are_ejected() -> None:
@@ -985,7 +985,7 @@
             attempts += 1
             actions = script.end(actions[0], Outcome.REFUSED, attempt, cache_status=CacheStatus.SOURCE_REFUSED)
         script.wait(10 * MS)
-    assert attempts < 1000 * (1 + choice.RETRY_SHARE) + choice.RETRY_BURST + 1
+    assert attempts < 1000 * (1 + choice.RETRY_CREDIT_PER_REQUEST) + choice.MAX_RETRY_CREDIT + 1
 
 
 def test_advice_is_given_only_where_allowed_and_within_its_limit() -> None:
@@ -1081,7 +1081,7 @@
     script = Script(with_class(cls), [])
     actions = [a for a in script.handle(api.Request("x", "c", "a", SECOND)) if not isinstance(a, api.SetTimer)]
     assert isinstance(actions[0], api.Refuse) and 0 < actions[0].retry_after <= min(
-        choice.COME_BACK, SETTINGS.max_retry_after
+        choice.RETRY_AFTER, SETTINGS.max_retry_after
     )
 
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from threadhill.decision import freshness
-from threadhill.decision.freshness import EVERYTHING, STAMP_ERROR, Freshness, PurgeRecord
+from threadhill.decision.freshness import EVERYTHING, TIMESTAMP_ERROR, Freshness, PurgeRecord
 
 MS, SECOND = 1_000, 1_000_000
 DROP_TIME = 6 * SECOND
@@ -43,11 +43,11 @@
     for one in told:
         now += one.pause
         record = PurgeRecord(now - one.age, now - one.waited, now - one.age)
-        fresh.purge(one.key, record)
+        fresh.add_purge(one.key, record)
         known.append((one.key, record))
     sent_at, born = START + sent_after, START + born_after
     expected = any(
-        key in ("a", 3, EVERYTHING) and record.heard_at <= sent_at and born <= record.timestamp + STAMP_ERROR
+        key in ("a", 3, EVERYTHING) and record.known_at <= sent_at and born <= record.timestamp + TIMESTAMP_ERROR
         for key, record in known
     )
     assert fresh.is_purged("a", 3, sent_at, born, max(now, sent_at)) == expected
@@ -59,35 +59,35 @@
     fresh = Freshness(DROP_TIME)
     for one in told:
         now += one.pause
-        fresh.purge(one.key, PurgeRecord(now - one.age, now, now - one.age))
+        fresh.add_purge(one.key, PurgeRecord(now - one.age, now, now - one.age))
         known += [now - one.age] * (one.key in ("a", 3, EVERYTHING))
         binding = [at for at in known if now - at <= DROP_TIME]
-        oldest = fresh.oldest("a", 3, now)
+        oldest = fresh.max_copy_age("a", 3, now)
         assert oldest == (max(1, now - max(binding)) if binding else 0)
 
 
 def test_purges_that_may_be_missing_bound_the_age_from_where_they_may_begin() -> None:
     fresh = Freshness(DROP_TIME)
     fresh.missed_at = START
-    assert fresh.oldest("a", 3, START + SECOND) == SECOND
+    assert fresh.max_copy_age("a", 3, START + SECOND) == SECOND
     fresh.missed_age = 500 * MS
-    assert fresh.oldest("a", 3, START + SECOND) == 500 * MS
+    assert fresh.max_copy_age("a", 3, START + SECOND) == 500 * MS
 
 
 def test_a_flood_of_purges_of_one_key_forgets_none() -> None:
     """Those that can't be told apart any more count as known earlier than they were."""
     fresh = Freshness(DROP_TIME)
     for n in range(200):
-        fresh.purge("a", PurgeRecord(START + n * MS, START + n * MS, START + n * 10 * MS))
-    assert len(fresh.records["a"].known) <= freshness.PURGES_APART
+        fresh.add_purge("a", PurgeRecord(START + n * MS, START + n * MS, START + n * 10 * MS))
+    assert len(fresh.records["a"].known) <= freshness.MAX_PURGES_PER_KEY
     for n in range(200):
         assert fresh.is_purged("a", 3, START + n * MS, START + n * 10 * MS, START + SECOND)
 
 
 def test_where_more_objects_are_purged_than_are_remembered_everything_counts_as_purged() -> None:
     fresh = Freshness(DROP_TIME)
-    for n in range(freshness.KEYS_MOST + 10):
-        fresh.purge(f"o{n}", PurgeRecord(START, START, START))
-    assert len(fresh.records) <= freshness.KEYS_MOST + 1
-    assert all(fresh.oldest(f"o{n}", None, START + SECOND) == SECOND for n in range(20))
+    for n in range(freshness.MAX_KEYS + 10):
+        fresh.add_purge(f"o{n}", PurgeRecord(START, START, START))
+    assert len(fresh.records) <= freshness.MAX_KEYS + 1
+    assert all(fresh.max_copy_age(f"o{n}", None, START + SECOND) == SECOND for n in range(20))
     assert fresh.is_purged("o0", None, START + SECOND, START - SECOND, START + SECOND)
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -16,7 +16,7 @@
 from tests.world import ROOT
 from threadhill.decision import interface as api
 from threadhill.decision.interface import Outcome
-from threadhill.decision.state import OFF
+from threadhill.decision.state import MAX_REPORT_FACTOR
 from threadhill.knowledge.hints import Hints
 from threadhill.knowledge.merge import CACHES, FRESH, OBJECTS, Merged
 from threadhill.knowledge.report import Report
@@ -183,11 +183,11 @@
         script = Script()
         server = script.router.fleet.servers[11]
         script.router.eject(server)
-        server.doubt = 7.0
+        server.fault_log_odds = 7.0
         for _ in range(4):
             script.handle(api.Hints({}, {11: 2.0}, {11: share}, 0))
         server.ejected_until = script.now
-        assert (server.doubt > 3) == out
+        assert (server.fault_log_odds > 3) == out
         (sent,) = script.ask("o")
         while sent.server != 11:
             script.end(sent)
@@ -205,7 +205,7 @@
         for router in many.routers:
             router.handle(many.now, api.Hints({f"o{second}": lie}, {n: lie for n in range(1, 9)}, {}, 0))
         many.run(1, 300)
-    assert many.refused <= 0.002 and OFF > 1
+    assert many.refused <= 0.002 and MAX_REPORT_FACTOR > 1
 
 
 def test_the_control_plane_tells_hints_to_those_only_that_say_what_they_know(tmp_path: Path) -> None:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -84,7 +84,7 @@
     engine, front = make_engine(), Front()
     for i in range(100):
         engine.client_gone(engine.submit(front, i, ClientRequest(str(i), "reads", "thing", 5_000_000)))
-    assert len(engine.deadlines) == 0 and not engine.router.jobs and not engine.router.filling
+    assert len(engine.deadlines) == 0 and not engine.router.jobs and not engine.router.fill_sources
 
 
 def test_the_log_drops_lines_over_the_rate_and_reports_their_number(capsys: pytest.CaptureFixture[str]) -> None:
@@ -139,5 +139,5 @@
             tuple(read_event({"pos": 1, "hosts": {"members": [member]}}).members[0].entry for member in members),
         )
     )
-    capacities = {number: server.fill_room for number, server in at_once.router.fleet.servers.items()}
-    assert {n: server.fill_room for n, server in engine.router.fleet.servers.items()} == capacities
+    capacities = {number: server.fill_limit for number, server in at_once.router.fleet.servers.items()}
+    assert {n: server.fill_limit for n, server in engine.router.fleet.servers.items()} == capacities
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -150,15 +150,15 @@
     for age, share in ((0, 1.0), (learned.KEEPS // 2, 0.5), (learned.KEEPS, 0.0)):
         fresh = Script()
         learned.prime(fresh.router, known, age, fresh.now)
-        assert fresh.router.work.most == pytest.approx(share * known["work"], rel=0.01)
-        assert fresh.router.usual_took.value == (known["took"] if share else 0)
+        assert fresh.router.work.peak == pytest.approx(share * known["work"], rel=0.01)
+        assert fresh.router.mean_latency.value == (known["took"] if share else 0)
         assert bool(fresh.router.rates) == (age == 0)
     again = Script()  # one that was started anew is another server, and what this one saw itself stays
     again.list([cache(n, reported_start=again.now) for n in CACHES])
     again.serve("mine")
-    seen = again.router.usual_took.value
+    seen = again.router.mean_latency.value
     assert learned.prime(again.router, known, 0, again.now) == sum(n not in CACHES for n, *_ in known["servers"])
-    assert again.router.usual_took.value == seen
+    assert again.router.mean_latency.value == seen
 
 
 def test_nothing_learned_overrides_a_drain_a_purge_or_a_cold_servers_rule() -> None:
@@ -171,7 +171,7 @@
     learned.prime(fresh.router, known, 0, fresh.now)
     fresh.wait(SECOND)
     sent = [fresh.serve("o1") for _ in range(20)]
-    assert all(s.server != home and s.source != home and 0 < s.age <= SECOND for s in sent)
+    assert all(s.server != home and s.source != home and 0 < s.max_age <= SECOND for s in sent)
     cold = Script()
     cold.list([cache(home, reported_start=cold.now)])
     learned.prime(cold.router, known, 0, cold.now)
@@ -265,7 +265,7 @@
     assert (taken, older) == (0, True) and memory.older and memory.out[9] == 4
     # As young as when it was saved: how long the file lay only wall clocks tell, which may have been stepped.
     now, age = kept.at + saved.OLDEST + SECOND, max(0, kept.at - kept.purges[0][1])
-    assert fresh.router.freshness.records["o1"].at == now - age and not fresh.router.usual_took.samples
+    assert fresh.router.freshness.records["o1"].purged_at == now - age and not fresh.router.mean_latency.samples
     memory = Memory()
     assert not saved.restore(kept, Script().router, memory, 57, kept.at)[1] and not memory.older
 
--- a/tests/test_server_order.py
+++ b/tests/test_server_order.py
@@ -9,7 +9,7 @@
 
 from tests.script import CACHES, MS, SECOND, Script, cache, fleet
 from threadhill.decision import interface as api
-from threadhill.decision.order import KEPT_PLACES, SMALL, ServerOrder
+from threadhill.decision.order import CACHED_PLACES, MAX_SORTED, ServerOrder
 from threadhill.decision.state import Server
 
 LARGE = 3_200
@@ -19,15 +19,15 @@
 def order_of(numbers: range | list[int]) -> ServerOrder:
     order = ServerOrder()
     for number in numbers:
-        order.put(Server(cache(number), 24.0))
+        order.add(Server(cache(number), 24.0))
     return order
 
 
 def first(order: ServerOrder, name: str, places: int = 8) -> list[int]:
-    return [s.entry.server for s in itertools.islice(order.of(name), places)]
+    return [s.entry.server for s in itertools.islice(order.ordered_for(name), places)]
 
 
-@pytest.mark.parametrize("count", [1, 7, SMALL, SMALL + 1, LARGE])
+@pytest.mark.parametrize("count", [1, 7, MAX_SORTED, MAX_SORTED + 1, LARGE])
 def test_an_order_has_every_server_once_and_is_the_same_whenever_and_however_it_was_made(count: int) -> None:
     order, other = order_of(range(count)), order_of(list(range(count))[::-1])
     for name in OBJECTS[:3]:
@@ -41,15 +41,15 @@
     order = order_of(range(count))
     before = {name: first(order, name) for name in OBJECTS}
     leaver = before[OBJECTS[0]][0]
-    order.drop(leaver)
+    order.remove(leaver)
     for name, old in before.items():
         rest = [number for number in old if number != leaver]
         assert first(order, name)[: len(rest)] == rest
-    order.put(Server(cache(leaver), 24.0))
+    order.add(Server(cache(leaver), 24.0))
     assert {name: first(order, name) for name in OBJECTS} == before
 
 
-@pytest.mark.parametrize("count", [SMALL, 800, LARGE])
+@pytest.mark.parametrize("count", [MAX_SORTED, 800, LARGE])
 def test_first_places_are_spread_as_evenly_as_by_chance(count: int) -> None:
     order = order_of(range(count))
     per_server = 20
@@ -59,26 +59,26 @@
     assert len(seen) == count
 
 
-@pytest.mark.parametrize("count", [SMALL + 1, 800, LARGE])
+@pytest.mark.parametrize("count", [MAX_SORTED + 1, 800, LARGE])
 def test_the_work_for_an_order_does_not_grow_with_the_number_of_servers(count: int) -> None:
     order = order_of(range(count))
     work = []
     for name in OBJECTS:
-        before = order.looked_at
+        before = order.inspected
         first(order, name, 3)
-        work.append(order.looked_at - before)
+        work.append(order.inspected - before)
     # At the fewest servers a place takes 128 draws in the mean, so three take 1,076 or fewer in 99 of 100 cases.
     assert sorted(work)[len(work) * 99 // 100] <= 1_280
-    before = order.looked_at
+    before = order.inspected
     for name in OBJECTS:
         first(order, name, 3)
-    assert order.looked_at == before  # kept
+    assert order.inspected == before  # kept
 
 
 def test_what_is_kept_of_an_order_is_bounded() -> None:
     order = order_of(range(LARGE))
     first(order, OBJECTS[0], LARGE)
-    assert len(order._kept[OBJECTS[0]]) == KEPT_PLACES
+    assert len(order._cached[OBJECTS[0]]) == CACHED_PLACES
 
 
 # --- the module with many servers: every hard case is answered, with bounded work
@@ -93,13 +93,13 @@
         if changes:
             self.list([cache(number, **changes) for number in self.numbers])
         self.judged = 0
-        judge = self.router.in_budget
+        judge = self.router.has_cold_credit
 
         def counting(server: Server, work: float, weight: float = 1.0) -> bool:
             self.judged += 1
             return judge(server, work, weight)
 
-        self.router.in_budget = counting
+        self.router.has_cold_credit = counting
 
     def looked(self, name: str, **more: object) -> tuple[int, list[api.Action]]:
         before = self.judged
@@ -120,14 +120,14 @@
     script = Counted(count)
     name = OBJECTS[0]
     script.serve(name)
-    for server in itertools.islice(script.router.fleet.caches.of(name), 50):
+    for server in itertools.islice(script.router.fleet.caches.ordered_for(name), 50):
         if trouble == "ejected":
             server.ejected_until = script.now + 60 * SECOND
         elif trouble == "full":
-            server.open = server.room + 1
+            server.inflight = server.inflight_limit + 1
         else:
             server.entry = cache(server.entry.server, reported_start=script.now - 1)
-            server.credit, server.credit_at = -1.0, script.now
+            server.credit, server.credit_updated_at = -1.0, script.now
     work, (action,) = script.looked(name)
     assert isinstance(action, api.Fetch) and work <= 64
 
@@ -147,7 +147,7 @@
     script = Counted(count, reported_start=1000 * SECOND)
     for name in OBJECTS[:50]:
         work, actions = script.looked(name)
-        assert actions and work <= max(64, SMALL) + 4
+        assert actions and work <= max(64, MAX_SORTED) + 4
 
 
 @pytest.mark.parametrize("count", [200, LARGE])
@@ -171,12 +171,12 @@
     """3,200 servers, each change of one: neither the others nor the orders of objects are reckoned anew."""
     script = Counted(LARGE)
     order = script.router.fleet.caches
-    before = order.looked_at
+    before = order.inspected
     for n in range(600):
         number = script.numbers[n]
         script.list([cache(number, state=api.State.DRAINING)])
         script.list([cache(number)])
-    assert order.looked_at == before and len(order) == LARGE
+    assert order.inspected == before and len(order) == LARGE
 
 
 def test_a_list_may_shrink_to_three_and_every_object_is_served_from_these() -> None:
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -175,4 +175,4 @@
             "extra": {"crew-by-zone": [routers]},
         }
         router = simhost.Router(simhost.read_settings(options), 1)
-        assert router.location_routers == max(1, routers) and 0 < router.room_first < float("inf")
+        assert router.location_routers == max(1, routers) and 0 < router.initial_inflight_limit < float("inf")
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -11,7 +11,7 @@
 
 from tests.script import MS, SECOND, SETTINGS, cache, origin, parent
 from threadhill.decision import interface as api
-from threadhill.decision.choice import ROOM_FIRST, Router
+from threadhill.decision.choice import INITIAL_INFLIGHT_LIMIT, Router
 from threadhill.decision.interface import Fetch, Outcome
 
 PARENTS = tuple(range(100, 113))
@@ -115,7 +115,7 @@
     many.report = report
     many.run(8, 300)
     assert many.refused <= 0.002
-    assert many.most <= ROOM_FIRST
+    assert many.most <= INITIAL_INFLIGHT_LIMIT
 
 
 @pytest.mark.parametrize("routers", [3, 40, 200, 1_000])
@@ -127,7 +127,7 @@
     many.most = 0
     many.run(6, 1_500)  # 75 would be in hand at each
     assert many.refused > 0.2
-    assert sum(many.open.values()) / 4 <= 2 * ROOM_FIRST
+    assert sum(many.open.values()) / 4 <= 2 * INITIAL_INFLIGHT_LIMIT
     assert many.final["served"] > 0.3 * many.asked
 
 
@@ -188,7 +188,7 @@
         many.run(2, 100)
         for router in many.routers:
             for server in router.fleet.caches:
-                server.room = router.room_least
+                server.inflight_limit = router.min_inflight_limit
         many.final.clear()
         many.asked = 0
         many.run(1, 200)
@@ -236,7 +236,7 @@
 def test_one_proxy_alone_in_its_location_keeps_its_whole_share() -> None:
     """Many others elsewhere bound what it fills, not what its own caches take."""
     many = Many(1, crew=1)
-    many.routers[0].set = replace(many.routers[0].set, routers=200)
+    many.routers[0].settings = replace(many.routers[0].settings, routers=200)
     many.run(6, 150)
     assert many.refused <= 0.002
 
@@ -264,4 +264,4 @@
     many.run(4, 400)
     tries, further = many.asked - first, sum(many.sent.values()) - before
     assert further - tries <= max(20, routers) + 0.05 * tries
-    assert many.most <= 2 * ROOM_FIRST
+    assert many.most <= 2 * INITIAL_INFLIGHT_LIMIT
--- a/threadhill/core/engine.py
+++ b/threadhill/core/engine.py
@@ -185,7 +185,7 @@
                 result.created_at // 1_000,
                 now - attempt.sent_at,
             )
-            if result.outcome is api.Outcome.SERVED and self.router.turns_down(
+            if result.outcome is api.Outcome.SERVED and self.router.rejects_answer(
                 str(attempt.request_handle), attempt.sent_at, result.created_at, now
             ):
                 result = self._reject_purged_copy(pending, attempt, result)
@@ -231,7 +231,7 @@
         self._log(
             f"trace: {self.trace.matching(pending.request.request_id, pending.request.object, pending.request.group)}"
         )
-        cls = self.router.set.classes.get(pending.request.class_name)
+        cls = self.router.settings.classes.get(pending.request.class_name)
         safe = cls is not None and cls.retry_safety is api.RetrySafety.SAFE
         return AttemptResult(
             api.Outcome.MISS if safe else api.Outcome.ERROR, load=result.load, source_wait=result.source_wait
@@ -425,7 +425,7 @@
             live = self.attempts.get(attempt)
             live.timer = self.deadlines.add(now + timeout, lambda: self._attempt_timed_out(attempt))
         self.stats.count("sent", pending.request.class_name)
-        cls = self.router.set.classes.get(pending.request.class_name)
+        cls = self.router.settings.classes.get(pending.request.class_name)
         at_most_once = cls is None or cls.retry_safety is api.RetrySafety.UNSAFE
         self.caches.send(
             attempt,
--- a/threadhill/decision/fleet.py
+++ b/threadhill/decision/fleet.py
@@ -15,9 +15,9 @@
         self.servers: dict[int, Server] = {}
         self.caches, self.parents = ServerOrder(), ServerOrder()
         self.origin: Server | None = None
-        self.most_caches = self.most_parents = 1  # the most that were ready at once
+        self.peak_caches = self.peak_parents = 1  # the most that were ready at once
         self.ejected: dict[int, Server] = {}  # those put out for a while, or lately
-        self.awaited: dict[int, Server] = {}  # those with so many attempts out unheard that they may be silent
+        self.maybe_silent: dict[int, Server] = {}  # those with so many attempts out unheard that they may be silent
 
     def update(self, news: api.ListNews, room: float) -> None:
         """Take list news. One that restarted is a new server; a new one starts with this room."""
@@ -32,39 +32,39 @@
             elif known is None or known.entry.reported_start != entry.reported_start:
                 self._remove(entry.server)
                 self.servers[entry.server] = Server(entry, room)
-                self._place(self.servers[entry.server])
+                self._index(self.servers[entry.server])
             elif known.entry != entry:
-                self._displace(known)
+                self._unindex(known)
                 known.entry = entry
-                self._place(known)
-        self.most_caches = max(self.most_caches, len(self.caches))
-        self.most_parents = max(self.most_parents, len(self.parents))
+                self._index(known)
+        self.peak_caches = max(self.peak_caches, len(self.caches))
+        self.peak_parents = max(self.peak_parents, len(self.parents))
 
     def _remove(self, number: int) -> None:
         server = self.servers.pop(number, None)
         if server is not None:
-            self._displace(server)
+            self._unindex(server)
             self.ejected.pop(number, None)
-            self.awaited.pop(number, None)
+            self.maybe_silent.pop(number, None)
 
-    def _place(self, server: Server) -> None:
+    def _index(self, server: Server) -> None:
         """Let a server that is ready be found by its role."""
         entry = server.entry
         if entry.state is not api.State.READY:
             return
         if entry.kind == self.parent_kind:
-            self.parents.put(server)
+            self.parents.add(server)
         elif entry.kind == self.origin_kind:
             self.origin = self.origin or server
         elif entry.zone == self.zone:
-            self.caches.put(server)
+            self.caches.add(server)
 
-    def _displace(self, server: Server) -> None:
+    def _unindex(self, server: Server) -> None:
         number = server.entry.server
         if server in self.parents:
-            self.parents.drop(number)
+            self.parents.remove(number)
         if server in self.caches:
-            self.caches.drop(number)
+            self.caches.remove(number)
         if server is self.origin:
             self.origin = None
             others = (s for s in self.servers.values() if s is not server and s.entry.state is api.State.READY)
@@ -74,7 +74,7 @@
         """The ready servers that do what this one does for this location."""
         return self.parents if server.entry.kind == self.parent_kind else self.caches
 
-    def out(self, peers: ServerOrder, now: int) -> list[Server]:
+    def ejected_among(self, peers: ServerOrder, now: int) -> list[Server]:
         """Of these, the ones that are ejected now; those that are back are forgotten."""
         self.ejected = {number: s for number, s in self.ejected.items() if s.ejected_until > now}
         return [s for s in self.ejected.values() if s in peers]
--- a/threadhill/decision/hashing.py
+++ b/threadhill/decision/hashing.py
@@ -13,7 +13,7 @@
     return value ^ (value >> 31)
 
 
-def number_of(name: str) -> int:
+def hash_name(name: str) -> int:
     """A name as a stable number: its bytes, one after another, through the mix."""
     number = 0
     for byte in name.encode():
--- a/threadhill/decision/order.py
+++ b/threadhill/decision/order.py
@@ -15,16 +15,18 @@
 
 from collections.abc import Iterable, Iterator
 
-from threadhill.decision.hashing import mix, number_of
-from threadhill.decision.state import Server, remember
+from threadhill.decision.hashing import hash_name, mix
+from threadhill.decision.state import Server, put_bounded
 
-SMALL = 256  # servers up to which the whole order is sorted; far above the caches of a usual fleet, so that no release
+MAX_SORTED = (
+    256  # servers up to which the whole order is sorted; far above the caches of a usual fleet, so that no release
+)
 # crosses it back and forth: crossing changes all orders once
 CELL_BITS = 12  # the table has 2 ** CELL_BITS cells: over 3,200 servers, the most that a fleet has
 CELL_DEPTH = 8  # servers of one cell that a draw can tell apart; a fuller cell is rare, and what is over comes last
-KEPT_PLACES = 32  # places of an order that are kept: more than an object has copies, or a request tries
-KEPT_ORDERS = 4_000  # orders kept, the least recently used goes first: of SMALL references at most, 8 MB in all
-DRAWS_FOR_EACH = 64  # draws for each place wanted, after which the rest of the servers follow in the table's order
+CACHED_PLACES = 32  # places of an order that are kept: more than an object has copies, or a request tries
+CACHED_ORDERS = 4_000  # orders kept, the least recently used goes first: of SMALL references at most, 8 MB in all
+DRAWS_PER_PLACE = 64  # draws for each place wanted, after which the rest of the servers follow in the table's order
 
 
 class ServerOrder:
@@ -32,16 +34,16 @@
 
     def __init__(self) -> None:
         self.servers: dict[int, Server] = {}
-        self._marks: dict[int, int] = {}  # server -> its hash
+        self._hashes: dict[int, int] = {}  # server -> its hash
         self._cells: dict[int, list[tuple[int, int]]] = {}  # cell -> (hash, server), sorted
-        self._names: dict[str, int] = {}  # hashes of names, a bounded memo
-        self._kept: dict[str, list[Server]] = {}  # object -> the first places of its order, a bounded memo
-        self.looked_at = 0  # cells drawn and servers sorted so far: the work of all orders, for tests and figures
+        self._name_hashes: dict[str, int] = {}  # hashes of names, a bounded memo
+        self._cached: dict[str, list[Server]] = {}  # object -> the first places of its order, a bounded memo
+        self.inspected = 0  # cells drawn and servers sorted so far: the work of all orders, for tests and figures
 
     @property
-    def small(self) -> bool:
+    def fully_sorted(self) -> bool:
         """Whether orders are sorted whole."""
-        return len(self.servers) <= SMALL
+        return len(self.servers) <= MAX_SORTED
 
     def __len__(self) -> int:
         return len(self.servers)
@@ -54,28 +56,28 @@
 
     # --- changes
 
-    def put(self, server: Server) -> None:
+    def add(self, server: Server) -> None:
         """Add a server, or replace what stands for the same one: orders hold the new one from now on."""
         number = server.entry.server
         if number not in self.servers:
-            mark = self._marks[number] = mix(number)
+            mark = self._hashes[number] = mix(number)
             cell = self._cells.setdefault(self._cell(mark), [])
             cell.append((mark, number))
             cell.sort()
         if self.servers.get(number) is not server:
-            self._kept = {}
+            self._cached = {}
         self.servers[number] = server
 
-    def drop(self, number: int) -> None:
+    def remove(self, number: int) -> None:
         """Remove a server; one that is not there is no matter."""
         if self.servers.pop(number, None) is None:
             return
-        mark = self._marks.pop(number)
+        mark = self._hashes.pop(number)
         cell = self._cells[self._cell(mark)]
         cell.remove((mark, number))
         if not cell:
             del self._cells[self._cell(mark)]
-        self._kept = {}
+        self._cached = {}
 
     @staticmethod
     def _cell(mark: int) -> int:
@@ -83,46 +85,46 @@
 
     # --- orders
 
-    def of(self, name: str) -> Iterator[Server]:
+    def ordered_for(self, name: str) -> Iterator[Server]:
         """The servers in this name's own order, found as they are asked for."""
-        kept = self._kept.pop(name, None)
+        kept = self._cached.pop(name, None)
         if kept is None:
-            kept = self._sorted(name) if self.small else []
-        remember(self._kept, name, kept, KEPT_ORDERS)
+            kept = self._sort_all(name) if self.fully_sorted else []
+        put_bounded(self._cached, name, kept, CACHED_ORDERS)
         yield from kept
         if len(kept) == len(self.servers):
             return
         first_new = len(kept)
-        for place, server in enumerate(self._drawn(name)):
+        for place, server in enumerate(self._draw(name)):
             if place < first_new:
                 continue
-            if len(kept) == place < KEPT_PLACES:
+            if len(kept) == place < CACHED_PLACES:
                 kept.append(server)
             yield server
 
-    def _number(self, name: str) -> int:
-        number = self._names.get(name)
+    def _hash_of(self, name: str) -> int:
+        number = self._name_hashes.get(name)
         if number is None:
-            number = number_of(name)
-            remember(self._names, name, number, KEPT_ORDERS)
+            number = hash_name(name)
+            put_bounded(self._name_hashes, name, number, CACHED_ORDERS)
         return number
 
-    def rank(self, name: str, servers: Iterable[Server]) -> list[Server]:
+    def sort_for(self, name: str, servers: Iterable[Server]) -> list[Server]:
         """Some of these servers in this name's own order: rendezvous hashing over just them."""
-        number, marks = self._number(name), self._marks
+        number, marks = self._hash_of(name), self._hashes
         return sorted(servers, key=lambda s: (mix(number ^ marks[s.entry.server]), s.entry.server))
 
-    def _sorted(self, name: str) -> list[Server]:
+    def _sort_all(self, name: str) -> list[Server]:
         """The whole order."""
-        self.looked_at += len(self.servers)
-        return self.rank(name, self.servers.values())
+        self.inspected += len(self.servers)
+        return self.sort_for(name, self.servers.values())
 
-    def _drawn(self, name: str) -> Iterator[Server]:
+    def _draw(self, name: str) -> Iterator[Server]:
         """Draw cells until every server has come, or the draws are spent; the rest follows in the table's order."""
-        draw, seen = self._number(name), set()
-        for _ in range(DRAWS_FOR_EACH * KEPT_PLACES):
+        draw, seen = self._hash_of(name), set()
+        for _ in range(DRAWS_PER_PLACE * CACHED_PLACES):
             draw = mix(draw)
-            self.looked_at += 1
+            self.inspected += 1
             cell = self._cells.get(self._cell(draw))
             depth = draw & (CELL_DEPTH - 1)
             if cell is None or depth >= len(cell):
--- a/threadhill/decision/running.py
+++ b/threadhill/decision/running.py
@@ -17,27 +17,27 @@
     once round, the sum is that round's. During the first round it is reckoned from the servers looked at so far."""
 
     def __init__(self) -> None:
-        self._rest: Iterator[Server] = iter(())
-        self._seen = 0  # servers of the round under way
-        self._partial = 0.0  # their sum
+        self._remaining: Iterator[Server] = iter(())
+        self._count = 0  # servers of the round under way
+        self._sum = 0.0  # their sum
         self._mean: float | None = None  # of the last whole round
 
-    def of(self, servers: ServerOrder, figure: Callable[[Server], float]) -> float:
+    def total(self, servers: ServerOrder, figure: Callable[[Server], float]) -> float:
         """The sum over these servers now."""
         if len(servers) <= STEP:
             return sum(map(figure, servers))
         for _ in range(STEP):
-            server = next(self._rest, None)
+            server = next(self._remaining, None)
             if server is None:
-                self._begin(servers)
+                self._begin_round(servers)
                 continue
-            self._partial += figure(server)
-            self._seen += 1
-        mean = self._mean if self._mean is not None else self._partial / max(1, self._seen)
+            self._sum += figure(server)
+            self._count += 1
+        mean = self._mean if self._mean is not None else self._sum / max(1, self._count)
         return mean * len(servers)
 
-    def _begin(self, servers: ServerOrder) -> None:
+    def _begin_round(self, servers: ServerOrder) -> None:
         """Close a round that is over and begin the next, over the servers that there are now."""
-        if self._seen:
-            self._mean = self._partial / self._seen
-        self._rest, self._seen, self._partial = iter(list(servers)), 0, 0.0
+        if self._count:
+            self._mean = self._sum / self._count
+        self._remaining, self._count, self._sum = iter(list(servers)), 0, 0.0
--- a/threadhill/dns/front.py
+++ b/threadhill/dns/front.py
@@ -116,8 +116,8 @@
         signer: Signer | None = None,
     ) -> None:
         self.engine, self.config, self.classes = engine, config, classes
-        self.views = Views(list(config.views), engine.router.set.zone)
-        self.nodes = {engine.router.set.zone: engine, **(nodes or {})}  # an engine of its own for each view's node
+        self.views = Views(list(config.views), engine.router.settings.zone)
+        self.nodes = {engine.router.settings.zone: engine, **(nodes or {})}  # an engine of its own for each view's node
         self.where, self.families, self.signer = where, families, signer
         self.pending: Slots[Pending] = Slots()
         self._grants: dict[tuple[str, int], tuple[int, int]] = {}  # (box, number) -> (server, until when)
--- a/threadhill/knowledge/report.py
+++ b/threadhill/knowledge/report.py
@@ -10,7 +10,7 @@
 from itertools import islice
 from typing import Any
 
-from threadhill.decision.choice import INTERVAL, Router
+from threadhill.decision.choice import RATE_INTERVAL, Router
 
 OBJECTS = 32  # of one report: 900 bytes
 SERVERS = 48
@@ -29,19 +29,19 @@
     def told(self, now: int) -> dict[str, Any]:
         """The part of the report that is about this, as plain JSON."""
         self.number += 1
-        interval, found = now // INTERVAL, []
+        interval, found = now // RATE_INTERVAL, []
         for looked, (name, rate) in enumerate(reversed(self.router.rates.items())):
             if looked >= LOOKED or interval - rate.interval > RECENT:
                 break
-            own = rate.rate if not rate.first else rate.count
+            own = rate.rate if not rate.first_interval else rate.count
             if own >= LEAST:
                 found.append((round(own, 3), name))
         caches = list(islice(self.router.fleet.caches, SERVERS))
         return {
             "n": self.number,
-            "zone": self.router.set.zone,
+            "zone": self.router.settings.zone,
             "objects": [[name, rate] for rate, name in heapq.nlargest(OBJECTS, found)],
             "caches": [
-                [s.entry.server, round(s.open, 1), int(now < s.ejected_until or s.ejections > 0)] for s in caches
+                [s.entry.server, round(s.inflight, 1), int(now < s.ejected_until or s.ejections > 0)] for s in caches
             ],
         }
--- a/threadhill/net/event_numbers.py
+++ b/threadhill/net/event_numbers.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable
 
-from threadhill.decision.state import remember
+from threadhill.decision.state import put_bounded
 from threadhill.net.journal_events import Event
 
 MAX_REMEMBERED = 2_048  # numbers
@@ -39,7 +39,7 @@
 
     def record(self, event: Event) -> None:
         """Record an applied event."""
-        remember(self._applied, event.pos, purge_identity(event), MAX_REMEMBERED)
+        put_bounded(self._applied, event.pos, purge_identity(event), MAX_REMEMBERED)
 
     def consistent(self, events: Iterable[Event]) -> bool:
         """Whether none of these events has a number under which a different event was applied."""
--- a/threadhill/net/journal.py
+++ b/threadhill/net/journal.py
@@ -10,7 +10,7 @@
 
 from threadhill.core.engine import Engine
 from threadhill.decision import interface as api
-from threadhill.decision.hashing import number_of
+from threadhill.decision.hashing import hash_name
 from threadhill.net.event_applier import EventApplier
 from threadhill.net.journal_events import Event, read_event_steps, read_heartbeat, server_number
 from threadhill.net.news_monitor import JournalMonitor, MissingPurges
@@ -98,7 +98,7 @@
                 return
             from threadhill.ownership.feeds import Feeds
 
-            self.feeds = Feeds(list(alternatives), number_of(self.name))
+            self.feeds = Feeds(list(alternatives), hash_name(self.name))
             address = self.feeds.current()
         elif address == self.address and self.feeds is None:
             return
@@ -112,7 +112,7 @@
         if connection is not None:
             connection.abort()
         if address is not None and self.recovery is not None and not self._checking:
-            self._schedule_retry(self.recovery.first_dial(self.engine.router.set.routers))
+            self._schedule_retry(self.recovery.first_dial(self.engine.router.settings.routers))
         elif address is not None:
             self._connect()
         if not self._checking:
@@ -301,7 +301,7 @@
         return [
             {
                 "pos": self.pos,
-                "zone": self.engine.router.set.zone,
+                "zone": self.engine.router.settings.zone,
                 "part": n,
                 "of": part_count,
                 "members": members[n * HOLDINGS_PER_LINE : (n + 1) * HOLDINGS_PER_LINE],
--- a/threadhill/net/journal_events.py
+++ b/threadhill/net/journal_events.py
@@ -8,7 +8,7 @@
 
 from threadhill.core.tenants import Tenant
 from threadhill.decision import interface as api
-from threadhill.decision.hashing import number_of
+from threadhill.decision.hashing import hash_name
 from threadhill.documents import Invalid, read_tenants
 from threadhill.settings import Malformed, address, integer, mapping, number, required_integer, sequence, text
 
@@ -24,7 +24,7 @@
             return int(name[2:], 16)
         except ValueError:
             pass
-    return number_of(name) & 0xFFFFFFFF
+    return hash_name(name) & 0xFFFFFFFF
 
 
 @dataclass(frozen=True, slots=True)
--- a/threadhill/net/resp.py
+++ b/threadhill/net/resp.py
@@ -155,7 +155,7 @@
         log: Callable[[str], None],
     ) -> None:
         self.engine, self.classes, self.call_soon, self.log = engine, classes, call_soon, log
-        settings = engine.router.set
+        settings = engine.router.settings
         self.backoff = min(RETRY_AFTER, settings.max_retry_after) if settings.retry_after_allowed else 0
         self.listener = Listener(
             engine, "client", max_connections, lambda listener: ClientConnection(self, listener), log
--- a/threadhill/net/upstream.py
+++ b/threadhill/net/upstream.py
@@ -12,7 +12,7 @@
 from threadhill.core.ports import AttemptResult, AttemptSpec
 from threadhill.core.trace import Step
 from threadhill.decision import interface as api
-from threadhill.decision.state import remember
+from threadhill.decision.state import put_bounded
 from threadhill.net.shortage import is_own_shortage
 from threadhill.net.stream import Stream
 from threadhill.net.upstream_codec import (
@@ -195,7 +195,7 @@
             return
         del self.open[id]
         self._unrequested = 0
-        remember(self.answered_ids, id, None, MAX_ANSWERED)
+        put_bounded(self.answered_ids, id, None, MAX_ANSWERED)
         ended = AttemptResult(
             OUTCOMES[word],
             body,
--- a/threadhill/plans/configuration.py
+++ b/threadhill/plans/configuration.py
@@ -9,7 +9,7 @@
 from pydantic import ValidationError
 
 from threadhill import zonefile
-from threadhill.decision.hashing import number_of
+from threadhill.decision.hashing import hash_name
 from threadhill.documents import MAX_TOTAL_RECORDS
 from threadhill.plans.expr import EvalError, Ref, Scope, is_number, kind_of
 from threadhill.plans.faults import Fault, Invalid
@@ -355,7 +355,7 @@
         attrs = resource.attrs
         if resource.kind in SERVERS:
             # What stands for a server in the module: two names with one number would be taken for one server.
-            other = numbers.setdefault(number_of(resource.name) & 0xFFFFFFFF, id)
+            other = numbers.setdefault(hash_name(resource.name) & 0xFFFFFFFF, id)
             if other != id:
                 fault(id, "", f"its name comes to the same number as {other}'s: choose another")
         for zone in attrs.get("zones", ()):
--- a/threadhill/plans/forecast.py
+++ b/threadhill/plans/forecast.py
@@ -16,7 +16,7 @@
 
 from threadhill.decision import interface as api
 from threadhill.decision.choice import Router
-from threadhill.decision.hashing import number_of
+from threadhill.decision.hashing import hash_name
 from threadhill.plans import options
 from threadhill.plans.resource import Resource
 from threadhill.settings import read_settings
@@ -52,7 +52,7 @@
 
 def object_name(cls: str, place: int) -> str:
     """The object of this place in its class's order of popularity: 16 hex digits."""
-    return f"{number_of(f'{cls}/{place}'):016x}"
+    return f"{hash_name(f'{cls}/{place}'):016x}"
 
 
 def default_mix(settings: Mapping[str, Any]) -> Mix:
@@ -91,7 +91,7 @@
     entries = []
     for r in sorted(resources.values(), key=lambda r: r.id):
         if r.kind in ("box", "parent", "library"):
-            number = number_of(r.name) & 0xFFFFFFFF
+            number = hash_name(r.name) & 0xFFFFFFFF
             numbers[number] = r.id
             where = (r.attrs.get("node") or r.attrs.get("hub")).split(".", 1)[1]
             entries.append(api.Entry(number, api.State.READY, where, r.kind, r.attrs["cell"], r.attrs["size"]))
--- a/threadhill/recovery/learned.py
+++ b/threadhill/recovery/learned.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from threadhill.decision.choice import DOUBT_MOST, FADES, INTERVAL, ROOM_FIRST, Router
+from threadhill.decision.choice import DECAY_TIME, INITIAL_INFLIGHT_LIMIT, MAX_FAULT_LOG_ODDS, RATE_INTERVAL, Router
 from threadhill.decision.state import Mean, Rate, Server
 from threadhill.settings import Malformed, bounded_number, mapping, required_integer, sequence
 
@@ -35,8 +35,8 @@
     """What this router knows, as plain JSON of bounded size."""
     rows = []
     for server in list(router.fleet.servers.values())[:servers]:
-        if server.heard or server.speed or server.doubt:
-            speed = max((s for s, when in server.speed.values() if now - when < FADES), default=1.0)
+        if server.last_answer_at or server.fill_latency_ratio or server.fault_log_odds:
+            speed = max((s for s, when in server.fill_latency_ratio.values() if now - when < DECAY_TIME), default=1.0)
             rows.append(
                 [
                     server.entry.server,
@@ -44,17 +44,17 @@
                     *(
                         round(x, 4)
                         for x in (
-                            server.pace[0] if now - server.pace[1] < FADES else 1.0,
+                            server.latency_ratio[0] if now - server.latency_ratio[1] < DECAY_TIME else 1.0,
                             speed,
-                            server.room * router.location_routers,
-                            server.doubt,
-                            server.hits,
-                            server.busy,
+                            server.inflight_limit * router.location_routers,
+                            server.fault_log_odds,
+                            server.hit_ratio,
+                            server.utilization,
                         )
                     ),
                 ]
             )
-    interval, found = now // INTERVAL, []
+    interval, found = now // RATE_INTERVAL, []
     for looked, (name, rate) in enumerate(reversed(router.rates.items())):
         if looked >= LOOKED:
             break
@@ -63,11 +63,13 @@
     return {
         "servers": rows,
         "objects": [[name, rate, copies] for rate, copies, name in heapq.nlargest(objects, found)],
-        "classes": {name: [round(mean.value), mean.samples] for name, mean in list(router.sends.items())[:CLASSES]},
-        "took": round(router.usual_took.value),
-        "send": round(router.usual_send.value),
-        "work": round(router.work.most, 4),
-        "fills": round(router.fills.most, 4),
+        "classes": {
+            name: [round(mean.value), mean.samples] for name, mean in list(router.transfer_times.items())[:CLASSES]
+        },
+        "took": round(router.mean_latency.value),
+        "send": round(router.mean_transfer_time.value),
+        "work": round(router.work.peak, 4),
+        "fills": round(router.fill_work.peak, 4),
     }
 
 
@@ -105,28 +107,30 @@
     taken, keeps, health = 0, weight(age, KEEPS), weight(age, HEALTH)
     for number, since, pace, speed, room, doubt, hits, busy in known["servers"]:
         server = router.fleet.servers.get(number)
-        if server is None or server.entry.reported_start != since or server.heard:
+        if server is None or server.entry.reported_start != since or server.last_answer_at:
             continue
         taken += 1
         _prime_server(server, router.location_routers, now - age, health, pace, speed, room, doubt)
-        server.hits += health * (min(1.0, hits) - server.hits)
-        server.busy += health * (busy - server.busy)
+        server.hit_ratio += health * (min(1.0, hits) - server.hit_ratio)
+        server.utilization += health * (busy - server.utilization)
     for name, (time, samples) in known["classes"].items():
-        mean = router.sends.get(name)
+        mean = router.transfer_times.get(name)
         if mean is not None and mean.samples <= SAMPLES and samples > SAMPLES and keeps:
-            router.sends[name] = Mean(mean.value + keeps * (time - mean.value), SAMPLES + 1)
-    for mean, value in ((router.usual_took, known["took"]), (router.usual_send, known["send"])):
+            router.transfer_times[name] = Mean(mean.value + keeps * (time - mean.value), SAMPLES + 1)
+    for mean, value in ((router.mean_latency, known["took"]), (router.mean_transfer_time, known["send"])):
         if not mean.samples and value and keeps:
             mean.value, mean.samples = value, SAMPLES
     # What warm servers did bounds what cold ones are sent: an old figure counts for less, so for less credit.
-    for tally, most in ((router.work, known["work"]), (router.fills, known["fills"])):
+    for tally, most in ((router.work, known["work"]), (router.fill_work, known["fills"])):
         if not tally.mean.samples:
             tally.mean = Mean(keeps * most, math.ceil(math.sqrt(router.location_routers)))
-            tally.most = keeps * most
+            tally.peak = keeps * most
     for name, rate, copies in known["objects"]:
         own = router.rates.get(name)
-        if own is None and age < FADES:
-            own = router.rates[name] = Rate(interval=now // INTERVAL - 1, first=False, rate=weight(age, FADES) * rate)
+        if own is None and age < DECAY_TIME:
+            own = router.rates[name] = Rate(
+                interval=now // RATE_INTERVAL - 1, first_interval=False, rate=weight(age, DECAY_TIME) * rate
+            )
             own.copies = max(1, min(copies, len(router.fleet.caches)))
     return taken
 
@@ -134,10 +138,12 @@
 def _prime_server(
     server: Server, crew: int, when: int, health: float, pace: float, speed: float, room: float, doubt: float
 ) -> None:
-    server.pace = (max(0.1, pace), when)  # it fades by itself
-    server.speed = {large: (max(0.1, speed), when) for large in (False, True)} if speed != 1 else server.speed
-    server.room += health * (min(4 * ROOM_FIRST, max(1.0, room)) / crew - server.room)
-    server.doubt = max(server.doubt, health * min(doubt, DOUBT_MOST))
+    server.latency_ratio = (max(0.1, pace), when)  # it fades by itself
+    server.fill_latency_ratio = (
+        {large: (max(0.1, speed), when) for large in (False, True)} if speed != 1 else server.fill_latency_ratio
+    )
+    server.inflight_limit += health * (min(4 * INITIAL_INFLIGHT_LIMIT, max(1.0, room)) / crew - server.inflight_limit)
+    server.fault_log_odds = max(server.fault_log_odds, health * min(doubt, MAX_FAULT_LOG_ODDS))
 
 
 def merge(known: Iterable[tuple[Mapping[str, Any], int]]) -> tuple[dict[str, Any], int]:
--- a/threadhill/recovery/numbers.py
+++ b/threadhill/recovery/numbers.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 from threadhill.decision import interface as api
-from threadhill.decision.state import remember
+from threadhill.decision.state import put_bounded
 
 FAR = 10_000_000  # numbers ahead at once beyond which it is another service
 KEPT = 10_000  # servers remembered as drained or gone
@@ -47,7 +47,7 @@
         """Entries as they are about to be applied, screened."""
         for entry in entries:
             if entry.state is not api.State.READY:
-                remember(self.out, entry.server, max(entry.reported_start, self.out.get(entry.server, 0)), KEPT)
+                put_bounded(self.out, entry.server, max(entry.reported_start, self.out.get(entry.server, 0)), KEPT)
             elif not self.older:
                 self.out.pop(entry.server, None)
 
--- a/threadhill/recovery/proxy.py
+++ b/threadhill/recovery/proxy.py
@@ -64,7 +64,7 @@
         journal: Service,
     ) -> None:
         self.engine, self.config, self.log, self.journal = engine, config, log, journal
-        settings = engine.router.set
+        settings = engine.router.settings
         self.random = random.Random(seed ^ 0x5EED)
         self.phases = Phases(
             Policy(config.trust, settings.purge_grace or 500_000, config.blind), engine.clock.now(), known_at
@@ -91,7 +91,7 @@
         if allows.send:
             return None
         self.engine.stats.count("recovery", f"refused while {self.phases.phase.value}")
-        return int(COME_BACK * (1 - self.random.random() / 2)) * self.engine.router.set.retry_after_allowed
+        return int(COME_BACK * (1 - self.random.random() / 2)) * self.engine.router.settings.retry_after_allowed
 
     def may_send(self, now: int) -> bool:
         """Whether an attempt may be written now, as the module has just decided on it."""
--- a/threadhill/recovery/saved.py
+++ b/threadhill/recovery/saved.py
@@ -54,7 +54,7 @@
 ) -> dict[str, Any]:
     """What is to be kept now: `now` in local time, `unix` the Unix time of the file; absent: the same."""
     unix = now if unix is None else unix
-    purges = [[key, unix - (now - record.at)] for key, record in router.freshness.current(now).items()]
+    purges = [[key, unix - (now - record.purged_at)] for key, record in router.freshness.active_purges(now).items()]
     return {
         "pos": pos,
         "learned": learned.gather(router, now),
@@ -132,6 +132,6 @@
     for key, at in saved.purges:
         # How long the file lay only wall clocks tell, which may have been stepped: a purge is as old as it was then.
         age = max(0, saved.at - at)
-        router.freshness.purge(key, PurgeRecord(now - age, now))
+        router.freshness.add_purge(key, PurgeRecord(now - age, now))
     age = max(0, now - saved.at)
     return (learned.prime(router, saved.learned, age, now) if age <= OLDEST else 0), older
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -181,7 +181,7 @@
 
         def current_signs() -> Signs:
             origin = router.fleet.origin
-            return Signs(origin.pace[0] if origin is not None else 1.0, router.link)
+            return Signs(origin.latency_ratio[0] if origin is not None else 1.0, router.link_load)
 
         control = Control(
             settings.classes,
--- a/threadhill/standin/servers.py
+++ b/threadhill/standin/servers.py
@@ -14,7 +14,7 @@
 from contextlib import nullcontext
 from dataclasses import dataclass, field
 
-from threadhill.decision.hashing import number_of
+from threadhill.decision.hashing import hash_name
 
 BASE = 0.004  # seconds that an answer takes at full capacity
 FILL_TIME = 2.0  # seconds after which a fill is given up
@@ -27,7 +27,7 @@
 
 def body_of(thing: str, nth: str) -> bytes:
     """The bytes of one part of an object."""
-    size = SMALLEST + number_of(f"{thing}/{nth}") % (LARGEST - SMALLEST)
+    size = SMALLEST + hash_name(f"{thing}/{nth}") % (LARGEST - SMALLEST)
     word = f"{thing}/{nth};".encode()
     return (word * (size // len(word) + 1))[:size]
 
