--- a/threadhill/decision/choice.py
+++ b/threadhill/decision/choice.py
@@ -1,6 +1,7 @@
-"""The decisions of one router instance: which cache, which source, how old a copy, when to give up.
+"""The decisions of one router instance: which cache, which source, the maximum age of a copy, when to give up.
 
-After Xia et al.: an object whose rate per copy passes a threshold gets one more copy. Guards: docs/design.md.
+Replication follows Xia et al.: an object whose rate per copy exceeds a threshold gets one more copy. The numbered
+guards are described in docs/design.md.
 """
 
 from __future__ import annotations
@@ -20,96 +21,82 @@
 from threadhill.decision.running import RotatingSum
 from threadhill.decision.state import Job, Mean, Rate, Server, Tally, apply_hints, decayed, put_bounded
 
-SECOND = RATE_INTERVAL = 1_000_000  # microseconds; a request rate is counted over as many, as the design page sets it
-RATE_WEIGHT = 0.3  # weight of the newest interval in a rate: a few seconds of memory
-MIN_RATE_PER_COPY = 0.5  # requests a second per copy: what comes less than every other second keeps one copy
-COPY_THRESHOLD_SHARE = 0.1  # T as a part of the router's rate per ready cache: ten such objects fill a cache evenly
-PARTS_THRESHOLD_FACTOR = 0.2  # T for objects in parts against others: their copies split the parts and double nothing
-HOT_PARTS_SHARE = 0.5  # rate of an object in parts, in rates per ready cache, that gives each part one more copy
-MAX_OBJECT_RATES = 20_000  # objects remembered, the least recently asked goes first: a few MB
-LINK_FULL = 1.0  # x1 at which the link's transfers fill it (by its definition): no copies are added
-LINK_AVERAGING_TIME = 1_500_000  # microseconds over which reports of the link are smoothed: single fills are bursts
-LINK_CONGESTED, LINK_SHED_RANGE = (
-    1.5,
-    3.0,
-)  # x1 from which fills are left out now and then, and past that always: news is late
-SERVER_SAMPLE_WEIGHT, OVERALL_SAMPLE_WEIGHT = (
-    0.2,
-    0.02,
-)  # weight of the newest in averages: of a server, over all of them
-MIN_SOURCE_SAVING = (
-    0.25  # part of the aim that the second parent must spare: where both fill an object, the origin is asked twice
-)
-BASE_LATENCY = 50_000  # microseconds added to a sending time so that small answers compare by latency
-UNHEALTHY_FAILURE_RATE, MIN_FAILURE_RATE = (
-    0.5,
-    0.03,
-)  # parts of what it is asked that an ill server fails; that any may now and then
-EJECTION_LOG_ODDS, MAX_FAULT_LOG_ODDS = (
-    5.0,
-    7.0,
-)  # odds, as a logarithm, that eject a server (one clear failure if hardly any); the most
-MIN_SILENCE, SILENCE_LATENCIES = (
-    600_000,
-    4.0,
-)  # microseconds, and usual answer times, without any answer that are a silence
-MIN_UNANSWERED = 3  # attempts that a silent server has open at the least: one may be just large
-FIRST_EJECTION, MAX_EJECTION = (
-    SECOND,
-    8 * SECOND,
-)  # microseconds of an ejection: the first, doubled for each failed trial
-COLD_BUDGET_SHARE = 0.65  # part of a cold server's budget that is used: chance, late news, unequal routers
-INITIAL_INFLIGHT_LIMIT, MIN_INFLIGHT_LIMIT = (
-    24.0,
-    6.0,
-)  # attempts that a server may hold of all: before anything is known, and always
-CACHED_ONLY_FACTOR = 3.0  # rooms that looks for what is held may fill
-INITIAL_FILL_LIMIT, MIN_FILL_LIMIT = (
-    72.0,
-    36.0,
-)  # fills that all may ask a source for at once: before one came late, and always
-LOCATIONS_PER_SOURCE = (
-    3  # locations that such a source is sized for; one that stands for more sources has room for more
-)
-MAX_ORIGIN_LATENCY_RATIO, ORIGIN_FILL_LIMIT = (
-    1.5,
-    16.0,
-)  # the same of the origin, for what parents have no room for, up to this pace
-FILL_LIMIT_DECREASE, FILL_LIMIT_INCREASE = (
-    0.05,
-    0.01,
-)  # parts of that room: off for a late one, on for one in time, so 1 in 6 may be
-INFLIGHT_LIMIT_DECREASE = 0.1  # part of the room taken off for a refusal or an answer after the aim
-CROWDED_UTILIZATION, RELAXED_UTILIZATION = (
-    0.5,
-    0.7,
-)  # how busy a server says it is where late answers speak of crowding; where rooms hold as is
-TIMEOUT_TARGETS = 4.0  # an attempt's time-out in aims, while another may follow and the link is not jammed
-RETRY_CREDIT_PER_REQUEST, MAX_RETRY_CREDIT = (
-    0.05,
-    20.0,
-)  # further attempts that a first try pays for, and the most saved up
-INITIAL_TRANSFER_TIME, MIN_SAMPLES = (
-    50_000,
-    10,
-)  # microseconds that a sending is taken for, until so many answers settle its mean
-UNKNOWN_SIZE_WEIGHT, UNKNOWN_SIZE_MAX_RATIO = (
-    0.05,
-    3.0,
-)  # an answer of unknown size in a source's speed: its weight, its most in sending times
-DECAY_TIME, MAX_SAMPLE_WEIGHT = (
-    8 * SECOND,
-    0.5,
-)  # microseconds in which a pace or speed is forgotten; one answer's most weight
-PRIOR_DELAY = 0.25  # how slow a server is taken for that nothing is known of, where it is asked who was
-LATENCY_SAFETY = 0.6  # part of the aim that an answer should take, a fill too: times are means, and half are longer
-DEADLINE_MARGIN = 2_000  # microseconds before its deadline at which an open request is failed
-MAX_INSPECTED = 64  # servers of an object's order that one request looks at, where there are more than can be sorted
-RETRY_AFTER, LIST_RETRY_DELAY, JITTER = (
-    SECOND // 2,
-    2 * SECOND,
-    0.5,
-)  # wait after a refusal, a failed list call; part by chance
+# Copies per object. Rates are requests per second, counted over one interval and averaged.
+SECOND = RATE_INTERVAL = 1_000_000  # microseconds
+RATE_WEIGHT = 0.3  # weight of the newest interval in an average rate: remembers a few seconds
+MIN_RATE_PER_COPY = 0.5  # requests/s; an object asked for less than every other second keeps one copy
+# The rate per copy above which an object gets another copy, as a share of this router's rate per ready cache:
+# ten objects at this rate fill a cache evenly.
+COPY_THRESHOLD_SHARE = 0.1
+# Factor on that threshold for objects in parts: their copies split the parts between them and duplicate nothing.
+PARTS_THRESHOLD_FACTOR = 0.2
+# Rate of an object in parts, as a share of the rate per ready cache, for which each part gets one more copy.
+HOT_PARTS_SHARE = 0.5
+MAX_OBJECT_RATES = 20_000  # objects whose rates are kept, a few MB; the least recently requested is dropped first
+
+# The location's incoming link. Caches report its load as a ratio: 1 means that the transfers fill it.
+LINK_FULL = 1.0  # load ratio from which no copies are added, as each needs fills
+LINK_AVERAGING_TIME = 1_500_000  # microseconds over which reports are averaged, as a single fill is a burst
+# Load ratio from which some fills are skipped, and how far above it all of them are. The first is over 1 because
+# reports arrive late.
+LINK_CONGESTED, LINK_SHED_RANGE = 1.5, 3.0
+
+# Averages, latency and choice of source.
+SERVER_SAMPLE_WEIGHT, OVERALL_SAMPLE_WEIGHT = 0.2, 0.02  # weight of a new sample: for one server, for all together
+# Share of the latency target that the second parent must save to be preferred: when both fill the same object, the
+# origin is asked twice.
+MIN_SOURCE_SAVING = 0.25
+BASE_LATENCY = 50_000  # microseconds added to transfer times, so that small answers are compared by latency
+
+# Health (guard 3): outlier ejection by failures and by silence.
+# Share of its requests that an unhealthy server fails, and the least share that any server is taken to fail.
+UNHEALTHY_FAILURE_RATE, MIN_FAILURE_RATE = 0.5, 0.03
+# Logarithm of the odds that a server is unhealthy: the value that ejects it, and the highest that is kept. Where
+# hardly anything fails, two clear failures reach the first.
+EJECTION_LOG_ODDS, MAX_FAULT_LOG_ODDS = 5.0, 7.0
+# A server that owes answers is silent after this many microseconds, and after this many mean latencies, without one.
+MIN_SILENCE, SILENCE_LATENCIES = 600_000, 4.0
+MIN_UNANSWERED = 3  # unanswered attempts before a server can count as silent: a single one may just be large
+FIRST_EJECTION, MAX_EJECTION = SECOND, 8 * SECOND  # microseconds; doubled for each failed trial, up to the second
+
+# Limits on what servers are sent (guards 2, 8 and 11).
+# Share of a cold server's budget that is used: leaves a margin for chance, late lists and unequal routers.
+COLD_BUDGET_SHARE = 0.65
+# Attempts in flight at one server from all routers of the location: the initial limit, and the lowest.
+INITIAL_INFLIGHT_LIMIT, MIN_INFLIGHT_LIMIT = 24.0, 6.0
+CACHED_ONLY_FACTOR = 3.0  # factor on the in-flight and fill limits for attempts that are answered from copies only
+# Fills in flight at one source from all routers: the initial limit, and the lowest.
+INITIAL_FILL_LIMIT, MIN_FILL_LIMIT = 72.0, 36.0
+LOCATIONS_PER_SOURCE = 3  # locations that these fill limits are meant for; a source that serves more has higher ones
+# What parents have no capacity for is filled from the origin while the latency ratio of the origin is below the first
+# value; the second is the limit on fills in flight there from all routers.
+MAX_ORIGIN_LATENCY_RATIO, ORIGIN_FILL_LIMIT = 1.5, 16.0
+# Share of the fill limit taken off for a late fill, and added for one in time: up to one in six may be late.
+FILL_LIMIT_DECREASE, FILL_LIMIT_INCREASE = 0.05, 0.01
+INFLIGHT_LIMIT_DECREASE = 0.1  # share of the in-flight limit taken off for a refusal or a late answer
+# Utilization that a server reports: from the first on, late answers are put down to crowding; at the second, the
+# in-flight limit is applied as it is.
+CROWDED_UTILIZATION, RELAXED_UTILIZATION = 0.5, 0.7
+
+# Retries (guard 4).
+TIMEOUT_TARGETS = 4.0  # attempt timeout in latency targets, while a retry is possible and the link is not congested
+RETRY_CREDIT_PER_REQUEST, MAX_RETRY_CREDIT = 0.05, 20.0  # retries earned per request, and the most saved up
+
+# Latency estimates.
+# Microseconds assumed for a transfer, and the number of answers from which the measured mean is used.
+INITIAL_TRANSFER_TIME, MIN_SAMPLES = 50_000, 10
+# For an answer of unknown size: its weight in the latency of a source, and the most that it counts for, in transfer
+# times.
+UNKNOWN_SIZE_WEIGHT, UNKNOWN_SIZE_MAX_RATIO = 0.05, 3.0
+DECAY_TIME, MAX_SAMPLE_WEIGHT = 8 * SECOND, 0.5  # microseconds until a latency ratio is forgotten; most weight of one
+# Excess latency ratio assumed of a server that nothing is known of, when a delay is split between server and source.
+PRIOR_DELAY = 0.25
+# Share of the latency target that an answer or a fill should take: estimates are means, and half of all take longer.
+LATENCY_SAFETY = 0.6
+DEADLINE_MARGIN = 2_000  # microseconds before its deadline at which an open request is answered as failed
+MAX_INSPECTED = 64  # servers of an object's order that one request looks at, where the order is not sorted whole
+# Microseconds a client waits after a refusal, and a router after a failed list call; the random share of such waits.
+RETRY_AFTER, LIST_RETRY_DELAY, JITTER = SECOND // 2, 2 * SECOND, 0.5
 
 
 @dataclass(slots=True)
