--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -106,7 +106,7 @@
     Mutant(
         "a cold start is forgotten",
         "decision/choice.py",
-        "        if not server.entry.start_time or age >= ramp:\n",
+        "        if not server.entry.start_time or age >= warm_up_time:\n",
         "        if True:\n",
         (Rule.COLD,),
     ),
@@ -114,11 +114,11 @@
         "what may have run once is asked again",
         "decision/choice.py",
         "        return (\n"
-        "            min(late, job.may_have_run[0][1] + job.cls.dedup_window - self.settings.tick)\n"
-        "            if effect is api.RetrySafety.KEYED\n"
+        "            min(latest, job.may_have_run[0][1] + job.cls.dedup_window - self.settings.tick)\n"
+        "            if retry_safety is api.RetrySafety.KEYED\n"
         "            else 0\n"
         "        )",
-        "        return late",
+        "        return latest",
         (Rule.TWICE,),
     ),
     Mutant(
@@ -190,7 +190,13 @@
         "        if job is not None and self.now >= job.deadline - DEADLINE_MARGIN:\n",
         "        if False:\n",
         (Rule.LOST,),
-        (("decision/choice.py", "        job.timeout = limit\n", "        limit = 0\n        job.timeout = limit\n"),),
+        (
+            (
+                "decision/choice.py",
+                "        job.timeout = timeout\n",
+                "        timeout = 0\n        job.timeout = timeout\n",
+            ),
+        ),
     ),
 )
 
--- a/threadhill/decision/choice.py
+++ b/threadhill/decision/choice.py
@@ -101,23 +101,24 @@
 
 @dataclass(slots=True)
 class Candidates:
-    """What a request found of its object's order of caches."""
+    """The caches that a request may use, from its object's order."""
 
-    any_eligible: bool = False  # whether any may be chosen at all
-    in_time: list[Server] = field(default_factory=list)  # those that are likely to answer in time
-    usable: list[Server] = field(default_factory=list)  # those of them that have room
+    any_eligible: bool = False  # whether any cache may be chosen
+    in_time: list[Server] = field(default_factory=list)  # those likely to answer in time
+    usable: list[Server] = field(default_factory=list)  # those of them with spare capacity
 
 
 class Router:
-    """Decides for one instance: `start` once, then `handle` for each event; both return actions."""
+    """Decides for one instance: call `start` once, then `handle` for each event; both return actions."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings, self.random = settings, random.Random(seed)
-        self.location_routers = settings.location_routers  # routers of this location
+        self.location_routers = settings.location_routers
+        # This router's share of the limits, which are meant for all routers together.
         self.initial_inflight_limit, self.min_inflight_limit = (
             INITIAL_INFLIGHT_LIMIT / self.location_routers,
             MIN_INFLIGHT_LIMIT / self.location_routers,
-        )  # a part of what binds all
+        )
         self.min_fill_limit, self.origin_fill_limit = (
             MIN_FILL_LIMIT / settings.routers,
             ORIGIN_FILL_LIMIT / settings.routers,
@@ -128,20 +129,17 @@
         self.fleet = Fleet(settings.zone, settings.parent_kind, settings.origin_kind)
         self.jobs: dict[str, Job] = {}
         self.rates: dict[str, Rate] = {}
-        self.total_rate, self.work, self.fill_work = (
-            Rate(),
-            Tally(),
-            Tally(),
-        )  # requests; seconds of sending served, and filled
+        # Requests; seconds of transfer time served, and the part of them that was filled.
+        self.total_rate, self.work, self.fill_work = Rate(), Tally(), Tally()
         self.transfer_times = {name: Mean(INITIAL_TRANSFER_TIME, 1) for name in settings.classes}
         self.mean_latency, self.mean_transfer_time, self.mean_failure_rate = Mean(), Mean(), Mean(MIN_FAILURE_RATE, 50)
         self.mean_fill_ratio: dict[bool, Mean] = {}
         self.fill_sources: dict[tuple[str, int], int] = {}  # (request, attempt) -> source of its fill
-        self.latency_deadlines: list[tuple[int, str, int]] = []  # when each attempt that is out should be over: a heap
+        self.latency_deadlines: list[tuple[int, str, int]] = []  # heap: when each attempt misses its latency target
         self.retry_credit = self.max_retry_credit = max(1.0, MAX_RETRY_CREDIT / self.location_routers)
-        self.location_fills = RotatingSum()  # fills that the location's caches have asked for
-        self.router_locations = sum(map(bool, settings.zone_routers))  # those with routers
-        self.link_load, self.link_reported_at = 0.0, 0  # how full the location's link in is, and when that was told
+        self.location_fills = RotatingSum()  # fills in flight for the location's caches
+        self.router_locations = sum(map(bool, settings.zone_routers))  # locations that have routers
+        self.link_load, self.link_reported_at = 0.0, 0  # load ratio of the location's incoming link, and its time
         self.handlers = {
             api.Request: self.on_request,
             api.AttemptEnded: self.on_attempt_ended,
@@ -155,11 +153,11 @@
         }
 
     def start(self, now: int) -> list[api.Action]:
-        """The instance starts; where the list must be asked for, subscribe."""
+        """Start the instance; subscribe to the server list where it is not pushed."""
         return [api.FollowList(True)] if self.settings.list_on_request else []
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Decide on one event; kinds that decide nothing here (probes, peers) are ignored."""
+        """Handle one event; kinds that are not used here (probes, peers) are ignored."""
         self.now, self.actions = now, []
         while self.latency_deadlines and self.latency_deadlines[0][0] <= now:
             self.on_target_missed(*heapq.heappop(self.latency_deadlines)[1:])
@@ -171,7 +169,7 @@
         self.jobs.pop(event.id, None)
 
     def on_hints(self, hints: api.Hints) -> None:
-        """What others report, where a control plane tells it, adds to what is counted here, and binds nothing."""
+        """Merge what other routers report, where a control plane provides it, into the local estimates."""
         apply_hints(hints, self.now - hints.age, self.rates, self.fleet.caches, MAX_OBJECT_RATES, EJECTION_LOG_ODDS)
 
     def on_unsure(self, event: api.Unsure) -> None:
@@ -181,13 +179,13 @@
     def on_list(self, news: api.ListNews) -> None:
         if news.kind is not api.ListKind.FAILED:
             self.fleet.update(news, self.initial_inflight_limit)
-            serves = self.router_locations / max(1, len(self.fleet.parents))  # locations each
-            fills = max(1.0, serves / LOCATIONS_PER_SOURCE) / self.settings.routers
-            self.min_fill_limit = MIN_FILL_LIMIT * fills
+            locations = self.router_locations / max(1, len(self.fleet.parents))  # locations per parent
+            scale = max(1.0, locations / LOCATIONS_PER_SOURCE) / self.settings.routers
+            self.min_fill_limit = MIN_FILL_LIMIT * scale
             for entry in news.entries:
                 source = self.fleet.servers.get(entry.server)
                 if source is not None and source.fill_limit == math.inf:
-                    source.fill_limit = INITIAL_FILL_LIMIT * fills
+                    source.fill_limit = INITIAL_FILL_LIMIT * scale
         elif self.settings.list_on_request:
             self.actions.append(api.SetTimer(self.jitter(LIST_RETRY_DELAY), "list"))
 
@@ -207,75 +205,80 @@
             self.actions.append(api.FollowList(True))
 
     def has_cold_credit(self, server: Server, work: float, weight: float = 1.0) -> bool:
-        """Guard 2: a cold server gets less than a fair share of what pushes it over, by the most that its peers served
-        (or filled), as credit from a random start: one may outweigh a share. Many clients (weight) must fit."""
-        parent = server.entry.kind == self.settings.parent_kind
-        low, ramp, multiple = self.settings.slow_start_rule(parent)
+        """Guard 2: whether a cold server's credit covers this work. Credit accrues at less than this router's fair
+        share of the load that would overload the server, taken from the peak that its peers served (or filled). It
+        starts at a random value, as a single request may exceed a router's share. All clients that a request stands
+        for (`weight`) must fit."""
+        is_parent = server.entry.kind == self.settings.parent_kind
+        cold_capacity, warm_up_time, multiple = self.settings.slow_start_rule(is_parent)
         age = self.now - server.entry.start_time
-        if not server.entry.start_time or age >= ramp:
+        if not server.entry.start_time or age >= warm_up_time:
             return True
-        share = COLD_BUDGET_SHARE * multiple * (low + (1 - low) * max(0, age) / ramp)
-        share *= self.fill_work.peak / self.fleet.peak_parents if parent else self.work.peak / self.fleet.peak_caches
-        most = max(work / weight, share * self.settings.overload_window / SECOND / 2)
-        return server.accrue_credit(self.now, share / SECOND, most, self.random.random() * work) >= work
+        budget = COLD_BUDGET_SHARE * multiple * (cold_capacity + (1 - cold_capacity) * max(0, age) / warm_up_time)
+        budget *= (
+            self.fill_work.peak / self.fleet.peak_parents if is_parent else self.work.peak / self.fleet.peak_caches
+        )
+        max_credit = max(work / weight, budget * self.settings.overload_window / SECOND / 2)
+        return server.accrue_credit(self.now, budget / SECOND, max_credit, self.random.random() * work) >= work
 
     def eject_silent(self) -> None:
-        """Guard 3: servers that are hung, cut off or stalled, found among those that owe a sign of life."""
-        silence = max(MIN_SILENCE, SILENCE_LATENCIES * self.mean_latency.value)
+        """Guard 3: eject servers that are hung, cut off or stalled, among those with unanswered attempts."""
+        max_silence = max(MIN_SILENCE, SILENCE_LATENCIES * self.mean_latency.value)
         for number, server in list(self.fleet.maybe_silent.items()):
             if server.unanswered < MIN_UNANSWERED:
                 del self.fleet.maybe_silent[number]
-            elif self.now - server.unanswered_since > silence and server in self.fleet.peers(server):
-                server.silent = self.settings.direct_to_origin  # then there is a way past it
+            elif self.now - server.unanswered_since > max_silence and server in self.fleet.peers(server):
+                server.silent = self.settings.direct_to_origin  # only then can requests bypass it
                 self.eject(server, silent=True)
 
     def eligible(self, order: Iterable[Server], work: float, weight: float = 1.0) -> Iterator[Server]:
-        """Guards 1 to 3: those of an order that may be chosen, found as they are asked for. If all that are looked at
-        look ill the fault lies elsewhere, unless they are silent."""
+        """Guards 1 to 3: the servers of an order that may be chosen, one at a time. If all that are inspected are
+        ejected, the fault lies elsewhere, so those that are not silent are used after all."""
         ejected: list[Server] = []
-        some_well = False
+        any_healthy = False
         for server in islice(order, MAX_SORTED if self.fleet.caches.fully_sorted else MAX_INSPECTED):
             if self.now < server.ejected_until:
                 ejected.append(server)
                 continue
-            some_well = True
+            any_healthy = True
             if self.has_cold_credit(server, work * weight, weight):
                 yield server
-        for server in ejected if not some_well else ():
+        for server in ejected if not any_healthy else ():
             if not server.silent and self.has_cold_credit(server, work * weight, weight):
                 yield server
 
     def others_inflight(self, cache: Server) -> float:
-        """Attempts of the location's other routers there: as reported lately, else by own traffic."""
-        rate = (
-            self.total_rate.count if self.total_rate.first_interval else self.total_rate.rate
-        )  # what came in the first second, so far
-        own = rate * self.mean_latency.value / SECOND / max(1, len(self.fleet.caches))
-        return cache.others_inflight(self.now, (self.location_routers - 1) * own, INITIAL_INFLIGHT_LIMIT)
-
-    def has_capacity(self, server: Server, times: float, part: float) -> bool:
-        """Guard 8: whether one more fits a share of a room; under one, odds: 1 while others are far under the room."""
-        share = server.inflight_limit * times / min(1.0, max(0.25, server.utilization / RELAXED_UTILIZATION))
-        if share >= 1 or server.inflight >= 1:
-            return server.inflight + part < share
-        return part < share or (0.5 + part) * self.others_inflight(server) < share * self.location_routers
-
-    def may_fill(self, source: Server, share: float, part: float) -> bool:
-        """Guard 11: the same for a fill. All locations are taken to ask as this one does."""
-        if share >= 1 or source.inflight_fills >= 1:
-            return source.inflight_fills + part < share
-        here = (
+        """Attempts that other routers of the location have in flight there: reported, or estimated from own traffic."""
+        # During the first interval there is no average yet: use the count so far.
+        rate = self.total_rate.count if self.total_rate.first_interval else self.total_rate.rate
+        own_inflight = rate * self.mean_latency.value / SECOND / max(1, len(self.fleet.caches))
+        return cache.others_inflight(self.now, (self.location_routers - 1) * own_inflight, INITIAL_INFLIGHT_LIMIT)
+
+    def has_capacity(self, server: Server, limit_factor: float, fraction: float) -> bool:
+        """Guard 8: whether one more attempt fits `times` the server's in-flight limit. Where this router's share of the
+        limit is under one attempt, `part` (a random number) decides: always yes while others are far below it."""
+        limit = server.inflight_limit * limit_factor / min(1.0, max(0.25, server.utilization / RELAXED_UTILIZATION))
+        if limit >= 1 or server.inflight >= 1:
+            return server.inflight + fraction < limit
+        return fraction < limit or (0.5 + fraction) * self.others_inflight(server) < limit * self.location_routers
+
+    def may_fill(self, source: Server, limit: float, fraction: float) -> bool:
+        """Guard 11: whether one more fill fits the source's limit. Other locations are assumed to fill as much."""
+        if limit >= 1 or source.inflight_fills >= 1:
+            return source.inflight_fills + fraction < limit
+        location_fills = (
             self.location_fills.total(
                 self.fleet.caches, lambda s: (s.inflight + self.others_inflight(s)) * (1 - s.hit_ratio)
             )
             / self.location_routers
         )
         is_parent = not self.fleet.parents or source in self.fleet.parents
-        own = here / max(1, len(self.fleet.parents)) if is_parent else source.recent_fills(self.now)
-        return part < share or (0.5 + part) * self.settings.routers * own < share * self.settings.routers
+        own = location_fills / max(1, len(self.fleet.parents)) if is_parent else source.recent_fills(self.now)
+        return fraction < limit or (0.5 + fraction) * self.settings.routers * own < limit * self.settings.routers
 
     def in_time_probability(self, job: Job, server: Server) -> float:
-        """How likely one as slow as lately may be chosen, by one draw for all: where all are slow, some is refused."""
+        """The probability with which a server as slow as this one may be chosen. A request makes one draw for all
+        servers, so that part of the load is refused where all of them are slow."""
         return (
             LATENCY_SAFETY
             * (job.latency_target or job.request.time_left)
@@ -283,55 +286,57 @@
         ) ** 2
 
     def fill_in_time_probability(self, job: Job, source: Server) -> float:
-        """The same for a fill: from a source that lately filled too slowly for the aim few are asked for."""
-        took = decayed(source.fill_latency_ratio.get(job.large, (1.0, 0)), self.now, DECAY_TIME) * (
+        """The same for a fill: a source that was too slow for the latency target lately is asked for few."""
+        expected = decayed(source.fill_latency_ratio.get(job.large, (1.0, 0)), self.now, DECAY_TIME) * (
             job.transfer_time + BASE_LATENCY
         )
-        return (LATENCY_SAFETY * job.latency_target / took) ** 2
+        return (LATENCY_SAFETY * job.latency_target / expected) ** 2
 
-    def count_request(self, ask: api.Request, parts: bool, caches: int) -> None:
-        """Count the request, own for all of the location's, and adapt the object's copies."""
+    def count_request(self, request: api.Request, in_parts: bool, caches: int) -> None:
+        """Count the request and adapt the object's number of copies. The location's rate is extrapolated from this
+        router's own requests."""
         interval = self.now // RATE_INTERVAL
         self.total_rate.advance(interval, self.rate_weight, 1.0)
-        rate = self.rates.get(ask.object)
-        gap = (
+        rate = self.rates.get(request.object)
+        intervals = (
             rate.advance(interval, self.rate_weight, 1 / self.location_routers)
             if rate
             else 1 - 1 / self.location_routers
         )
-        steps, rate = round(self.location_routers * gap), rate or Rate(interval=interval)
-        # With this request counted: at one of many routers the second one in a few seconds is news of a hot object.
-        news = min(self.rate_weight * (rate.count + 1 - rate.rate), 1 / max(1, gap))
-        asked = (
-            self.location_routers * (rate.rate + news)
+        steps, rate = round(self.location_routers * intervals), rate or Rate(interval=interval)
+        # Includes this request: at one of many routers, a second one within seconds already indicates a hot object.
+        increase = min(self.rate_weight * (rate.count + 1 - rate.rate), 1 / max(1, intervals))
+        location_rate = (
+            self.location_routers * (rate.rate + increase)
             if not rate.first_interval or rate.count
             else float(self.location_routers > 1)
         )
-        asked = max(asked, rate.hinted_rate(self.now))
-        put_bounded(self.rates, ask.object, rate, MAX_OBJECT_RATES)
+        location_rate = max(location_rate, rate.hinted_rate(self.now))
+        put_bounded(self.rates, request.object, rate, MAX_OBJECT_RATES)
         share = COPY_THRESHOLD_SHARE * self.location_routers * self.total_rate.rate / max(1, caches)
-        limit = max(MIN_RATE_PER_COPY, share) * (PARTS_THRESHOLD_FACTOR if parts else 1.0)
+        limit = max(MIN_RATE_PER_COPY, share) * (PARTS_THRESHOLD_FACTOR if in_parts else 1.0)
         for _ in range(min(steps, caches)):
-            if asked / rate.copies > limit and (parts or self.link_load < LINK_FULL):  # further copies need fills
+            if location_rate / rate.copies > limit and (
+                in_parts or self.link_load < LINK_FULL
+            ):  # more copies need fills
                 rate.copies += 1
-            elif rate.copies > 1 and asked / (rate.copies - 1) < limit:
+            elif rate.copies > 1 and location_rate / (rate.copies - 1) < limit:
                 rate.copies -= 1
         rate.copies = max(1, min(rate.copies, caches))
-        rate.count += not ask.repeat
-        self.total_rate.count += not ask.repeat
+        rate.count += not request.repeat
+        self.total_rate.count += not request.repeat
 
     def choose_source(self, job: Job) -> Server | None:
-        """The faster for the size of the object's first two parents; the origin where none may be asked."""
-        name = (
-            f"{job.request.object}/{job.request.part}" if job.cls.in_parts else job.request.object
-        )  # a hot object's parts spread
-        fit = self.eligible(self.fleet.parents.ordered_for(name), job.work)
-        parents = list(islice((p for p in fit if p.entry.server not in job.avoid), 2))
+        """The faster of the object's first two parents for its size, or the origin where no parent may be used."""
+        # The parts of a hot object are spread over the parents.
+        name = f"{job.request.object}/{job.request.part}" if job.cls.in_parts else job.request.object
+        eligible = self.eligible(self.fleet.parents.ordered_for(name), job.work)
+        parents = list(islice((p for p in eligible if p.entry.server not in job.avoid), 2))
         if len(parents) < 2 or self.settings.cache_status_detail is api.CacheStatusDetail.NONE:
             return parents[0] if parents else self.fleet.origin
-        usual = self.mean_fill_ratio.get(job.large, Mean(1.0)).value
-        heard = [p.fill_latency_ratio.get(job.large, (usual, self.now)) for p in parents]
-        first, second = (time if self.now - when < DECAY_TIME else usual for time, when in heard)
+        mean_ratio = self.mean_fill_ratio.get(job.large, Mean(1.0)).value
+        ratios = [p.fill_latency_ratio.get(job.large, (mean_ratio, self.now)) for p in parents]
+        first, second = (ratio if self.now - when < DECAY_TIME else mean_ratio for ratio, when in ratios)
         return (
             parents[1]
             if first - second > MIN_SOURCE_SAVING * job.latency_target / (job.transfer_time + BASE_LATENCY)
@@ -339,68 +344,74 @@
         )
 
     def route_read(self, job: Job) -> tuple[Server, Server] | None:
-        """One of the first k of the object's order that are fit and have room; None if none may be asked."""
+        """A server and a source: one of the first k eligible caches with spare capacity, k being the object's number
+        of copies. None if there is none."""
         job.cached_only = False
         self.eject_silent()
-        draw, part = self.random.random(), self.random.random()
+        draw, fraction = self.random.random(), self.random.random()
         rate, source = self.rates.get(job.request.object, Rate()), self.choose_source(job)
         if job.request.hand_over and source is not None and source.ejections:
-            source = None  # nothing comes back of it, so it is no trial of one that was ejected
-        found = self.find_candidates(job, rate.copies, draw, part)
+            source = None  # no result is reported, so it cannot be a trial of an ejected server
+        found = self.find_candidates(job, rate.copies, draw, fraction)
         if (
             not found.any_eligible
             and self.settings.direct_to_origin
             and source is not None
-            and source.inflight + part < source.inflight_limit
+            and source.inflight + fraction < source.inflight_limit
         ):
-            may = self.in_dedup_scope(job, source) and draw < self.in_time_probability(job, source)
-            return (source, self.fleet.origin or source) if may else None  # its own source: only what it holds
+            may_use = self.in_dedup_scope(job, source) and draw < self.in_time_probability(job, source)
+            # With itself as its source, an origin answers from what it holds.
+            return (source, self.fleet.origin or source) if may_use else None
         usable = found.usable
         if not usable and not job.request.hand_over:
-            # What fills the rooms may be waiting for a slow origin. What is held needs none of that: only a look.
-            usable, source = [s for s in found.in_time if self.has_capacity(s, CACHED_ONLY_FACTOR, part)], None
+            # Caches may be at their limit because of fills from a slow origin. Copies that they hold need no fill, so
+            # ask for those only.
+            usable, source = [s for s in found.in_time if self.has_capacity(s, CACHED_ONLY_FACTOR, fraction)], None
         usable = [s for s in usable if s.entry.server not in job.avoid] or usable
         pool = usable[: rate.copies]
         if not pool:
             return None
         if job.cls.in_parts:
-            # Parts are kept one by one: one draw for each. All may ask for one part of a live object at once.
-            share = HOT_PARTS_SHARE * self.total_rate.rate / max(1, len(self.fleet.caches))
-            copies = 1 + int(rate.rate / share) if share else 1
+            # Each part has its own order, as caches keep parts one by one. Clients of a live object may all ask for the
+            # same part at once, so hot parts get more copies.
+            rate_per_copy = HOT_PARTS_SHARE * self.total_rate.rate / max(1, len(self.fleet.caches))
+            copies = 1 + int(rate.rate / rate_per_copy) if rate_per_copy else 1
             pool = self.fleet.caches.sort_for(f"{job.request.object}/{job.request.part}", pool)[:copies]
         cache = pool[self.random.randrange(len(pool))]
         origin = self.fleet.origin
-        if source is not None and not self.may_fill(source, source.fill_limit, part):  # Guard 11
-            job.cached_only = source is not origin  # which holds everything
+        if source is not None and not self.may_fill(source, source.fill_limit, fraction):  # Guard 11
+            job.cached_only = source is not origin  # the origin holds everything
             if (
                 origin is not None
-                and self.may_fill(origin, self.origin_fill_limit, part)
+                and self.may_fill(origin, self.origin_fill_limit, fraction)
                 and draw < self.fill_in_time_probability(job, origin)
                 and decayed(origin.latency_ratio, self.now, DECAY_TIME) < MAX_ORIGIN_LATENCY_RATIO
             ):
                 source, job.cached_only = origin, False
-            elif not job.cached_only or not self.may_fill(source, CACHED_ONLY_FACTOR * source.fill_limit, part):
+            elif not job.cached_only or not self.may_fill(source, CACHED_ONLY_FACTOR * source.fill_limit, fraction):
                 return cache, cache
-        # Guard 9: a jammed link serves nobody in time, so the cache is asked only for what it holds. What is
-        # small for its link time is still filled, as more answers fit.
+        # Guard 9: a congested link delivers nothing in time, so fills are skipped and the cache answers from its copies
+        # only. Small objects are skipped less often, as more of them fit.
         excess = (
             (self.link_load - LINK_CONGESTED)
             / LINK_SHED_RANGE
             * job.transfer_time
             / (self.mean_transfer_time.value or 1)
         )
-        filled = (
+        fill = (
             source is not None and self.random.random() >= excess and draw < self.fill_in_time_probability(job, source)
         )
-        return cache, source if filled else cache
-
-    def find_candidates(self, job: Job, copies: int, draw: float, part: float) -> Candidates:
-        """Guards 1 to 3, 6 and 8: look through the object's order of caches until as many usable ones are found as it
-        has copies. Full caches refuse: sending past them would only move the crowd to link and origin."""
-        own, blind = (
+        return cache, source if fill else cache
+
+    def find_candidates(self, job: Job, copies: int, draw: float, fraction: float) -> Candidates:
+        """Guards 1 to 3, 6 and 8: go through the object's order of caches until as many usable ones are found as it has
+        copies. Full caches count as unusable: using others instead would only move the load to the link and the
+        origin."""
+        # A hand-over is not refused by an in-flight limit that is still the initial guess.
+        limit_share, initial_limit = (
             job.request.inflight_share,
             self.initial_inflight_limit if job.request.hand_over else -1,
-        )  # a guessed room refuses no such one
+        )
         order, wanted = self.caches_for(job, copies)
         found = Candidates()
         not_avoided = 0
@@ -413,9 +424,9 @@
                 continue
             found.in_time.append(server)
             if (
-                self.has_capacity(server, own, part * job.request.weight)
+                self.has_capacity(server, limit_share, fraction * job.request.weight)
                 or not server.last_answer_at
-                and server.inflight_limit == blind
+                and server.inflight_limit == initial_limit
             ):
                 found.usable.append(server)
                 not_avoided += server.entry.server not in job.avoid
@@ -424,30 +435,30 @@
         return found
 
     def caches_for(self, job: Job, copies: int) -> tuple[Iterable[Server], int]:
-        """The object's order of caches, and how many usable ones are wanted of it. Where there are many caches, an
-        object with more copies than places are kept has several orders, each with as many places: each request looks
-        at one place of one of them only, and parts have an order each."""
+        """The object's order of caches, and how many usable ones are wanted of it. Where there are too many caches to
+        sort, an object with more copies than cached places has several orders of that many places, and each request
+        uses one place of one of them. Parts have an order each."""
         name, caches = job.request.object, self.fleet.caches
         if caches.fully_sorted or copies <= CACHED_PLACES:
             return caches.ordered_for(name), copies
         if job.cls.in_parts:
             return caches.ordered_for(f"{name}/{job.request.part}"), 1
-        which = self.random.randrange(-(-copies // CACHED_PLACES))
-        order = caches.ordered_for(f"{name}#{which}" if which else name)
+        order_number = self.random.randrange(-(-copies // CACHED_PLACES))
+        order = caches.ordered_for(f"{name}#{order_number}" if order_number else name)
         return islice(order, self.random.randrange(CACHED_PLACES), None), 1
 
     def route_write(self, job: Job) -> tuple[Server, Server] | None:
-        """Uncacheable classes take the shortest way that can run them: the origin, or through a cache."""
+        """Requests that cannot be cached go directly to the origin, or through a cache where that is not allowed."""
         origin = self.fleet.origin
         if origin is None:
             return None
         name = job.request.object or job.request.id
         self.eject_silent()
-        fit: Iterable[Server] = (
+        servers: Iterable[Server] = (
             [origin] if self.settings.direct_to_origin else self.eligible(self.fleet.caches.ordered_for(name), job.work)
         )
         avoided = None
-        for server in fit:
+        for server in servers:
             if not self.in_dedup_scope(job, server):
                 continue
             if server.entry.server not in job.avoid:
@@ -455,58 +466,61 @@
             avoided = avoided or server
         return (avoided, origin) if avoided is not None else None
 
-    def on_request(self, ask: api.Request) -> None:
-        cls = self.settings.classes.get(ask.cls) or api.RequestClass(ask.cls, retry_safety=api.RetrySafety.UNSAFE)
-        job = Job(ask, cls, self.now + ask.time_left, cls.write or ask.write)
-        self.jobs[ask.id] = job
+    def on_request(self, request: api.Request) -> None:
+        cls = self.settings.classes.get(request.cls) or api.RequestClass(
+            request.cls, retry_safety=api.RetrySafety.UNSAFE
+        )
+        job = Job(request, cls, self.now + request.time_left, cls.write or request.write)
+        self.jobs[request.id] = job
         mean = self.transfer_times.setdefault(cls.name, Mean(INITIAL_TRANSFER_TIME, 1))
-        job.size_known = bool(ask.size and self.settings.client_kb_per_s)
+        job.size_known = bool(request.size and self.settings.client_kb_per_s)
         if job.size_known:
-            mean.add(ask.size / self.settings.client_kb_per_s * SECOND, OVERALL_SAMPLE_WEIGHT)
-        job.transfer_time = ask.size / self.settings.client_kb_per_s * SECOND if job.size_known else mean.value
+            mean.add(request.size / self.settings.client_kb_per_s * SECOND, OVERALL_SAMPLE_WEIGHT)
+        job.transfer_time = request.size / self.settings.client_kb_per_s * SECOND if job.size_known else mean.value
         job.large, job.work = job.transfer_time > mean.value, mean.value / SECOND
         job.latency_target = cls.latency_target + cls.latency_target_stretch * job.transfer_time
         if not job.write:
             self.mean_transfer_time.add(job.transfer_time, OVERALL_SAMPLE_WEIGHT)
-            self.count_request(ask, cls.in_parts, len(self.fleet.caches))
-        if ask.hand_over:
+            self.count_request(request, cls.in_parts, len(self.fleet.caches))
+        if request.hand_over:
             self.hand_over(job)
             return
         self.retry_credit = min(self.max_retry_credit, self.retry_credit + RETRY_CREDIT_PER_REQUEST)
-        self.actions.append(api.SetTimer(max(0, ask.time_left - DEADLINE_MARGIN), ask.id))
+        self.actions.append(api.SetTimer(max(0, request.time_left - DEADLINE_MARGIN), request.id))
         self.start_attempt(job)
 
     def hand_over(self, job: Job) -> None:
-        """Guard 10: a client that goes there itself spends credit and room like an attempt, but is no sign of
-        health either way. It can't be told an age: after a purge only the origin is sure to give a new copy."""
+        """Guard 10: name a server to a client that connects to it itself. It counts against credit and in-flight limit
+        like an attempt, but says nothing about health. The client cannot be given a maximum age, so after a purge
+        only the origin is certain to have a new copy."""
         origin = self.fleet.origin
-        fresh = (origin, origin) if self.settings.direct_to_origin and origin is not None else None
-        way = fresh if job.write or self.max_copy_age(job) else self.route_read(job)
-        if way is None:
+        direct = (origin, origin) if self.settings.direct_to_origin and origin is not None else None
+        route = direct if job.write or self.max_copy_age(job) else self.route_read(job)
+        if route is None:
             self.finish(job)
             return
-        self.charge(job, *way)
+        self.charge(job, *route)
         del self.jobs[job.request.id]
-        self.actions.append(api.HandOver(job.request.id, way[0].entry.server, int(job.transfer_time)))
+        self.actions.append(api.HandOver(job.request.id, route[0].entry.server, int(job.transfer_time)))
 
     @staticmethod
     def charge(job: Job, server: Server, source: Server) -> list[Server]:
-        """Take credit and room for what is sent there; the servers that it is work for."""
-        asked = [server] if source is server else [server, source]
-        for one in asked:
-            one.credit -= job.work * job.request.weight
+        """Account for an attempt in credit and in-flight count; returns the servers that do work for it."""
+        servers = [server] if source is server else [server, source]
+        for each in servers:
+            each.credit -= job.work * job.request.weight
         server.inflight += job.request.weight
-        return asked
+        return servers
 
     def start_attempt(self, job: Job) -> None:
-        """Send the request on, or end it where nothing may be asked."""
-        way = self.route_write(job) if job.write else self.route_read(job)
-        if way is None:
+        """Send the request to a server, or finish it where none may be used."""
+        route = self.route_write(job) if job.write else self.route_read(job)
+        if route is None:
             self.finish(job)
             return
-        server, source = way
-        for one in [s for s in self.charge(job, server, source) if s.ejections]:
-            self.start_ejection(one)  # a trial: out again, for longer, unless it goes well
+        server, source = route
+        for ejected in [s for s in self.charge(job, server, source) if s.ejections]:
+            self.start_ejection(ejected)  # a trial: ejected again for longer, unless it succeeds
         if source is not server:
             source.add_fills(self.now, 1)
             self.fill_sources[job.request.id, len(job.attempts)] = source.entry.server
@@ -518,15 +532,16 @@
             job.cls.freshness_lifetime
         )
         mode |= FillMode.CACHED_ONLY * (job.cached_only and source is not server)
-        limit = max(1, job.deadline - self.now - 2 * DEADLINE_MARGIN)  # before the timer, to be learnt from
-        spare = (
+        # The attempt ends before the request's timer, so that its result still counts.
+        timeout = max(1, job.deadline - self.now - 2 * DEADLINE_MARGIN)
+        may_retry = (
             len(job.attempts) + 1 < self.settings.max_attempts
             and self.retry_credit >= 1
             and self.link_load < LINK_CONGESTED
         )
-        if spare and job.cls.retry_safety is api.RetrySafety.SAFE:
-            limit = min(limit, int(TIMEOUT_TARGETS * job.latency_target))
-        job.timeout = limit
+        if may_retry and job.cls.retry_safety is api.RetrySafety.SAFE:
+            timeout = min(timeout, int(TIMEOUT_TARGETS * job.latency_target))
+        job.timeout = timeout
         job.attempts.append((server.entry.server, source.entry.server))
         job.attempt_open, job.late, job.sent_at = True, False, self.now
         heapq.heappush(
@@ -537,7 +552,7 @@
             api.Fetch(
                 job.request.id,
                 server.entry.server,
-                limit,
+                timeout,
                 self.max_copy_age(job),
                 source.entry.server,
                 FillMode(mode),
@@ -547,23 +562,24 @@
         )
 
     def max_copy_age(self, job: Job) -> int:
-        """Guard 5: after a purge no older copy, until all have dropped theirs; else the class's limit."""
+        """Guard 5: the maximum age of a copy. After a purge it excludes older copies until all servers have dropped
+        theirs; else it is the class's own limit."""
         oldest = self.freshness.max_copy_age(job.request.object, job.request.group, self.now)
         return min(oldest, job.cls.freshness_lifetime or self.settings.purge_drop_time)
 
-    def rejects_answer(self, id: str, sent_at: int, born: int, now: int) -> bool:
-        """Guard 5, at the answer: whether it is from a copy (born that Unix microsecond; 0: not told) that may be older
-        than a purge which was known when it was asked for. A server that obeys the age it is told gives none, but one
-        may let the request join a fill that began before: what is asked again joins none."""
+    def rejects_answer(self, id: str, sent_at: int, created_at: int, now: int) -> bool:
+        """Guard 5, for an answer: whether its copy (created at this Unix microsecond; 0: unknown) may be older than a
+        purge that was known when the attempt was sent. A server that obeys the maximum age sends no such copy, but it
+        may let the request join a fill that began earlier, so later attempts of the request join none."""
         job = self.jobs.get(id)
         if job is None or job.write:
             return False
-        purged = self.freshness.is_purged(job.request.object, job.request.group, sent_at, born, now)
+        purged = self.freshness.is_purged(job.request.object, job.request.group, sent_at, created_at, now)
         job.may_join = job.may_join and not purged
         return purged
 
     def in_dedup_scope(self, job: Job, server: Server) -> bool:
-        """Guard 6: once it may have run, only servers that would drop the repeat."""
+        """Guard 6: once the request may have run, only servers that would drop the repeat may get it."""
         if job.cls.retry_safety is not api.RetrySafety.KEYED or job.cls.dedup_scope is api.DedupScope.ALL:
             return True
         known = [self.fleet.servers.get(number) for number, _ in job.may_have_run]
@@ -575,20 +591,21 @@
         )
 
     def on_target_missed(self, id: str, attempt: int) -> None:
-        """Guards 8 and 11: what is not there by its aim tells so then, and not when it is given up seconds later."""
+        """Guards 8 and 11: count an attempt as slow when it misses its latency target, not only when it times out
+        seconds later."""
         job = self.jobs.get(id)
         if job is None or not job.attempt_open or attempt != len(job.attempts) - 1:
             return
         job.late, (server, source) = True, map(self.fleet.servers.get, job.attempts[-1])
         if server is not None and source is not None:
-            if job.size_known:  # else a large answer looks like a slow one
+            if job.size_known:  # with an unknown size, a large answer looks like a slow one
                 late = api.AttemptEnded(id, attempt, server.entry.server, Outcome.TIMED_OUT, self.now - job.sent_at)
                 self.update_latency(job, late, server, source)
             if source is not server:
                 source.fill_limit = max(self.min_fill_limit, source.fill_limit * (1 - FILL_LIMIT_DECREASE))
 
     def finish_fill(self, end: api.AttemptEnded, job: Job | None) -> None:
-        """Guard 11: a source has room for as many fills as come in time; an origin that is pushed further stops."""
+        """Guard 11: raise a source's fill limit while fills come in time; an overloaded origin would stop answering."""
         source = self.fleet.servers.get(self.fill_sources.pop((end.id, end.attempt), -1))
         if source is None:
             return
@@ -605,9 +622,8 @@
         self.finish_fill(end, job)
         if server is not None:
             if "link" in end.load and server in self.fleet.caches:
-                weight = min(
-                    1.0, (self.now - self.link_reported_at) / LINK_AVERAGING_TIME
-                )  # any of them tells of the link
+                # All caches of the location report on the same link.
+                weight = min(1.0, (self.now - self.link_reported_at) / LINK_AVERAGING_TIME)
                 self.link_load, self.link_reported_at = (
                     self.link_load + weight * (end.load["link"] - self.link_load),
                     self.now,
@@ -625,7 +641,7 @@
         if job is None or not job.attempts:
             return
         job.attempt_open = False
-        if end.outcome is Outcome.SHORTAGE:  # another server may have a connection already
+        if end.outcome is Outcome.SHORTAGE:  # another server may have an open connection
             job.avoid.add(end.server)
         source = self.fleet.servers.get(job.attempts[-1][1])
         if server is not None:
@@ -637,103 +653,112 @@
         if end.outcome not in api.NEVER_RAN:
             job.may_have_run.append((end.server, job.sent_at))
         if not (end.outcome is Outcome.MISS and (source is server or job.cached_only)) and self.may_retry(job):
-            self.retry_credit -= end.outcome not in api.NOTHING_SENT  # which cost no server anything
+            self.retry_credit -= end.outcome not in api.NOTHING_SENT  # those cost no server anything
             self.start_attempt(job)
         else:
             self.finish(job)
 
     def had_too_little_time(self, end: api.AttemptEnded, job: Job | None) -> bool:
-        """Whether an attempt was given up before a well server would have answered, so that its silence says nothing:
-        it had less than twice the usual time, or than half of its class's deadline where all have less than that. What
-        it had is what it was allowed, as a busy machine gives up late."""
+        """Whether an attempt ended before a healthy server would have answered, so that the missing answer means
+        nothing: it had less than twice the mean time, or less than half of its class's deadline if that is shorter.
+        At most its timeout counts, as a busy machine notices timeouts late."""
         if end.outcome not in (Outcome.TIMED_OUT, Outcome.CANCELLED):
             return False
-        enough = 2 * (self.mean_latency.value + BASE_LATENCY)
+        sufficient = 2 * (self.mean_latency.value + BASE_LATENCY)
         if job is None:
-            return end.duration < enough
+            return end.duration < sufficient
         if job.cls.deadline:
-            enough = min(enough, job.cls.deadline / 2)
-        return min(end.duration, job.timeout) < enough
+            sufficient = min(sufficient, job.cls.deadline / 2)
+        return min(end.duration, job.timeout) < sufficient
 
     def update_latency(self, job: Job, end: api.AttemptEnded, server: Server, source: Server | None) -> None:
-        """Guard 8: what an answer, or its absence, tells of the pace of an ageing or crowded server."""
-        pace, when = server.latency_ratio
-        own = (
+        """Guard 8: update a server's latency ratio from an answer, or from a missing one."""
+        old_ratio, updated_at = server.latency_ratio
+        server_only = (
             end.cache_status is CacheStatus.HIT
             or source is server
             or end.cache_status not in api.FILL_STATUSES
             and self.link_load < LINK_FULL
         )
-        seen = own * (end.duration - end.source_wait) / (job.transfer_time + BASE_LATENCY)
-        if seen and source not in (None, server) and self.settings.cache_status_detail is api.CacheStatusDetail.NONE:
-            seen -= self.source_delay(job, end, seen, server, source)
+        ratio = server_only * (end.duration - end.source_wait) / (job.transfer_time + BASE_LATENCY)
+        if ratio and source not in (None, server) and self.settings.cache_status_detail is api.CacheStatusDetail.NONE:
+            ratio -= self.source_delay(job, end, ratio, server, source)
         if end.outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
-            seen *= seen > pace and server.last_answer_at < job.sent_at
+            ratio *= ratio > old_ratio and server.last_answer_at < job.sent_at
         elif end.outcome is not Outcome.SERVED or not job.size_known:
-            seen = 0.0  # without its size a large answer looks like a slow one
-        if seen:
-            weight = min(MAX_SAMPLE_WEIGHT, max(SERVER_SAMPLE_WEIGHT, (self.now - when) / DECAY_TIME))
-            server.latency_ratio = (pace + weight * (seen - pace), self.now)
+            ratio = 0.0  # with an unknown size, a large answer looks like a slow one
+        if ratio:
+            weight = min(MAX_SAMPLE_WEIGHT, max(SERVER_SAMPLE_WEIGHT, (self.now - updated_at) / DECAY_TIME))
+            server.latency_ratio = (old_ratio + weight * (ratio - old_ratio), self.now)
         if end.outcome is Outcome.SERVED and end.duration <= job.latency_target:
             server.last_answer_at = self.now
 
-    def source_delay(self, job: Job, end: api.AttemptEnded, seen: float, server: Server, source: Server) -> float:
-        """Where answers don't tell whether the source was asked: what one took beyond its sending is put down to
-        server and source as each has been slow with others lately. The source's part is returned."""
-        over, heard = (
-            max(0.0, seen - 1),
-            source.fill_latency_ratio.get(False, (1.0, 0)),
-        )  # sizes together: one router sees few
-        old, own = decayed(heard, self.now, DECAY_TIME), decayed(server.latency_ratio, self.now, DECAY_TIME)
-        behind, here = max(0.0, old - 1) + 2 * PRIOR_DELAY, max(0.0, own - 1) + PRIOR_DELAY
-        its = over * behind / (behind + here)
-        late = end.outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED) and 1 + its > old
+    def source_delay(self, job: Job, end: api.AttemptEnded, ratio: float, server: Server, source: Server) -> float:
+        """The source's part of a delay, where answers do not say whether the source was asked. The time beyond the
+        transfer is split between server and source in proportion to how slow each has been with others lately."""
+        # One figure for all sizes here, as a single router sees few of each.
+        excess, source_ratio = max(0.0, ratio - 1), source.fill_latency_ratio.get(False, (1.0, 0))
+        old_source, old_server = (
+            decayed(source_ratio, self.now, DECAY_TIME),
+            decayed(server.latency_ratio, self.now, DECAY_TIME),
+        )
+        source_weight, server_weight = (
+            max(0.0, old_source - 1) + 2 * PRIOR_DELAY,
+            max(0.0, old_server - 1) + PRIOR_DELAY,
+        )
+        source_excess = excess * source_weight / (source_weight + server_weight)
+        late = end.outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED) and 1 + source_excess > old_source
         if job.size_known and (end.outcome is Outcome.SERVED or late):
-            asked = min(1.0, max(over, 1 - server.hit_ratio))  # a quick answer may have been a hit
-            weight = asked * min(MAX_SAMPLE_WEIGHT, max(SERVER_SAMPLE_WEIGHT, (self.now - heard[1]) / DECAY_TIME))
+            fill_probability = min(1.0, max(excess, 1 - server.hit_ratio))  # a fast answer may have been a hit
+            weight = fill_probability * min(
+                MAX_SAMPLE_WEIGHT, max(SERVER_SAMPLE_WEIGHT, (self.now - source_ratio[1]) / DECAY_TIME)
+            )
             source.fill_latency_ratio = dict.fromkeys(
-                (False, True), (old + weight * (min(seen, 1.0) + its - old), self.now)
+                (False, True), (old_source + weight * (min(ratio, 1.0) + source_excess - old_source), self.now)
             )
-        return its
+        return source_excess
 
     def update_health(self, job: Job, end: api.AttemptEnded, server: Server, source: Server | None) -> None:
-        """Guards 3 and 8: one health score and one room a server, whatever ails it."""
-        in_time = end.duration - end.source_wait <= job.latency_target  # a cache is not judged by its source's wait
-        refused, overdue = end.outcome is Outcome.REFUSED, end.outcome is Outcome.TIMED_OUT and not in_time
+        """Guards 3 and 8: update the health score and the in-flight limit of a server, whatever the cause."""
+        in_time = end.duration - end.source_wait <= job.latency_target  # a cache is not blamed for its source's time
+        refused, timed_out = end.outcome is Outcome.REFUSED, end.outcome is Outcome.TIMED_OUT and not in_time
         served, failed = end.outcome is Outcome.SERVED, end.outcome in api.FAILED
-        if not (served or failed or overdue):
+        if not (served or failed or timed_out):
             return
-        behind = source if source is not server else None
-        part = self.source_blame(job, end, server, behind) if behind else 0.0  # of the blame
+        fill_source = source if source is not server else None
+        source_blame = (
+            self.source_blame(job, end, server, fill_source) if fill_source else 0.0
+        )  # the source's share of the blame
         if served:
             self.record_served(job, end, source)
-        held = (
+        fair_share = (
             server.inflight + self.others_inflight(server) * (self.location_routers > 1)
         ) / self.location_routers  # its share of what all have there
-        if part < 1 and (refused or not in_time and server.utilization >= CROWDED_UTILIZATION):
-            server.inflight_limit = min(server.inflight_limit, held if refused else server.inflight_limit) * (
+        if source_blame < 1 and (refused or not in_time and server.utilization >= CROWDED_UTILIZATION):
+            server.inflight_limit = min(server.inflight_limit, fair_share if refused else server.inflight_limit) * (
                 1 - INFLIGHT_LIMIT_DECREASE
             )
-        elif in_time and held >= server.inflight_limit / 2:
+        elif in_time and fair_share >= server.inflight_limit / 2:
             server.inflight_limit += 1 / (self.location_routers * server.inflight_limit)
         server.inflight_limit = max(self.min_inflight_limit, server.inflight_limit)
-        if overdue and self.link_load >= LINK_CONGESTED:
+        if timed_out and self.link_load >= LINK_CONGESTED:
             return
         self.mean_failure_rate.add(1.0 - served, OVERALL_SAMPLE_WEIGHT)
-        if part < 1:
-            self.update_fault_odds(job, server, 0.0 if served else 1 - part)
-        # A hit does not speak for its source, which was not asked; where nothing is told it speaks as most are.
-        asked = (
+        if source_blame < 1:
+            self.update_fault_odds(job, server, 0.0 if served else 1 - source_blame)
+        # A hit says nothing of the source, which was not asked. Without a cache status, the hit ratio is used.
+        fill_probability = (
             float(end.cache_status in api.FILL_STATUSES)
             if self.settings.cache_status_detail is not api.CacheStatusDetail.NONE
             else 1 - server.hit_ratio
         )
-        if behind is not None and (part if not served else asked):
-            self.update_fault_odds(job, behind, 0.0 if served else part, asked)
+        if fill_source is not None and (source_blame if not served else fill_probability):
+            self.update_fault_odds(job, fill_source, 0.0 if served else source_blame, fill_probability)
 
     def source_blame(self, job: Job, end: api.AttemptEnded, server: Server, source: Server) -> float:
-        """How likely a failure is the source's and not the server's: what is told, else who failed more with others."""
-        late = end.outcome is Outcome.TIMED_OUT  # a cache that answered others meanwhile is well
+        """The probability that a failure is the source's and not the server's: from the cache status where it says so,
+        else from how often each has failed with others."""
+        late = end.outcome is Outcome.TIMED_OUT  # a cache that answered others meanwhile is healthy
         if (
             end.cache_status in (CacheStatus.SOURCE_REFUSED, CacheStatus.SOURCE_FAILED)
             or late
@@ -749,50 +774,51 @@
         return 1 / (1 + math.exp(server.fault_log_odds - source.fault_log_odds))
 
     def record_served(self, job: Job, end: api.AttemptEnded, source: Server | None) -> None:
-        """Take what a served answer tells of work and times."""
+        """Update work, latency and fill times from a served answer."""
         fill = (
             end.cache_status in (CacheStatus.FILLED, CacheStatus.FROM_ORIGIN)
             if self.settings.cache_status_detail is not api.CacheStatusDetail.NONE
             else 1 - end.load.get("hits", 0.0)
         )
-        few = math.sqrt(self.location_routers)  # a longer mean where one router sees less; its most once it has settled
-        self.work.add(self.now // RATE_INTERVAL, job.work, RATE_WEIGHT / few, few)
-        self.fill_work.add(self.now // RATE_INTERVAL, fill * job.work, RATE_WEIGHT / few, few)
+        # Where one router sees less, the mean is longer, and the peak counts only after more samples.
+        scale = math.sqrt(self.location_routers)
+        self.work.add(self.now // RATE_INTERVAL, job.work, RATE_WEIGHT / scale, scale)
+        self.fill_work.add(self.now // RATE_INTERVAL, fill * job.work, RATE_WEIGHT / scale, scale)
         self.mean_latency.add(end.duration, OVERALL_SAMPLE_WEIGHT)
         if not job.size_known:
             self.transfer_times[job.cls.name].add(end.duration, OVERALL_SAMPLE_WEIGHT)
         settled = job.size_known or self.transfer_times[job.cls.name].samples > MIN_SAMPLES
         if source is None or end.cache_status not in api.FILL_STATUSES or not settled:
             return
-        time = min(
+        ratio = min(
             end.duration / (job.transfer_time + BASE_LATENCY), math.inf if job.size_known else UNKNOWN_SIZE_MAX_RATIO
         )
-        usual = self.mean_fill_ratio.setdefault(job.large, Mean())
-        usual.add(time, OVERALL_SAMPLE_WEIGHT)
-        old, when = source.fill_latency_ratio.get(job.large, (usual.value, 0))
+        mean = self.mean_fill_ratio.setdefault(job.large, Mean())
+        mean.add(ratio, OVERALL_SAMPLE_WEIGHT)
+        old_ratio, updated_at = source.fill_latency_ratio.get(job.large, (mean.value, 0))
         weight = (
-            min(MAX_SAMPLE_WEIGHT, max(SERVER_SAMPLE_WEIGHT, (self.now - when) / DECAY_TIME))
+            min(MAX_SAMPLE_WEIGHT, max(SERVER_SAMPLE_WEIGHT, (self.now - updated_at) / DECAY_TIME))
             if job.size_known
             else UNKNOWN_SIZE_WEIGHT
         )
-        source.fill_latency_ratio[job.large] = (old + weight * (time - old), self.now)
+        source.fill_latency_ratio[job.large] = (old_ratio + weight * (ratio - old_ratio), self.now)
 
     def update_fault_odds(self, job: Job, server: Server, blame: float, weight: float = 1.0) -> None:
-        """Guard 3: the odds, as a logarithm, that this server fails half of what it is asked, against failing as often
-        as all do lately. Where hardly anything fails one failure says much; where all fail it says nothing."""
-        usual = min(UNHEALTHY_FAILURE_RATE, max(MIN_FAILURE_RATE, self.mean_failure_rate.value))
+        """Guard 3: update the log odds that this server fails half of its requests, rather than as many as all servers
+        fail lately. Where hardly anything fails, one failure weighs much; where all fail, it weighs nothing."""
+        failure_rate = min(UNHEALTHY_FAILURE_RATE, max(MIN_FAILURE_RATE, self.mean_failure_rate.value))
         if blame:
             server.fault_log_odds = min(
-                MAX_FAULT_LOG_ODDS, server.fault_log_odds + blame * math.log(UNHEALTHY_FAILURE_RATE / usual)
+                MAX_FAULT_LOG_ODDS, server.fault_log_odds + blame * math.log(UNHEALTHY_FAILURE_RATE / failure_rate)
             )
             job.avoid.add(server.entry.server)
             if server.fault_log_odds > EJECTION_LOG_ODDS and self.now >= server.ejected_until:
                 self.eject(server)
             return
         server.fault_log_odds = max(
-            0.0, server.fault_log_odds + weight * math.log(UNHEALTHY_FAILURE_RATE / (1 - usual))
+            0.0, server.fault_log_odds + weight * math.log(UNHEALTHY_FAILURE_RATE / (1 - failure_rate))
         )
-        if server.ejections:  # it did well: it is back, or has another trial at once
+        if server.ejections:  # it succeeded: back in use, or another trial at once
             server.ejections, server.ejected_until = (
                 (server.ejections - 1) * (server.fault_log_odds > EJECTION_LOG_ODDS),
                 self.now,
@@ -804,16 +830,17 @@
         self.fleet.ejected[server.entry.server] = server
 
     def eject(self, server: Server, silent: bool = False) -> None:
-        """Guard 3: out for a while, never over half of its peers; what a silent one has in hand is asked elsewhere."""
+        """Guard 3: eject a server for a while, but never more than half of its peers. Attempts in flight at a silent
+        one are cancelled and tried elsewhere."""
         peers = self.fleet.peers(server)
-        out = [p for p in self.fleet.ejected_among(peers, self.now) if p is not server]
-        if 2 * (len(out) + 1) > len(peers) and not all(
+        ejected = [p for p in self.fleet.ejected_among(peers, self.now) if p is not server]
+        if 2 * (len(ejected) + 1) > len(peers) and not all(
             p.silent for p in peers
-        ):  # a lost location is no fault elsewhere
-            better = min(out, key=lambda p: p.fault_log_odds, default=server)
-            if better.fault_log_odds >= server.fault_log_odds:
+        ):  # if all are silent, the location is lost
+            healthier = min(ejected, key=lambda p: p.fault_log_odds, default=server)
+            if healthier.fault_log_odds >= server.fault_log_odds:
                 return
-            better.ejected_until = 0  # blamed before the ill peer that held it up: they change places
+            healthier.ejected_until = 0  # it took the blame before the worse peer that slowed it down: swap them
         self.start_ejection(server)
         server.unanswered = 0
         for job in self.jobs.values() if silent and self.settings.cancel else ():
@@ -825,27 +852,29 @@
                 self.actions.append(api.CancelAttempt(job.request.id, len(job.attempts) - 1))
 
     def may_retry(self, job: Job) -> bool:
-        """Guard 4: within the attempts allowed and the router's budget, which a failing fleet can't raise."""
-        spent = len(job.attempts) >= self.settings.max_attempts or self.retry_credit < 1
-        return not spent and self.now < self.latest_start(job)
+        """Guard 4: whether a retry is within the allowed attempts and the router's retry credit, which failures do not
+        raise."""
+        exhausted = len(job.attempts) >= self.settings.max_attempts or self.retry_credit < 1
+        return not exhausted and self.now < self.latest_start(job)
 
     def latest_start(self, job: Job) -> int:
-        """Guard 6: until when an attempt may begin, or wait to: once it may have run, only as long as it is dropped."""
-        late, effect = job.deadline - 2 * DEADLINE_MARGIN, job.cls.retry_safety  # too late to be worth sending
-        if not job.may_have_run or effect is api.RetrySafety.SAFE:
-            return late
+        """Guard 6: the latest time for an attempt to start. Once the request may have run, this is as long as servers
+        still drop the repeat."""
+        latest, retry_safety = job.deadline - 2 * DEADLINE_MARGIN, job.cls.retry_safety  # later it is not worth sending
+        if not job.may_have_run or retry_safety is api.RetrySafety.SAFE:
+            return latest
         return (
-            min(late, job.may_have_run[0][1] + job.cls.dedup_window - self.settings.tick)
-            if effect is api.RetrySafety.KEYED
+            min(latest, job.may_have_run[0][1] + job.cls.dedup_window - self.settings.tick)
+            if retry_safety is api.RetrySafety.KEYED
             else 0
         )
 
-    def jitter(self, time: int) -> int:
-        """About so long, by the seed: what all routers see at once must not bring all of them back at once."""
-        return int(time * (1 - JITTER * self.random.random()))
+    def jitter(self, delay: int) -> int:
+        """A delay with random jitter, so that routers that see the same event do not all react at the same time."""
+        return int(delay * (1 - JITTER * self.random.random()))
 
     def finish(self, job: Job) -> None:
-        """The final answer, at once: a refusal, with advice, where a repeat does no harm; else a failure."""
+        """Give the final answer: a refusal with a retry-after time where a repeat does no harm, else a failure."""
         del self.jobs[job.request.id]
         keyed_by_all = job.cls.retry_safety is api.RetrySafety.KEYED and job.cls.dedup_scope is api.DedupScope.ALL
         harmless = (
