--- a/threadhill/decision/fleet.py
+++ b/threadhill/decision/fleet.py
@@ -1,4 +1,4 @@
-"""The servers of the list, and the look-ups that a request needs; kept by the events that change them."""
+"""The servers of the list, indexed by role."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class Fleet:
-    """The servers of the list, by what they are to this location. A change of one server costs that one."""
+    """The servers of the list by their role for this location. The cost of a change depends on that server only."""
 
     def __init__(self, zone: str, parent_kind: str | None, origin_kind: str | None) -> None:
         self.zone, self.parent_kind, self.origin_kind = zone, parent_kind, origin_kind
         self.servers: dict[int, Server] = {}
         self.caches, self.parents = ServerOrder(), ServerOrder()
         self.origin: Server | None = None
-        self.peak_caches = self.peak_parents = 1  # the most that were ready at once
-        self.ejected: dict[int, Server] = {}  # those put out for a while, or lately
-        self.maybe_silent: dict[int, Server] = {}  # those with so many attempts out unheard that they may be silent
+        self.peak_caches = self.peak_parents = 1  # most that were ready at the same time
+        self.ejected: dict[int, Server] = {}  # those ejected now or recently
+        self.maybe_silent: dict[int, Server] = {}  # those with many unanswered attempts
 
-    def update(self, news: api.ListNews, room: float) -> None:
-        """Take list news. One that restarted is a new server; a new one starts with this room."""
+    def update(self, news: api.ListNews, inflight_limit: float) -> None:
+        """Apply list news. A restarted server counts as new; a new one starts with this in-flight limit."""
         if news.kind is not api.ListKind.CHANGES:
             named = {entry.server for entry in news.entries}
             for number in [number for number in self.servers if number not in named]:
@@ -31,7 +31,7 @@
                 self._remove(entry.server)
             elif known is None or known.entry.reported_start != entry.reported_start:
                 self._remove(entry.server)
-                self.servers[entry.server] = Server(entry, room)
+                self.servers[entry.server] = Server(entry, inflight_limit)
                 self._index(self.servers[entry.server])
             elif known.entry != entry:
                 self._unindex(known)
@@ -48,7 +48,7 @@
             self.maybe_silent.pop(number, None)
 
     def _index(self, server: Server) -> None:
-        """Let a server that is ready be found by its role."""
+        """Add a ready server to the index of its role."""
         entry = server.entry
         if entry.state is not api.State.READY:
             return
@@ -71,10 +71,10 @@
             self.origin = next((s for s in others if s.entry.kind == self.origin_kind), None)
 
     def peers(self, server: Server) -> ServerOrder:
-        """The ready servers that do what this one does for this location."""
+        """The ready servers with the same role for this location."""
         return self.parents if server.entry.kind == self.parent_kind else self.caches
 
     def ejected_among(self, peers: ServerOrder, now: int) -> list[Server]:
-        """Of these, the ones that are ejected now; those that are back are forgotten."""
+        """Those of `peers` that are ejected now; drops the ones whose ejection has ended."""
         self.ejected = {number: s for number, s in self.ejected.items() if s.ejected_until > now}
         return [s for s in self.ejected.values() if s in peers]
--- a/threadhill/decision/order.py
+++ b/threadhill/decision/order.py
@@ -1,14 +1,14 @@
-"""The order in which an object prefers servers: its own, stable, and found without looking at all of them.
+"""The order in which an object prefers servers: stable, different for each object, found without visiting all servers.
 
-Each object has an order of its own over the servers of one role. A server that leaves drops out and later ones move
-up; one that joins takes a place by chance; all others keep theirs. Up to `SMALL` servers this is rendezvous hashing:
-the order is sorted whole. With more, an object draws cells of a fixed table, one after another, and its order is that
-in which it hits occupied cells. A server's cell follows from its own number alone, so each change of one server touches
-that server's cell only, and the draws that a candidate takes do not grow with the number of servers. Every server has
-the same chance at each draw, so the first places are spread evenly, as with rendezvous hashing.
+Each object has its own order over the servers of one role. A server that leaves drops out and later ones move up; one
+that joins takes a pseudo-random place; all others keep theirs. Up to `MAX_SORTED` servers this is rendezvous hashing
+with the whole order sorted. With more, an object draws cells of a fixed table, one after another, and its order is that
+in which it hits occupied cells. A server's cell depends on its own number alone, so a change of one server touches only
+that server's cell, and the draws for a candidate do not grow with the number of servers. Every server has the same
+chance at each draw, so the first places are spread evenly, as with rendezvous hashing.
 
-Orders are kept for objects asked for lately, whole up to `SMALL` servers and else for their first `KEPT_PLACES` places:
-memory for an object does not grow with the number of servers.
+Orders of recently requested objects are cached, whole up to `MAX_SORTED` servers and else their first `CACHED_PLACES`
+places: memory per object does not grow with the number of servers.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from threadhill.decision.hashing import hash_name, mix
 from threadhill.decision.state import Server, put_bounded
 
-MAX_SORTED = (
-    256  # servers up to which the whole order is sorted; far above the caches of a usual fleet, so that no release
-)
-# crosses it back and forth: crossing changes all orders once
-CELL_BITS = 12  # the table has 2 ** CELL_BITS cells: over 3,200 servers, the most that a fleet has
-CELL_DEPTH = 8  # servers of one cell that a draw can tell apart; a fuller cell is rare, and what is over comes last
-CACHED_PLACES = 32  # places of an order that are kept: more than an object has copies, or a request tries
-CACHED_ORDERS = 4_000  # orders kept, the least recently used goes first: of SMALL references at most, 8 MB in all
-DRAWS_PER_PLACE = 64  # draws for each place wanted, after which the rest of the servers follow in the table's order
+# Servers up to which the whole order is sorted. Crossing it changes all orders once, so it is far above the caches of a
+# usual fleet, which does not cross it back and forth during a release.
+MAX_SORTED = 256
+CELL_BITS = 12  # the table has 2 ** CELL_BITS cells: more than the 3,200 servers of the largest fleet
+CELL_DEPTH = 8  # servers of one cell that a draw can select; fuller cells are rare, and the rest come last
+CACHED_PLACES = 32  # cached places of an order: more than an object has copies, or a request tries
+# Cached orders; the least recently used is evicted. Each has at most MAX_SORTED references, 8 MB in all.
+CACHED_ORDERS = 4_000
+DRAWS_PER_PLACE = 64  # draws per place wanted, after which the remaining servers follow in the table's order
 
 
 class ServerOrder:
@@ -36,13 +36,13 @@
         self.servers: dict[int, Server] = {}
         self._hashes: dict[int, int] = {}  # server -> its hash
         self._cells: dict[int, list[tuple[int, int]]] = {}  # cell -> (hash, server), sorted
-        self._name_hashes: dict[str, int] = {}  # hashes of names, a bounded memo
-        self._cached: dict[str, list[Server]] = {}  # object -> the first places of its order, a bounded memo
-        self.inspected = 0  # cells drawn and servers sorted so far: the work of all orders, for tests and figures
+        self._name_hashes: dict[str, int] = {}  # hashes of names, bounded
+        self._cached: dict[str, list[Server]] = {}  # object -> the first places of its order, bounded
+        self.inspected = 0  # cells drawn and servers sorted so far, as a measure of work
 
     @property
     def fully_sorted(self) -> bool:
-        """Whether orders are sorted whole."""
+        """Whether whole orders are sorted."""
         return len(self.servers) <= MAX_SORTED
 
     def __len__(self) -> int:
@@ -57,49 +57,49 @@
     # --- changes
 
     def add(self, server: Server) -> None:
-        """Add a server, or replace what stands for the same one: orders hold the new one from now on."""
+        """Add a server, or replace the one with the same number, also in all orders."""
         number = server.entry.server
         if number not in self.servers:
-            mark = self._hashes[number] = mix(number)
-            cell = self._cells.setdefault(self._cell(mark), [])
-            cell.append((mark, number))
+            digest = self._hashes[number] = mix(number)
+            cell = self._cells.setdefault(self._cell(digest), [])
+            cell.append((digest, number))
             cell.sort()
         if self.servers.get(number) is not server:
             self._cached = {}
         self.servers[number] = server
 
     def remove(self, number: int) -> None:
-        """Remove a server; one that is not there is no matter."""
+        """Remove a server, if it is present."""
         if self.servers.pop(number, None) is None:
             return
-        mark = self._hashes.pop(number)
-        cell = self._cells[self._cell(mark)]
-        cell.remove((mark, number))
+        digest = self._hashes.pop(number)
+        cell = self._cells[self._cell(digest)]
+        cell.remove((digest, number))
         if not cell:
-            del self._cells[self._cell(mark)]
+            del self._cells[self._cell(digest)]
         self._cached = {}
 
     @staticmethod
-    def _cell(mark: int) -> int:
-        return mark >> (64 - CELL_BITS)
+    def _cell(digest: int) -> int:
+        return digest >> (64 - CELL_BITS)
 
     # --- orders
 
     def ordered_for(self, name: str) -> Iterator[Server]:
-        """The servers in this name's own order, found as they are asked for."""
-        kept = self._cached.pop(name, None)
-        if kept is None:
-            kept = self._sort_all(name) if self.fully_sorted else []
-        put_bounded(self._cached, name, kept, CACHED_ORDERS)
-        yield from kept
-        if len(kept) == len(self.servers):
+        """The servers in the order of this name, computed lazily."""
+        cached = self._cached.pop(name, None)
+        if cached is None:
+            cached = self._sort_all(name) if self.fully_sorted else []
+        put_bounded(self._cached, name, cached, CACHED_ORDERS)
+        yield from cached
+        if len(cached) == len(self.servers):
             return
-        first_new = len(kept)
+        first_new = len(cached)
         for place, server in enumerate(self._draw(name)):
             if place < first_new:
                 continue
-            if len(kept) == place < CACHED_PLACES:
-                kept.append(server)
+            if len(cached) == place < CACHED_PLACES:
+                cached.append(server)
             yield server
 
     def _hash_of(self, name: str) -> int:
@@ -110,17 +110,17 @@
         return number
 
     def sort_for(self, name: str, servers: Iterable[Server]) -> list[Server]:
-        """Some of these servers in this name's own order: rendezvous hashing over just them."""
-        number, marks = self._hash_of(name), self._hashes
-        return sorted(servers, key=lambda s: (mix(number ^ marks[s.entry.server]), s.entry.server))
+        """These servers in the order of this name, by rendezvous hashing."""
+        number, hashes = self._hash_of(name), self._hashes
+        return sorted(servers, key=lambda s: (mix(number ^ hashes[s.entry.server]), s.entry.server))
 
     def _sort_all(self, name: str) -> list[Server]:
-        """The whole order."""
+        """The whole order, sorted."""
         self.inspected += len(self.servers)
         return self.sort_for(name, self.servers.values())
 
     def _draw(self, name: str) -> Iterator[Server]:
-        """Draw cells until every server has come, or the draws are spent; the rest follows in the table's order."""
+        """Draw cells until every server has been found or the draws are used up; the rest follow in the table's order."""
         draw, seen = self._hash_of(name), set()
         for _ in range(DRAWS_PER_PLACE * CACHED_PLACES):
             draw = mix(draw)
--- a/threadhill/decision/state.py
+++ b/threadhill/decision/state.py
@@ -1,4 +1,4 @@
-"""What one router instance remembers: data, look-ups and running means, decided on in threadhill.decision.choice."""
+"""The state of one router instance: servers, requests and running means. threadhill.decision.choice decides on it."""
 
 from __future__ import annotations
 
@@ -8,66 +8,63 @@
 
 from threadhill.decision import interface as api
 
-MAX_EMPTY_INTERVALS = 60  # empty intervals counted one by one; more change nothing
-AVERAGING_TIME = 4_000_000  # microseconds over which counts of what is out are averaged
-MIN_REPORT_WEIGHT = 0.3  # least weight of the newest report: several answers bring the same one
-REPORT_LIFETIME = 8_000_000  # microseconds after which a report of load says nothing any more
-MAX_REPORT_FACTOR = (
-    4.0  # times that a report may be off what own traffic says: more than a crew that is told wrong, or a hot object
-)
+MAX_EMPTY_INTERVALS = 60  # empty intervals added one by one to a mean; more would change nothing
+AVERAGING_TIME = 4_000_000  # microseconds over which in-flight counts are averaged
+MIN_REPORT_WEIGHT = 0.3  # least weight of a new load report, as several answers may bring the same report
+REPORT_LIFETIME = 8_000_000  # microseconds until a load report or a hint is disregarded
+# Factor by which a report may differ from what own traffic suggests. Real differences are smaller, be it from a wrong
+# count of routers or from a hot object.
+MAX_REPORT_FACTOR = 4.0
 
 
-@dataclass(slots=True, eq=False)  # looked up in lists: comparing every field of each is slow
+@dataclass(slots=True, eq=False)  # compared by identity: comparing all fields is slow
 class Server:
-    """A server of the list, as this router saw it."""
+    """A server of the list, as this router sees it."""
 
     entry: api.Entry
-    inflight_limit: float  # attempts that it may hold at once
-    fault_log_odds: float = 0.0  # logarithm of the odds that it is ill
+    inflight_limit: float  # attempts that this router may have in flight there
+    fault_log_odds: float = 0.0  # logarithm of the odds that it is unhealthy
     ejected_until: int = 0
     ejections: int = 0
-    inflight: float = 0  # attempts out; a hand-over counts as many as it stands for
-    inflight_fills: int = 0  # attempts out at others that may ask this one for a fill
-    fill_limit: float = math.inf  # how many of them there may be
-    average_fills: tuple[float, int] = (0.0, 0)  # of them over the last seconds, and when that was reckoned
-    reported_others: tuple[float, int] = (
-        0.0,
-        0,
-    )  # attempts of other routers there by its reports, and when that was heard
-    hit_ratio: float = 0.7  # its share of hits by its last report; most requests are hits where it tells nothing
-    utilization: float = 1.0  # how busy its cores are by its last report; all of them where it tells nothing
-    last_answer_at: int = 0  # when it last answered anything
-    unanswered: int = 0  # attempts since it was last heard of, and when the first of them went out
+    inflight: float = 0  # attempts in flight; a hand-over counts for all requests that it stands for
+    inflight_fills: int = 0  # attempts in flight at other servers that may fill from this one
+    fill_limit: float = math.inf  # limit on those
+    average_fills: tuple[float, int] = (0.0, 0)  # their average over the last seconds, and its time
+    reported_others: tuple[float, int] = (0.0, 0)  # in-flight attempts of other routers, as reported, and the time
+    hit_ratio: float = 0.7  # last reported; the default stands for servers that report none, as most requests are hits
+    utilization: float = 1.0  # of its cores, last reported; the default stands for servers that report none
+    last_answer_at: int = 0  # time of its last answer to any request
+    unanswered: int = 0  # attempts since the last sign of life, and the time when the first of them was sent
     unanswered_since: int = 0
-    silent: bool = False  # it was found silent, and nothing was heard of it since
-    latency_ratio: tuple[float, int] = (1.0, 0)  # answer times in sending times lately, and when last seen
+    silent: bool = False  # found silent, with no sign of life since
+    latency_ratio: tuple[float, int] = (1.0, 0)  # recent answer time in transfer times, and when it was measured
     fill_latency_ratio: dict[bool, tuple[float, int]] = field(default_factory=dict)  # large? -> (fill time, when)
-    credit: float = 0.0  # seconds of sending that it may be sent while it is cold
-    credit_updated_at: int = 0  # when that was last reckoned
+    credit: float = 0.0  # seconds of transfer time that may still be sent to it while it is cold
+    credit_updated_at: int = 0
 
     def add_fills(self, now: int, more: int) -> None:
-        """So many more attempts are out that may ask this one for a fill."""
+        """Count `more` attempts in flight that may fill from this server."""
         self.average_fills = self.recent_fills(now), now
         self.inflight_fills = max(0, self.inflight_fills + more)
 
     def recent_fills(self, now: int) -> float:
-        """How many were out in the mean of the last seconds."""
+        """The average of fills in flight over the last seconds."""
         mean, when = self.average_fills
         return self.inflight_fills + (mean - self.inflight_fills) * math.exp((when - now) / AVERAGING_TIME)
 
     def record_report(self, now: int, inflight: float | None) -> None:
-        """Its report tells all attempts that it holds; this router's own are no news."""
+        """Record a reported in-flight count, less the attempts of this router."""
         if inflight is not None:
             was, when = self.reported_others
             weight = min(1.0, max(MIN_REPORT_WEIGHT, (now - when) / AVERAGING_TIME))
             self.reported_others = (was + weight * (max(0.0, inflight - self.inflight) - was), now)
 
-    def others_inflight(self, now: int, guess: float, least: float) -> float:
-        """Attempts that other routers have out there: as its reports say, as long as they are new, else as is guessed
-        from this router's own traffic. One that is far off that guess is not taken at its word."""
-        told, when = self.reported_others
-        told = min(max(told, guess / MAX_REPORT_FACTOR), guess * MAX_REPORT_FACTOR + least)
-        return guess + max(0.0, 1 - (now - when) / REPORT_LIFETIME) * (told - guess) if when else guess
+    def others_inflight(self, now: int, estimate: float, least: float) -> float:
+        """Attempts that other routers have in flight there: from recent reports, else estimated from this router's own
+        traffic. A report is limited to a factor of the estimate, plus `least`."""
+        reported, when = self.reported_others
+        reported = min(max(reported, estimate / MAX_REPORT_FACTOR), estimate * MAX_REPORT_FACTOR + least)
+        return estimate + max(0.0, 1 - (now - when) / REPORT_LIFETIME) * (reported - estimate) if when else estimate
 
     def accrue_credit(self, now: int, rate: float, most: float, first: float) -> float:
         """The credit now: it starts at `first`, then grows at this rate up to `most`."""
@@ -78,45 +75,45 @@
 
 @dataclass(slots=True)
 class Job:
-    """A request that this router owes an answer."""
+    """A request that is not answered yet."""
 
     request: api.Request
     cls: api.RequestClass
     deadline: int
     write: bool
     attempts: list[tuple[int, int]] = field(default_factory=list)  # (server, source) of each attempt
-    avoid: set[int] = field(default_factory=set)  # servers blamed for its failed attempts
+    avoid: set[int] = field(default_factory=set)  # servers to which its failed attempts are attributed
     may_have_run: list[tuple[int, int]] = field(default_factory=list)  # (server, when sent)
     attempt_open: bool = False
-    cached_only: bool = False  # its source is asked only for what it holds
-    may_join: bool = True  # whether it may join a fill that is under way
-    late: bool = False  # its attempt is, and that was told
+    cached_only: bool = False  # the source may answer from its copies only
+    may_join: bool = True  # whether it may join a fill in progress
+    late: bool = False  # its attempt missed the latency target, which was counted
     sent_at: int = 0
-    timeout: int = 0  # microseconds that its attempt may take
-    size_known: bool = False  # its size is told
-    large: bool = False  # against the mean of its class
-    transfer_time: float = 0.0  # microseconds of sending, from its size or its class's mean
+    timeout: int = 0  # microseconds, of the current attempt
+    size_known: bool = False
+    large: bool = False  # larger than the mean of its class
+    transfer_time: float = 0.0  # microseconds, from its size or its class's mean
     latency_target: float = 0.0
-    work: float = 0.0  # seconds of sending by the rule's count: its class's mean
+    work: float = 0.0  # seconds of transfer time charged for it: its class's mean
 
 
 @dataclass(slots=True)
 class Rate:
-    """An average rate over intervals, and for an object its number of copies."""
+    """An average rate over intervals; for an object also its number of copies."""
 
-    interval: int = -1  # the one being counted; -1 before the first
+    interval: int = -1  # the current one; -1 before the first
     first_interval: bool = True
     count: float = 0.0
     rate: float = 0.0
     copies: int = 1
-    hint: tuple[float, int] = (0.0, 0)  # of all routers, as a hint told it, and when that was so
+    hint: tuple[float, int] = (0.0, 0)  # rate over all routers, as hinted, and its time
 
     def hinted_rate(self, now: int) -> float:
-        """What hints tell, less and less as they age."""
+        """The hinted rate, weighted down with its age."""
         return self.hint[0] * max(0.0, 1 - (now - self.hint[1]) / REPORT_LIFETIME)
 
     def advance(self, interval: int, weight: float, first_weight: float) -> int:
-        """Close the intervals that have passed; tell how many."""
+        """Close the intervals that have passed; returns how many."""
         gap = interval - self.interval if self.interval >= 0 else 0
         if gap > 0:
             self.rate += (first_weight if self.first_interval else weight) * (self.count - self.rate)
@@ -128,7 +125,7 @@
 
 @dataclass(slots=True)
 class Mean:
-    """A running mean: of all samples while they are few, of the newest later on."""
+    """A running mean: of all samples while they are few, exponentially weighted later."""
 
     value: float = 0.0
     samples: int = 0
@@ -140,31 +137,31 @@
 
 @dataclass(slots=True)
 class Tally:
-    """A count within an interval, the mean over intervals, and the most that this mean has been."""
+    """A count within an interval, the mean over intervals, and the peak of that mean."""
 
-    interval: int = -1  # the one being counted; -1 before the first
+    interval: int = -1  # the current one; -1 before the first
     count: float = 0.0
     mean: Mean = field(default_factory=Mean)
     peak: float = 0.0
 
-    def add(self, interval: int, amount: float, least_weight: float, settled: float) -> None:
-        """Close the intervals that have passed and count on; the most counts from so many samples on."""
+    def add(self, interval: int, amount: float, least_weight: float, min_samples: float) -> None:
+        """Close the intervals that have passed and add to the count; the peak is kept after `min_samples` samples."""
         for _ in range(min(interval - self.interval, MAX_EMPTY_INTERVALS) if self.interval >= 0 else 0):
             self.mean.add(self.count, least_weight)
             self.count = 0.0
         self.interval = interval
         self.count += amount
-        self.peak = max(self.peak, self.mean.value) if self.mean.samples >= settled else self.mean.value
+        self.peak = max(self.peak, self.mean.value) if self.mean.samples >= min_samples else self.mean.value
 
 
-def decayed(heard: tuple[float, int], now: int, fades: int) -> float:
-    """What was seen then, forgotten evenly: the usual, 1, in the end."""
-    value, when = heard
-    return 1 + (value - 1) * max(0.0, 1 - (now - when) / fades)
+def decayed(observed: tuple[float, int], now: int, decay_time: int) -> float:
+    """An observed ratio that decays linearly to 1, the normal value."""
+    value, when = observed
+    return 1 + (value - 1) * max(0.0, 1 - (now - when) / decay_time)
 
 
 def put_bounded(table: dict, key: object, value: object, size: int) -> None:
-    """Put an entry last in a table of bounded size; the one put longest ago makes room."""
+    """Put an entry last in a table of bounded size; the oldest entry is evicted."""
     table.pop(key, None)
     table[key] = value
     if len(table) > size:
@@ -172,11 +169,11 @@
 
 
 def apply_hints(
-    hints: api.Hints, when: int, rates: dict[str, Rate], caches: Iterable[Server], size: int, ill: float
+    hints: api.Hints, when: int, rates: dict[str, Rate], caches: Iterable[Server], size: int, max_log_odds: float
 ) -> None:
-    """Note what others report, as it was then. What is held against a cache moves half of the way to what the others
-    hold, `ill` for one that all keep off: one that only this router met with bad luck comes back, and none is forgiven
-    that is ill for all."""
+    """Apply what other routers report, as of the time `when`. The fault log odds of a cache move half of the way to
+    those of the others, which are `max_log_odds` for a cache that all of them avoid. A cache that only this router had
+    bad luck with recovers, and one that is unhealthy for all is not forgiven."""
     for name, rate in hints.rates.items():
         known = rates.get(name) or Rate(interval=when // 1_000_000 - 1)
         known.hint = (rate, when)
@@ -186,4 +183,4 @@
         if number in hints.inflight:
             cache.record_report(when, hints.inflight[number])
         if number in hints.avoid_share:
-            cache.fault_log_odds += (ill * hints.avoid_share[number] - cache.fault_log_odds) / 2
+            cache.fault_log_odds += (max_log_odds * hints.avoid_share[number] - cache.fault_log_odds) / 2
