--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -62,7 +62,7 @@
     Mutant(
         "purges of one key are merged",
         "decision/freshness.py",
-        "        return max((stamp for since, stamp in self.known if since <= sent_at), default=0)",
+        "        return max((timestamp for since, timestamp in self.known if since <= sent_at), default=0)",
         "        return self.known[-1][1] if self.known and self.known[-1][0] <= sent_at else 0",
         PURGES,
     ),
--- a/threadhill/decision/interface.py
+++ b/threadhill/decision/interface.py
@@ -1,7 +1,7 @@
 """What goes into and comes out of the decision module: settings, events and actions.
 
-All times are whole microseconds, all sizes KB. Nothing here decides anything; the defaults say only
-what an absent value means.
+All times are whole microseconds, all sizes KB. This module decides nothing; the defaults only define what an absent
+value means.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class State(Enum):
-    """What the list says of a server."""
+    """The state of a server according to the list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -19,7 +19,7 @@
 
 
 class ListKind(Enum):
-    """What a list event brings: the changes, the whole list, an old whole list, or a failed call."""
+    """What a list event contains: changes, the whole list, an outdated whole list, or a failed call."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -28,7 +28,7 @@
 
 
 class RetrySafety(Enum):
-    """What a second run of a request would do."""
+    """Whether a request may be run a second time: always, with an idempotency key, or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -36,7 +36,7 @@
 
 
 class DedupScope(Enum):
-    """Which servers drop repeats of a keyed request."""
+    """Which servers drop repeats of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -55,21 +55,23 @@
     CANCELLED = "cancelled"
     UNSENT = "unsent"
     MISS = "miss"
-    SHORTAGE = "shortage"  # this machine could not open a connection: nothing was sent, and no server is to blame
-    HANDED_OVER = "handed over"  # the client was told the server; how it went there is never known
+    SHORTAGE = "shortage"  # this machine could not open a connection: nothing was sent, and it is no server's fault
+    HANDED_OVER = "handed over"  # the client was given the server; the result is never known
 
 
 NEVER_RAN = frozenset({Outcome.REFUSED, Outcome.UNREACHED, Outcome.UNSENT, Outcome.SHORTAGE, Outcome.MISS})
 NOTHING_SENT = frozenset({Outcome.UNREACHED, Outcome.UNSENT, Outcome.SHORTAGE})
-FAILED = frozenset({Outcome.REFUSED, Outcome.UNREACHED, Outcome.BROKEN, Outcome.ERROR})  # by server or source
-# The server said nothing:
+FAILED = frozenset(
+    {Outcome.REFUSED, Outcome.UNREACHED, Outcome.BROKEN, Outcome.ERROR}
+)  # a failure of the server or its source
+# There was no response from the server:
 NO_RESPONSE = frozenset({Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.UNSENT, Outcome.SHORTAGE, Outcome.HANDED_OVER})
-# Nothing reached the server, so it owes no sign of life:
+# Nothing was sent to the server, so no response is due:
 NEVER_CONTACTED = frozenset({Outcome.UNSENT, Outcome.SHORTAGE})
 
 
 class CacheStatus(Enum):
-    """What an answer tells of the fill behind it, where the site tells."""
+    """What an answer says about its fill, where the site reports it."""
 
     NONE = 0
     HIT = 1
@@ -84,13 +86,12 @@
     ORIGIN_FAILED = 10
 
 
-FILL_STATUSES = frozenset(
-    {CacheStatus.FILLED, CacheStatus.FROM_ORIGIN, CacheStatus.JOINED}
-)  # notes of answers whose source was asked
+# The source was asked:
+FILL_STATUSES = frozenset({CacheStatus.FILLED, CacheStatus.FROM_ORIGIN, CacheStatus.JOINED})
 
 
 class CacheStatusDetail(Enum):
-    """How much answers tell: every note, only hits and fills, or nothing."""
+    """Which cache statuses answers report: all, only hits and fills, or none."""
 
     ALL = "all"
     HIT = "hit"
@@ -126,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests and what the location promises for it."""
+    """One class of requests and its service level at the location. Times are microseconds, values are relative."""
 
     name: str
     retry_safety: RetrySafety = RetrySafety.SAFE
@@ -147,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What an instance is told when it starts."""
+    """The settings that an instance is started with."""
 
     classes: dict[str, RequestClass]
     zone: str = ""
@@ -189,14 +190,14 @@
     connect_timeout: int = 0
 
     def slow_start_rule(self, parent: bool) -> tuple[float, int, float]:
-        """Of a cold cache or parent: the part it starts from, how long it warms, what multiple it bears."""
+        """Of a cold cache or parent: initial share of capacity, warm-up time, and the multiple that overloads it."""
         if parent:
             return self.parent_cold_capacity, self.parent_warm_up_time, self.parent_overload_multiple
         return self.cold_capacity, self.warm_up_time, self.overload_multiple
 
     @property
     def location_routers(self) -> int:
-        """How many routers serve this router's location, itself counted; 1 where that is not told."""
+        """How many routers serve this router's location, including itself; 1 if unknown."""
         by_zone = dict(zip(self.zones, self.zone_routers, strict=False))
         return max(1, by_zone.get(self.zone, 1))
 
@@ -211,18 +212,18 @@
     kind: str = ""
     cell: int = 0
     weight: float = 1.0
-    reported_start: int = 0  # Unix microseconds of a late start, as told; tells one start from another
-    local_start: int = 0  # the same in local time; 0: `reported_start` is in local time already
+    reported_start: int = 0  # Unix microseconds of a late start, as listed; identifies the start
+    local_start: int = 0  # the same in local time; 0: `reported_start` already is
 
     @property
     def start_time(self) -> int:
-        """When it started, in local time; 0: it was there at the beginning."""
+        """When it started, in local time; 0: it was present from the beginning."""
         return self.local_start or self.reported_start
 
 
 @dataclass(frozen=True, slots=True)
 class ListNews:
-    """Discovery tells of servers."""
+    """A change of the server list from discovery."""
 
     kind: ListKind
     entries: tuple[Entry, ...] = ()
@@ -231,7 +232,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client asks; exactly one final answer is owed."""
+    """A client's request; it must get exactly one final answer."""
 
     id: str
     cls: str
@@ -243,14 +244,14 @@
     repeat: bool = False
     write: bool = False
     tenant: str | None = None
-    hand_over: bool = False  # the client goes to the server itself: it is told one, at once, or refused
-    weight: float = 1.0  # requests that it stands for: an answer to a resolver may bring many clients
-    inflight_share: float = 1.0  # of a server's room that it may fill: the rest is for those that go first
+    hand_over: bool = False  # the client connects to the server itself: it is given one at once, or refused
+    weight: float = 1.0  # requests that it stands for: a resolver's answer may serve many clients
+    inflight_share: float = 1.0  # of a server's in-flight limit that it may use; the rest is for priority requests
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerStarted:
-    """A streamed answer began: the attempt is the client's from here on."""
+    """A streamed answer began: from here on the attempt belongs to the client."""
 
     id: str
     attempt: int
@@ -260,7 +261,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The one outcome of one attempt."""
+    """The outcome of an attempt; each attempt has exactly one."""
 
     id: str
     attempt: int
@@ -271,19 +272,19 @@
     cache_status: CacheStatus = CacheStatus.NONE
     source_wait: int = 0
     load: dict[str, float] = field(default_factory=dict)
-    weight: float = 1.0  # as its request's
+    weight: float = 1.0  # as of its request
 
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """The client left; nothing is owed any more."""
+    """The client disconnected; no answer is needed any more."""
 
     id: str
 
 
 @dataclass(slots=True)
 class TimerDue:
-    """A timer that was set has come due."""
+    """A timer has expired."""
 
     token: str
 
@@ -300,7 +301,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSays:
-    """Bytes from another instance."""
+    """A message from another instance."""
 
     sender: int
     data: bytes = b""
@@ -308,29 +309,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Purge:
-    """Copies older than `age` ago are out of date, of one object, or (no object) of a group, or (neither) of all."""
+    """Copies older than `age` are invalid: those of one object, else of a group, else (neither given) of everything."""
 
     object: str | None
     group: int | None
     age: int = 0
-    timestamp: int = 0  # Unix microseconds of the purge, where copies' births are told too
-    queue_delay: int = 0  # microseconds for which it may have waited unread in this process
+    timestamp: int = 0  # Unix microseconds, where creation times of copies are known too
+    queue_delay: int = 0  # microseconds that it may have waited unread in this process
 
 
 @dataclass(frozen=True, slots=True)
 class Hints:
-    """What this location's routers together reported lately, where a control plane tells it: `age` microseconds old."""
+    """Recent reports of this location's routers, merged by a control plane; `age` microseconds old."""
 
     rates: dict[str, float]  # object -> requests a second
-    inflight: dict[int, float]  # cache -> attempts that they have out there
-    avoid_share: dict[int, float]  # cache -> part of the routers that keep off it
+    inflight: dict[int, float]  # cache -> attempts that they have in flight there
+    avoid_share: dict[int, float]  # cache -> share of the routers that avoid it
     age: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Unsure:
-    """Purges may be missing here: those told longer than `age` microseconds ago, at any moment from now on, and those
-    told longer than `cutoff_age` microseconds ago now. No copy from before that will do. 0: none of that kind."""
+    """Purges may be missing: at any later time, those received more than `max_age` microseconds before that time; and
+    those received more than `cutoff_age` microseconds before now. Copies from before must not be used. 0: none of
+    that kind."""
 
     max_age: int = 0
     cutoff_age: int = 0
@@ -353,7 +355,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Look:
-    """An attempt that takes only what the server holds."""
+    """An attempt that is answered from the server's copies only."""
 
     id: str
     server: int
@@ -362,7 +364,7 @@
 
 @dataclass(slots=True)
 class Fetch:
-    """An attempt that may fill: from where, kept at what rank, and how old a copy will do."""
+    """An attempt that may fill: from which source, at which rank to keep the copy, and its maximum age."""
 
     id: str
     server: int
@@ -371,12 +373,12 @@
     source: int
     mode: FillMode
     keep_rank: int
-    start_by: int = 0  # the moment from which on it must not begin any more, if it has not by then; 0: none
+    start_by: int = 0  # the time after which it must not start any more; 0: none
 
 
 @dataclass(frozen=True, slots=True)
 class HandOver:
-    """Final answer: this server; what the client does there holds it for about so long."""
+    """Final answer: the client connects to this server, for about `expected_time`."""
 
     id: str
     server: int
@@ -385,7 +387,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: turned away, a retry does no harm."""
+    """Final answer: refused; a retry does no harm."""
 
     id: str
     retry_after: int = 0
@@ -393,14 +395,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, nothing promised."""
+    """Final answer: failed; the request may have run."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt."""
+    """Abandon one attempt."""
 
     id: str
     attempt: int
@@ -408,7 +410,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerDue."""
+    """Request a TimerDue event after `delay`."""
 
     delay: int
     token: str
@@ -430,7 +432,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TellPeer:
-    """Bytes for one peer, or for all (None)."""
+    """A message to one peer, or to all (None)."""
 
     peer: int | None
     data: bytes
@@ -438,21 +440,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators."""
+    """A log line for the operators."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class FollowList:
-    """Subscribe to list changes, or stop."""
+    """Subscribe to list changes, or unsubscribe."""
 
     subscribe: bool
 
 
 @dataclass(frozen=True, slots=True)
 class AskList:
-    """Ask for the whole list once."""
+    """Request the whole list once."""
 
 
 Action = (
--- a/threadhill/decision/order.py
+++ b/threadhill/decision/order.py
@@ -120,7 +120,7 @@
         return self.sort_for(name, self.servers.values())
 
     def _draw(self, name: str) -> Iterator[Server]:
-        """Draw cells until every server has been found or the draws are used up; the rest follow in the table's order."""
+        """Draw cells until every server is found or the draws are used up; the rest follow in the table's order."""
         draw, seen = self._hash_of(name), set()
         for _ in range(DRAWS_PER_PLACE * CACHED_PLACES):
             draw = mix(draw)
