--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -55,14 +55,14 @@
     Mutant(
         "the check at the answer is left out",
         "core/engine.py",
-        "if result.outcome is api.Outcome.SERVED and self.router.turns_down(",
-        "if False and self.router.turns_down(",
+        "if result.outcome is api.Outcome.SERVED and self.router.rejects_answer(",
+        "if False and self.router.rejects_answer(",
         PURGES,
     ),
     Mutant(
         "purges of one key are merged",
         "decision/freshness.py",
-        "        return max((stamp for since, stamp in self.known if since <= sent_at), default=0)",
+        "        return max((timestamp for since, timestamp in self.known if since <= sent_at), default=0)",
         "        return self.known[-1][1] if self.known and self.known[-1][0] <= sent_at else 0",
         PURGES,
     ),
@@ -92,7 +92,7 @@
     Mutant(
         "a drained source is named",
         "decision/fleet.py",
-        "        if server in self.parents:\n            self.parents.drop(number)\n",
+        "        if server in self.parents:\n            self.parents.remove(number)\n",
         "",
         (Rule.DRAINED,),
     ),
@@ -106,7 +106,7 @@
     Mutant(
         "a cold start is forgotten",
         "decision/choice.py",
-        "        if not server.entry.start_time or age >= ramp:\n",
+        "        if not server.entry.start_time or age >= warm_up_time:\n",
         "        if True:\n",
         (Rule.COLD,),
     ),
@@ -114,17 +114,17 @@
         "what may have run once is asked again",
         "decision/choice.py",
         "        return (\n"
-        "            min(late, job.may_have_run[0][1] + job.cls.dedup_window - self.set.tick)\n"
-        "            if effect is api.RetrySafety.KEYED\n"
+        "            min(latest, job.may_have_run[0][1] + job.cls.dedup_window - self.settings.tick)\n"
+        "            if retry_safety is api.RetrySafety.KEYED\n"
         "            else 0\n"
         "        )",
-        "        return late",
+        "        return latest",
         (Rule.TWICE,),
     ),
     Mutant(
         "what may have run is refused",
         "decision/choice.py",
-        "or not (job.may_have_run or job.out)",
+        "or not (job.may_have_run or job.attempt_open)",
         "or True",
         (Rule.FALSE_REFUSAL,),
     ),
@@ -187,10 +187,16 @@
     Mutant(
         "timers of requests never fire",
         "decision/choice.py",
-        "        if job is not None and self.now >= job.deadline - ANSWER_EARLY:\n",
+        "        if job is not None and self.now >= job.deadline - DEADLINE_MARGIN:\n",
         "        if False:\n",
         (Rule.LOST,),
-        (("decision/choice.py", "        job.timeout = limit\n", "        limit = 0\n        job.timeout = limit\n"),),
+        (
+            (
+                "decision/choice.py",
+                "        job.timeout = timeout\n",
+                "        timeout = 0\n        job.timeout = timeout\n",
+            ),
+        ),
     ),
 )
 
