--- a/threadhill/net/event_applier.py
+++ b/threadhill/net/event_applier.py
@@ -79,7 +79,7 @@
             self.recovery.applied(age)
 
     def observe_stamps(self, event: Event) -> None:
-        """Pass the event's timestamps to the age estimate: it cannot be earlier than any of them."""
+        """Pass the event's timestamps to the age estimate: the present cannot be earlier than any of them."""
         if event.stamp is not None:
             self._stamps.observe(event.stamp)
         for member in event.members or ():
