--- a/threadhill/control/api.py
+++ b/threadhill/control/api.py
@@ -83,7 +83,7 @@
         if call.method not in handlers:
             raise Problem(405, "method-not-allowed", f"{call.path} does not allow {call.method}", ", ".join(handlers))
         try:
-            # Proxies' reports are relayed to the owner only; any member answers the rest, with the age of its state.
+            # Only the owner makes changes and has the proxies' reports; any member answers other reads, with their age.
             if self.cluster is not None and (call.method == "POST" or path[1:] in OWNER_ONLY):
                 self.cluster.require_ownership()
             return handlers[call.method](call)
