--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -20,7 +20,7 @@
 
 from threadhill.control import client
 from threadhill.plans import configuration, forecast, syntax
-from threadhill.plans.faults import Invalid
+from threadhill.plans.faults import InvalidConfiguration
 from threadhill.plans.resource import Resource
 from threadhill.standin.ask import Client
 from threadhill.standin.dev import Installation, start_control
@@ -149,7 +149,7 @@
     stopped: bool = False
 
     async def run(self, addresses: list[tuple[str, int]], mix: forecast.Mix, seed: int) -> None:
-        asks = mix.asks(seed, {"clip-parts": True, "art-pages": False})
+        asks = mix.requests(seed, {"clip-parts": True, "art-pages": False})
         chance = random.Random(seed)
         clients: list[Client | None] = [None] * len(addresses)
         began, number = time.monotonic(), 0
@@ -264,7 +264,7 @@
         faults: list[Any] = []
         blocks = syntax.parse(text, "rig.hcl", faults)
         if faults:
-            raise Invalid(faults)
+            raise InvalidConfiguration(faults)
         return configuration.evaluate(blocks)
 
     async def plan(self, text: str, mix: forecast.Mix | None = None) -> dict[str, Any]:
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -17,7 +17,7 @@
 from threadhill.control.store import StepState
 from threadhill.decision import interface as api
 from threadhill.plans import configuration, fmt, forecast, options, planner, rules, saved, syntax
-from threadhill.plans.faults import Invalid
+from threadhill.plans.faults import InvalidConfiguration
 from threadhill.plans.planner import Observed
 from threadhill.plans.resource import Resource
 from threadhill.plans.rules import Fleet, Phase, Record
@@ -31,7 +31,7 @@
     faults: list = []
     blocks = syntax.parse(text, "x.hcl", faults)
     if faults:
-        raise Invalid(faults)
+        raise InvalidConfiguration(faults)
     return configuration.evaluate(blocks, given)
 
 
@@ -39,8 +39,8 @@
     faults: list = []
     attributes = syntax.parse_values(f"a = {expression}", "x", faults)
     if faults:
-        raise Invalid(faults)
-    return attributes["a"].value(configuration.Scope(configuration.nothing, names))
+        raise InvalidConfiguration(faults)
+    return attributes["a"].value(configuration.Scope(configuration.no_names, names))
 
 
 @pytest.mark.parametrize(
@@ -90,7 +90,7 @@
     ],
 )
 def test_what_is_not_supported_is_a_fault(expression: str, said: str) -> None:
-    with pytest.raises((Invalid, configuration.EvalError), match="(?s).*" + said.replace("(", r"\(")):
+    with pytest.raises((InvalidConfiguration, configuration.EvalError), match="(?s).*" + said.replace("(", r"\(")):
         value_of(expression, x=[1])
 
 
@@ -125,7 +125,7 @@
 """
     )
     line = BASE.count("\n")
-    with pytest.raises(Invalid) as caught:
+    with pytest.raises(InvalidConfiguration) as caught:
         read(text, boxes=3, colour="red")
     told = [(f.line - line if f.line else 0, f.name, f.text) for f in caught.value.faults]
 
@@ -138,7 +138,7 @@
     assert said(15, "parent.b", "parent.b -> parent.c -> parent.b") and said(19, "parent.c", "is parent.b's already")
     assert said(23, "tenant.x", "domain name") and said(25, "thing.y", "no such kind")
     assert said(0, "colour", "no such variable")
-    with pytest.raises(Invalid) as caught:
+    with pytest.raises(InvalidConfiguration) as caught:
         read('node "n" {\n  hub = hub.none\n  lod = 1\n}\nvariable "v" {}\nlocals {\n  a = local.b\n  b = local.a\n}')
     text = str(caught.value)
     assert all(
@@ -156,7 +156,7 @@
     (tmp_path / "a.hcl").write_text('hub "h" {\n  x = = 1\n}\n')
     (tmp_path / "b.hcl").write_text('hub "h" {\n  x = 1\n  x = 2\n}\n')
     (tmp_path / "c.hcl").write_text('hub "h" {\n')
-    with pytest.raises(Invalid) as caught:
+    with pytest.raises(InvalidConfiguration) as caught:
         syntax.read(tmp_path)
     assert [(Path(f.file).name, f.line) for f in caught.value.faults][:2] == [("a.hcl", 2), ("b.hcl", 3)]
     assert {Path(f.file).name for f in caught.value.faults} == {"a.hcl", "b.hcl", "c.hcl"}
@@ -173,7 +173,7 @@
     ).map("".join)
 )
 def test_no_text_is_more_than_a_fault(text: str) -> None:
-    with contextlib.suppress(Invalid):
+    with contextlib.suppress(InvalidConfiguration):
         configuration.evaluate(syntax.parse(text, "x", []))
 
 
@@ -196,9 +196,11 @@
 
 def settled(resources: dict[str, Resource]) -> Fleet:
     """The state in which these are all made and confirmed."""
-    wanted = planner.with_configurations(resources)
-    fleet = Fleet.of([planner.record_of(r, warm=True) for r in wanted.values()], rules.places(wanted.values()))
-    planner.settle(fleet)
+    wanted = planner.with_config_digests(resources)
+    fleet = Fleet.from_records(
+        [planner.record_of(r, warm=True) for r in wanted.values()], rules.places(wanted.values())
+    )
+    planner.confirm_all(fleet)
     return fleet
 
 
@@ -238,7 +240,7 @@
         for step in (s for s in plan.steps if s.wave == wave):
             planner.begin(fleet, step)
             assert fleet.warm("node.costa-1") >= 2
-        planner.settle(fleet)
+        planner.confirm_all(fleet)
     assert sorted(r.name for r in fleet.records.values() if r.kind == "box") == ["nova-0", "nova-1", "nova-2"]
 
 
@@ -296,7 +298,7 @@
         ("box.costa-1", "no live proxy reaches it"),
         ("proxy.p-2", "silent for 9.0 s"),
     ]
-    assert "Nothing to do" in saved.told(saved.document(plan, {}, 1, 1))
+    assert "Nothing to do" in saved.render(saved.document(plan, {}, 1, 1))
 
 
 NODES, PARENTS = ("n1", "n2"), ("u1", "u2", "u3")
@@ -353,7 +355,7 @@
 ) -> None:
     fleet = settled(before)
     plan = planner.plan(after, fleet.records.values())
-    fleet.places = rules.places(planner.with_configurations(after).values())
+    fleet.places = rules.places(planner.with_config_digests(after).values())
     # A node that carries more than its new floor knows of may begin below it: it must only never sink further.
     start = {name: fleet.warm(name) for name in fleet.places}
     left, done = list(plan.steps), set()
@@ -365,7 +367,7 @@
             if not set(s.needs) - done and planner.guard(fleet, s) is None and (s.place is None or first[s.place] is s)
         ]
         if not ready:  # confirmation is all that is missing
-            moved, known = planner.settle(fleet), len(done)
+            moved, known = planner.confirm_all(fleet), len(done)
             done = {s.id for s in plan.steps if s not in left}
             assert moved or len(done) > known, "stuck in the middle of a plan"
             continue
@@ -374,14 +376,14 @@
         left.remove(step)
         if step.action in ("set", "unset", "update", "return", "remove"):
             done.add(step.id)
-        assert not rules.broken(fleet)
+        assert not rules.violations(fleet)
         for name, place in fleet.places.items():
-            assert fleet.warm(name) >= min(place.floor, start[name]) or name == "library"
+            assert fleet.warm(name) >= min(place.min_warm, start[name]) or name == "library"
         addresses = [r.attrs["address"] for r in fleet.records.values() if "address" in r.attrs]
         assert len(addresses) == len(set(addresses))
         again = planner.plan(after, fleet.records.values())
         assert {s.id for s in again.steps} | set(again.blocked) == {s.id for s in left} | set(plan.blocked)
-    planner.settle(fleet)
+    planner.confirm_all(fleet)
     if not plan.blocked:
         last = planner.plan(after, fleet.records.values())
         assert not last.steps and not last.blocked
@@ -395,7 +397,7 @@
 ) -> None:
     fleet = settled(before)
     plan = planner.plan(after, fleet.records.values())
-    fleet.places = rules.places(planner.with_configurations(after).values())
+    fleet.places = rules.places(planner.with_config_digests(after).values())
     if plan.blocked:
         return
     states: dict[str, StepState] = {}
@@ -405,13 +407,13 @@
         for step in moves.begin:
             planner.begin(fleet, step)
             states[step.id] = StepState(1, step.id, "intended")
-            assert not rules.broken(fleet)
+            assert not rules.violations(fleet)
         for done in moves.done:
             states[done.id] = done
-        waiting = [r for r in fleet.records.values() if r.phase in (Phase.COLD, Phase.DRAINING, Phase.TELLING)]
+        waiting = [r for r in fleet.records.values() if r.phase in (Phase.COLD, Phase.DRAINING, Phase.CONFIGURING)]
         for record in chance.sample(waiting, min(len(waiting), 1 + chance.randrange(3))):
-            one = Fleet.of([record], {})
-            planner.settle(one)
+            one = Fleet.from_records([record], {})
+            planner.confirm_all(one)
             fleet.put(one.records[record.id])
     last = planner.plan(after, fleet.records.values())
     assert not last.steps and not last.blocked
--- a/threadhill/control/adoption.py
+++ b/threadhill/control/adoption.py
@@ -88,7 +88,7 @@
         for finding in proposal.findings:
             if finding.record is not None:
                 r = finding.record
-                pos = 0 if r["phase"] not in (Phase.DRAINING.value, Phase.TELLING.value) else proposal.pos
+                pos = 0 if r["phase"] not in (Phase.DRAINING.value, Phase.CONFIGURING.value) else proposal.pos
                 records.append(Record(r["kind"], r["name"], r["attrs"], Phase(r["phase"]), r["since"], pos, now))
                 found.add(finding.id)
         dropped = [id for id in self.ledger.fleet.records if id not in found]
--- a/threadhill/control/client.py
+++ b/threadhill/control/client.py
@@ -13,9 +13,9 @@
 
 from threadhill.plans import configuration, forecast, planner, saved, syntax
 from threadhill.plans.configuration import Resource
-from threadhill.plans.faults import Fault, Invalid
+from threadhill.plans.faults import Fault, InvalidConfiguration
 from threadhill.plans.planner import Observed
-from threadhill.plans.rules import SERVERS, Phase, Record
+from threadhill.plans.rules import SERVER_KINDS, Phase, Record
 
 ADVANCE_INTERVAL = 0.05  # seconds between calls that advance an apply, while nothing changes
 RETRY_INTERVAL = 0.2  # seconds between tries while the control plane can't be reached
@@ -129,7 +129,7 @@
             continue
         for name, attribute in attributes.items():
             try:
-                given[name] = attribute.value(configuration.Scope(configuration.nothing))
+                given[name] = attribute.value(configuration.Scope(configuration.no_names))
             except configuration.EvalError as error:
                 faults.append(Fault(str(file), error.line, name, str(error)))
     for assignment in assignments:
@@ -138,7 +138,7 @@
             faults.append(Fault("-var", 0, assignment, "must be NAME=VALUE"))
         given[name] = value
     if faults:
-        raise Invalid(faults)
+        raise InvalidConfiguration(faults)
     return given
 
 
@@ -166,7 +166,7 @@
         before = {
             r.id: Resource(r.kind, r.name, r.attrs)
             for r in records
-            if r.kind not in SERVERS or r.phase in (Phase.COLD, Phase.WARM)
+            if r.kind not in SERVER_KINDS or r.phase in (Phase.COLD, Phase.WARM)
         }
         changed = {
             side["node"] for step in plan.steps if step.kind == "box" for side in (step.before, step.after) if side
--- a/threadhill/control/commands.py
+++ b/threadhill/control/commands.py
@@ -19,7 +19,7 @@
 from threadhill.control import client
 from threadhill.control.store import StoreDamaged, WriteFailed
 from threadhill.plans import forecast, saved, syntax
-from threadhill.plans.faults import Fault, Invalid
+from threadhill.plans.faults import Fault, InvalidConfiguration
 from threadhill.plans.fmt import canonical
 from threadhill.plans.resource import Resource
 from threadhill.settings import Malformed
@@ -43,7 +43,7 @@
     def run(*arguments: Any) -> None:
         try:
             command(*arguments)
-        except Invalid as error:
+        except InvalidConfiguration as error:
             if arguments and arguments[-1] is True:  # the last argument is `json` in most commands
                 _print_json(
                     {"faults": [{"file": f.file, "line": f.line, "name": f.name, "text": f.text} for f in error.faults]}
@@ -107,7 +107,7 @@
     for file in changed:
         _print(str(file))
     if faults:
-        raise Invalid(faults)
+        raise InvalidConfiguration(faults)
     raise typer.Exit(CHANGES if check and changed else DONE)
 
 
@@ -140,7 +140,7 @@
     else:
         if unfinished is not None:
             _print(_unfinished_text(unfinished))
-        _print(saved.told(document))
+        _print(saved.render(document))
         if out is not None and document["steps"] and not document["blocked"]:
             _print(f"Saved to {out}: threadhill apply {out}")
     if document["blocked"]:
@@ -159,7 +159,7 @@
     try:
         return forecast.mix_of(given, settings.attrs)
     except ValueError as error:
-        raise Invalid([Fault(str(file or "--rate"), 0, "mix", str(error))]) from None
+        raise InvalidConfiguration([Fault(str(file or "--rate"), 0, "mix", str(error))]) from None
 
 
 def _unfinished_text(found: Mapping[str, Any]) -> str:
@@ -210,7 +210,7 @@
     else:
         document = _load_plan(api, path, var, var_file, why)
         if document["blocked"]:
-            _print(saved.told(document))
+            _print(saved.render(document))
             raise typer.Exit(ERROR)
         if not document["steps"]:
             _print_json({"state": "done", "steps": 0}) if json else _print(saved.summary(document))
--- a/threadhill/control/ledger.py
+++ b/threadhill/control/ledger.py
@@ -21,7 +21,7 @@
 from threadhill.plans import options, planner, rules, saved
 from threadhill.plans.planner import Observed, Step
 from threadhill.plans.resource import Resource
-from threadhill.plans.rules import SERVERS, Fleet, Phase, Record
+from threadhill.plans.rules import SERVER_KINDS, Fleet, Phase, Record
 
 LEASE_MS = 5_000  # how long an applier keeps its lease without renewing it
 MAX_RECENT_EVENTS = 10_000  # events kept in memory; older ones come from the store
@@ -54,7 +54,7 @@
         self.open_apply = store.open_apply()
         self.steps: list[Step] = saved.steps_of(self.open_apply.plan) if self.open_apply else []
         self.step_states = store.steps(self.open_apply.number) if self.open_apply else {}
-        self.fleet = Fleet.of(store.records(), {})
+        self.fleet = Fleet.from_records(store.records(), {})
         self._full_state_line: bytes | None = None  # cached event of all servers and tenants, until a record changes
         self._refresh_derived()
         # The number of the newest event here. `pos` is beyond it after a snapshot was restored: this store lacks what
@@ -221,7 +221,7 @@
         change = Change(steps=list(transitions.done))
         if apply.expires - now < LEASE_MS // 2:  # not at every call, since each renewal is a write to the disk
             change.apply = replace(apply, expires=now + LEASE_MS)
-        trial = Fleet.of(self.fleet.records.values(), self.fleet.places) if transitions.begin else self.fleet
+        trial = Fleet.from_records(self.fleet.records.values(), self.fleet.places) if transitions.begin else self.fleet
         records: dict[str, Record | None] = {}
         pos = self.pos
         for step in transitions.begin:
@@ -283,7 +283,7 @@
             if step.action == "unset":
                 return {"tenants": {"set": [], "gone": [step.name]}}
             return {"tenants": {"set": [tenant(step.name, step.after)], "gone": []}}
-        if step.kind not in SERVERS:
+        if step.kind not in SERVER_KINDS:
             return None
         old = fleet.records.get(step.resource)
         phase = {"drain": DRAINING, "remove": DELETED}.get(step.action, SERVING)
@@ -306,7 +306,7 @@
         only that node's boxes are included, since its proxies send to no others."""
         members, tenants = [], []
         for _, r in sorted((fleet or self.fleet).records.items()):
-            if r.kind in SERVERS and (not node or r.kind != "box" or r.attrs["node"] == node):
+            if r.kind in SERVER_KINDS and (not node or r.kind != "box" or r.attrs["node"] == node):
                 phase = SERVING if r.ready else DRAINING
                 members.append(options.member(r.kind, r.name, r.attrs, phase, r.since))
             elif r.kind == "tenant":
@@ -338,7 +338,7 @@
         number that a proxy has seen, so that no proxy takes a new event for an old one. An open apply is abandoned."""
         if self.open_apply is not None:
             self._close_apply("abandoned", 0)
-        trial = Fleet.of((r for r in self.fleet.records.values()), self.fleet.places)
+        trial = Fleet.from_records((r for r in self.fleet.records.values()), self.fleet.places)
         for record in change.records:
             trial.put(record)
         for id in change.dropped:
--- a/threadhill/control/progress.py
+++ b/threadhill/control/progress.py
@@ -14,7 +14,7 @@
 from threadhill.control.store import StepState
 from threadhill.plans import options, planner
 from threadhill.plans.planner import Step
-from threadhill.plans.rules import SERVERS, Fleet, Phase, Record
+from threadhill.plans.rules import SERVER_KINDS, Fleet, Phase, Record
 
 MAX_STEPS_PER_CALL = 500  # steps that begin in one call, to keep the transaction short
 
@@ -38,7 +38,7 @@
 def unreachable_ids(fleet: Fleet, reports: ProxyReports, now: int) -> frozenset[str]:
     """Ids of the recorded servers that no live proxy reaches."""
     names = reports.unreachable(now)
-    found = (f"{kind}.{name}" for name in names for kind in SERVERS)
+    found = (f"{kind}.{name}" for name in names for kind in SERVER_KINDS)
     return frozenset(id for id in found if id in fleet.records)
 
 
@@ -72,7 +72,7 @@
     """Records whose next phase is confirmed, in that phase, with notes. Also called while no apply is open."""
     confirmed = []
     for record in fleet.records.values():
-        if record.phase in (Phase.COLD, Phase.DRAINING, Phase.TELLING):
+        if record.phase in (Phase.COLD, Phase.DRAINING, Phase.CONFIGURING):
             phase, note = confirmed_phase(fleet, record, reports, now)
             if phase is not None:
                 confirmed.append((replace(record, phase=phase), note))
@@ -127,7 +127,7 @@
             _block_place(blocked_places, step)
             continue
         if trial is None:
-            trial = Fleet.of(fleet.records.values(), fleet.places, gone)
+            trial = Fleet.from_records(fleet.records.values(), fleet.places, gone)
         reason = planner.guard(trial, step)
         if reason is not None:
             transitions.waits[step.id] = reason
@@ -150,9 +150,9 @@
 ) -> str:
     """Why the apply is stuck: no step is under way and none may begin, so only an operator can help. "": it is not."""
     under_way = any(state.state == "intended" for state in states.values()) or any(
-        record.phase in (Phase.COLD, Phase.DRAINING, Phase.TELLING)
+        record.phase in (Phase.COLD, Phase.DRAINING, Phase.CONFIGURING)
         for record in fleet.records.values()
-        if record.kind in SERVERS or record.kind == "proxy"
+        if record.kind in SERVER_KINDS or record.kind == "proxy"
     )
     if under_way:
         return ""
--- a/threadhill/plans/configuration.py
+++ b/threadhill/plans/configuration.py
@@ -12,9 +12,9 @@
 from threadhill.decision.hashing import hash_name
 from threadhill.documents import MAX_TOTAL_RECORDS
 from threadhill.plans.expr import EvalError, Ref, Scope, is_number, kind_of
-from threadhill.plans.faults import Fault, Invalid
+from threadhill.plans.faults import Fault, InvalidConfiguration
 from threadhill.plans.model import KINDS, MODELS, NAME, RESERVED, RequestClass
-from threadhill.plans.resource import SERVERS, Resource
+from threadhill.plans.resource import SERVER_KINDS, Resource
 from threadhill.plans.syntax import Attribute, Block
 
 MOST_RESOURCES = 200_000
@@ -132,7 +132,7 @@
             where[resource.id] = instance.block, {n: a.line for n, a in instance.block.attributes.items()}
     _check(reading, resources, where)
     if reading.faults:
-        raise Invalid(reading.faults)
+        raise InvalidConfiguration(reading.faults)
     return resources
 
 
@@ -155,7 +155,7 @@
                 if "default" not in block.attributes:
                     reading.fault(block, block.line, block.title, f"has no default: give it with -var {name}=VALUE")
                     continue
-                value = block.attributes["default"].value(Scope(nothing))
+                value = block.attributes["default"].value(Scope(no_names))
             if isinstance(value, str) and name in given:
                 value = _given(value, type_name)
             if not TYPES[type_name](value):
@@ -167,7 +167,7 @@
         reading.faults.append(Fault("-var", 0, name, "no such variable"))
 
 
-def nothing(word: str) -> Any:
+def no_names(word: str) -> Any:
     raise KeyError(word)
 
 
@@ -175,7 +175,7 @@
     if "type" not in block.attributes:
         return "any"
     attribute = block.attributes["type"]
-    scope = Scope(nothing, {name: name for name in TYPES})
+    scope = Scope(no_names, {name: name for name in TYPES})
     value = attribute.value(scope)
     if value not in TYPES:
         raise EvalError(attribute.line, f"type must be one of {', '.join(TYPES)}")
@@ -353,7 +353,7 @@
     zones: dict[str, str] = {}
     for id, resource in resources.items():
         attrs = resource.attrs
-        if resource.kind in SERVERS:
+        if resource.kind in SERVER_KINDS:
             # What stands for a server in the module: two names with one number would be taken for one server.
             other = numbers.setdefault(hash_name(resource.name) & 0xFFFFFFFF, id)
             if other != id:
@@ -372,7 +372,7 @@
             key=lambda id: len(resources[id].attrs["records"]),
         )
         fault(id, "records", f"all tenants have over {MAX_TOTAL_RECORDS} static records together, this one the most")
-    if any(resource.kind in (*SERVERS, "proxy", "node") for resource in resources.values()):
+    if any(resource.kind in (*SERVER_KINDS, "proxy", "node") for resource in resources.values()):
         for kind, text in (
             ("settings", "there must be a block of settings"),
             ("library", "there must be a library: everything comes from it"),
--- a/threadhill/plans/faults.py
+++ b/threadhill/plans/faults.py
@@ -19,7 +19,7 @@
         return f"{where}: {self.name}: {self.text}" if self.name else f"{where}: {self.text}"
 
 
-class Invalid(Exception):
+class InvalidConfiguration(Exception):
     """A configuration that cannot be used; `faults` has every fault that was found, in order of place."""
 
     def __init__(self, faults: list[Fault]) -> None:
--- a/threadhill/plans/forecast.py
+++ b/threadhill/plans/forecast.py
@@ -38,7 +38,7 @@
     parts: int = 12  # of an object in parts
     seconds: float = 40.0
 
-    def asks(self, seed: int, in_parts: Mapping[str, bool]) -> Iterator[tuple[str, str, int]]:
+    def requests(self, seed: int, in_parts: Mapping[str, bool]) -> Iterator[tuple[str, str, int]]:
         """Class, object and part of one request after another, the same for the same seed."""
         draw = random.Random(seed)
         weights = list(itertools.accumulate(1 / (i + 1) ** self.zipf for i in range(self.objects)))
@@ -101,9 +101,9 @@
     counted: dict[str, Counter[str]] = {name: Counter() for name in mix.classes}
     rate = mix.rate / max(1, len(crew))
     many = max(FEWEST, min(MOST, int(rate * (mix.seconds + WARM_UP))))
-    asks = mix.asks(seed, {name: cls.in_parts for name, cls in settings.classes.items()})
+    requests = mix.requests(seed, {name: cls.in_parts for name, cls in settings.classes.items()})
     out: list[tuple[int, api.Fetch]] = []
-    for i, (cls, name, part) in enumerate(itertools.islice(asks, many)):
+    for i, (cls, name, part) in enumerate(itertools.islice(requests, many)):
         now = SECOND + int(i * SECOND / rate)
         while out and out[0][0] <= now:
             at, sent = out.pop(0)
--- a/threadhill/plans/planner.py
+++ b/threadhill/plans/planner.py
@@ -72,7 +72,7 @@
     def place(self) -> str | None:
         """Where it changes what is ready, or None. Such steps of one place never overtake each other: what one of them
         drains, another may need."""
-        if self.kind not in rules.SERVERS or self.action not in ("add", "return", "drain"):
+        if self.kind not in rules.SERVER_KINDS or self.action not in ("add", "return", "drain"):
             return None
         return (self.after or self.before)["node"] if self.kind == "box" else self.kind
 
@@ -121,7 +121,7 @@
 class Observed:
     """What proxies report: servers that none of them reaches, and proxies that are not as recorded."""
 
-    gone: frozenset[str] = frozenset()  # ids of servers
+    unreachable: frozenset[str] = frozenset()  # ids of servers
     proxies: Mapping[str, str] = field(default_factory=dict)  # id -> what is odd about it
 
 
@@ -144,15 +144,15 @@
 
 def record_of(resource: Resource, warm: bool = False) -> Record:
     """The record that making this resource leads to."""
-    if resource.kind in rules.SERVERS:
+    if resource.kind in rules.SERVER_KINDS:
         # No rule limits what a library is sent when it is new.
         phase = Phase.WARM if resource.attrs["warm"] or warm or resource.kind == "library" else Phase.COLD
     else:
-        phase = Phase.TELLING if resource.kind == "proxy" else Phase.SET
+        phase = Phase.CONFIGURING if resource.kind == "proxy" else Phase.SET
     return Record(resource.kind, resource.name, resource.attrs, phase)
 
 
-def with_configurations(wanted: Mapping[str, Resource]) -> dict[str, Resource]:
+def with_config_digests(wanted: Mapping[str, Resource]) -> dict[str, Resource]:
     """The same, where each proxy's attributes hold a digest of all that its configuration is made from, so that a
     change of settings shows as a change of the proxies that must take it up."""
     settings = wanted.get("settings.settings")
@@ -177,11 +177,13 @@
 
 def plan(wanted: Mapping[str, Resource], recorded: Iterable[Record], observed: Observed = NOTHING) -> Plan:
     """The steps from what is recorded to what is wanted, ordered by going through them against the rules."""
-    wanted = with_configurations(wanted)
+    wanted = with_config_digests(wanted)
     records = {record.id: record for record in recorded}
     steps = _differences(wanted, records)
-    ordered, blocked = _order(steps, Fleet.of(records.values(), rules.places(wanted.values()), observed.gone))
-    pending = [id for id, r in sorted(records.items()) if r.phase in (Phase.COLD, Phase.DRAINING, Phase.TELLING)]
+    ordered, blocked = _order(
+        steps, Fleet.from_records(records.values(), rules.places(wanted.values()), observed.unreachable)
+    )
+    pending = [id for id, r in sorted(records.items()) if r.phase in (Phase.COLD, Phase.DRAINING, Phase.CONFIGURING)]
     return Plan(ordered, blocked, drift(records, observed), pending)
 
 
@@ -189,7 +191,7 @@
     """What proxies see that is not as recorded; a plan does not undo it, since nobody asked for it by file."""
     found = [
         Drift(id, records[id].phase.value, "no live proxy reaches it")
-        for id in sorted(observed.gone)
+        for id in sorted(observed.unreachable)
         if id in records and records[id].ready
     ]
     found += [Drift(id, "as configured", text) for id, text in sorted(observed.proxies.items()) if id in records]
@@ -206,7 +208,7 @@
         old, new = records.get(id), wanted.get(id)
         kind, name = id.split(".", 1)
         before, after = old.attrs if old else None, new.attrs if new else None
-        if kind not in rules.SERVERS:
+        if kind not in rules.SERVER_KINDS:
             if after is None:
                 step("unset", kind, name, before, None)
             elif before != after:
@@ -239,7 +241,7 @@
 def _with_needs(steps: list[Step]) -> list[Step]:
     """The graph: what a step names must be made before it, and what goes last is what others stand on."""
     by_id = {step.id: step for step in steps}
-    leaving = {s.before["address"]: s.id for s in steps if s.action == "remove" and s.kind in rules.SERVERS}
+    leaving = {s.before["address"]: s.id for s in steps if s.action == "remove" and s.kind in rules.SERVER_KINDS}
     leaving |= {s.before["listen"]: s.id for s in steps if s.kind == "proxy" and s.action == "unset"}
     on: dict[str, list[str]] = {}  # node or hub -> steps that take what stands there away
     for s in steps:
@@ -253,7 +255,7 @@
         if s.after is not None:
             needs |= {f"set {s.after[word]}" for word in ("node", "hub") if word in s.after}
             needs |= {f"add {source}" for source in s.after.get("fills_from", ())}
-            if s.kind in ("proxy", *rules.SERVERS):
+            if s.kind in ("proxy", *rules.SERVER_KINDS):
                 needs.add("set settings.settings")
             if s.action in ("add", "set"):
                 address = s.after.get("address") or s.after.get("listen")
@@ -306,7 +308,7 @@
                 waiting.append(step)
         done |= {step.id for step in begun}
         ordered += begun
-        if not settle(fleet) and not begun:
+        if not confirm_all(fleet) and not begun:
             return ordered, {step.id: why[step.id] for step in waiting}
         left, wave = waiting, wave + bool(begun)
     return ordered, {}
@@ -367,9 +369,9 @@
     return record
 
 
-def settle(fleet: Fleet) -> bool:
+def confirm_all(fleet: Fleet) -> bool:
     """The state once all that was begun is confirmed; whether that changed anything."""
-    after = {Phase.COLD: Phase.WARM, Phase.DRAINING: Phase.DRAINED, Phase.TELLING: Phase.SET}
+    after = {Phase.COLD: Phase.WARM, Phase.DRAINING: Phase.DRAINED, Phase.CONFIGURING: Phase.SET}
     moved = [record for record in fleet.records.values() if record.phase in after]
     for record in moved:
         fleet.move(record, record.moved(after[record.phase], record.since, record.pos, record.at))
--- a/threadhill/plans/resource.py
+++ b/threadhill/plans/resource.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-SERVERS = ("box", "parent", "library")  # kinds that requests are sent to
+SERVER_KINDS = ("box", "parent", "library")  # kinds that requests are sent to
 
 
 @dataclass(frozen=True, slots=True)
--- a/threadhill/plans/rules.py
+++ b/threadhill/plans/rules.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import Any
 
-from threadhill.plans.resource import SERVERS
+from threadhill.plans.resource import SERVER_KINDS
 
 COLD_SHARE = 1 / 3  # part of a node's boxes that may be cold at once, whatever its link could carry
 
@@ -22,7 +22,7 @@
     """Where a recorded resource stands."""
 
     SET = "set"  # what has no life of its own: it is as recorded
-    TELLING = "telling"  # a proxy whose configuration is written and not yet seen to run
+    CONFIGURING = "telling"  # a proxy whose configuration is written and not yet seen to run
     COLD = "cold"  # listed, and not yet warm
     WARM = "warm"
     DRAINING = "draining"  # gets nothing new; what it had taken may still run
@@ -71,7 +71,7 @@
     allow_empty: bool = False
 
     @property
-    def floor(self) -> int:
+    def min_warm(self) -> int:
         """Warm servers that there must always be: those that carry the load; at least one."""
         if not self.wanted:
             return 0 if self.allow_empty else 1
@@ -99,7 +99,7 @@
     """What holds where, by the wanted resources (objects with `kind`, `name`, `attrs`). The library is never drained
     while anything is left, so its place allows nothing."""
     wanted = list(wanted)
-    counts = Counter(r.attrs["node"] if r.kind == "box" else r.kind for r in wanted if r.kind in SERVERS)
+    counts = Counter(r.attrs["node"] if r.kind == "box" else r.kind for r in wanted if r.kind in SERVER_KINDS)
     made = {
         f"node.{r.name}": Place(
             counts[f"node.{r.name}"],
@@ -129,11 +129,15 @@
     named: Counter[str] = field(default_factory=Counter)  # id -> ready servers whose source it is
     belongs: Counter[str] = field(default_factory=Counter)  # node or hub -> what stands there
     proxies: dict[str, Record] = field(default_factory=dict)  # by name
-    gone: frozenset[str] = frozenset()  # ids of servers that no proxy reaches: they carry nothing, whatever is recorded
+    unreachable: frozenset[str] = (
+        frozenset()
+    )  # ids of servers that no proxy reaches: they carry nothing, whatever is recorded
 
     @classmethod
-    def of(cls, records: Iterable[Record], places: dict[str, Place], gone: frozenset[str] = frozenset()) -> Fleet:
-        fleet = cls(places=places, gone=gone)
+    def from_records(
+        cls, records: Iterable[Record], places: dict[str, Place], unreachable: frozenset[str] = frozenset()
+    ) -> Fleet:
+        fleet = cls(places=places, unreachable=unreachable)
         for record in records:
             fleet.put(record)
         return fleet
@@ -144,8 +148,8 @@
                 self.belongs[record.attrs[word]] += by
         if record.kind == "proxy":
             self.counts[record.attrs["node"], record.phase] += by
-        if record.kind in SERVERS:
-            if record.id not in self.gone or not record.ready:
+        if record.kind in SERVER_KINDS:
+            if record.id not in self.unreachable or not record.ready:
                 self.counts[record.place, record.phase] += by
             if record.ready:
                 for source in record.attrs.get("fills_from", ()):
@@ -172,7 +176,7 @@
         if new.kind == "proxy":
             self.proxies[new.name] = new
         place = old.attrs["node"] if old.kind == "proxy" else old.place
-        if old.id not in self.gone or not old.ready:
+        if old.id not in self.unreachable or not old.ready:
             self.counts[place, old.phase] -= 1
             self.counts[place, new.phase] += 1
 
@@ -208,7 +212,7 @@
         known = fleet.records.get(source)
         if known is None or not known.ready:
             return f"{source}, its source, is not ready"
-        if source in fleet.gone:
+        if source in fleet.unreachable:
             return f"{source}, its source, is out of every proxy's reach"
         if known.phase is Phase.COLD and fleet.warm(known.place):
             return f"{source}, its source, is cold"
@@ -226,10 +230,10 @@
         return f"{fleet.named[record.id]} others still fill from it"
     if record.kind != "box" and place.allow_empty and any(fleet.counts[p] for p in fleet.counts if p[0] != name):
         return "boxes are still there"
-    counted = record.id not in fleet.gone
+    counted = record.id not in fleet.unreachable
     warm = fleet.warm(name) - (counted and record.phase is Phase.WARM)
-    if counted and warm < place.floor:  # one that is out of reach carries nothing already
-        return f"{name} must keep {place.floor} warm"
+    if counted and warm < place.min_warm:  # one that is out of reach carries nothing already
+        return f"{name} must keep {place.min_warm} warm"
     cold = fleet.cold(name) - (counted and record.phase is Phase.COLD)
     if place.wanted and cold > place.cold_limit(warm):
         return f"{name} has {cold} cold, too many for {warm} warm ones"
@@ -238,7 +242,7 @@
 
 def may_remove(fleet: Fleet, record: Record) -> str | None:
     """Whether this one may be forgotten, and its name and address used again."""
-    if record.kind in SERVERS and fleet.records[record.id].phase is not Phase.DRAINED:
+    if record.kind in SERVER_KINDS and fleet.records[record.id].phase is not Phase.DRAINED:
         return f"{record.id} is not drained yet"
     if record.kind in ("node", "hub") and fleet.belongs[record.id]:
         return f"{fleet.belongs[record.id]} others still stand there"
@@ -255,13 +259,13 @@
         if holder is not None and holder != record.id:
             return f"{record.attrs['listen']} is still {holder}'s"
         if record.id in fleet.records:
-            own = fleet.records[record.id].phase is Phase.TELLING
-            if fleet.counts[record.attrs["node"], Phase.TELLING] > own:
+            own = fleet.records[record.id].phase is Phase.CONFIGURING
+            if fleet.counts[record.attrs["node"], Phase.CONFIGURING] > own:
                 return f"another proxy of {record.attrs['node']} has not come back yet"
     return None
 
 
-def broken(fleet: Fleet) -> list[str]:
+def violations(fleet: Fleet) -> list[str]:
     """The rules that this state breaks; what the tests hold every prefix of a plan against."""
     found = []
     for name, place in fleet.places.items():
--- a/threadhill/plans/saved.py
+++ b/threadhill/plans/saved.py
@@ -58,7 +58,7 @@
     return {id: Resource(*id.split(".", 1), attrs) for id, attrs in wanted.items()}
 
 
-def told(raw: Mapping[str, Any], done: Mapping[str, str] | None = None) -> str:
+def render(raw: Mapping[str, Any], done: Mapping[str, str] | None = None) -> str:
     """A plan for people; `done` gives the state of each step of one that is being applied."""
     lines = []
     if raw["drift"]:
--- a/threadhill/plans/syntax.py
+++ b/threadhill/plans/syntax.py
@@ -10,7 +10,7 @@
 from lark.exceptions import LarkError, UnexpectedInput
 
 from threadhill.plans.expr import Compiled, EvalError, compile_expression
-from threadhill.plans.faults import Fault, Invalid
+from threadhill.plans.faults import Fault, InvalidConfiguration
 
 MOST_FILE = 8 << 20  # bytes of one file
 MOST_FILES = 1_000
@@ -48,7 +48,9 @@
     if path.is_dir():
         files = sorted(p for p in path.iterdir() if p.suffix == suffix and p.is_file())
     if not files or len(files) > MOST_FILES:
-        raise Invalid([Fault(str(path), 0, "", f"holds {len(files)} {suffix} files; 1 to {MOST_FILES} are needed")])
+        raise InvalidConfiguration(
+            [Fault(str(path), 0, "", f"holds {len(files)} {suffix} files; 1 to {MOST_FILES} are needed")]
+        )
     faults: list[Fault] = []
     blocks: list[Block] = []
     for file in files:
@@ -61,7 +63,7 @@
             continue
         blocks += parse(text, str(file), faults)
     if faults:
-        raise Invalid(faults)
+        raise InvalidConfiguration(faults)
     return blocks
 
 
--- a/threadhill/standin/dev.py
+++ b/threadhill/standin/dev.py
@@ -22,8 +22,8 @@
 import typer
 
 from threadhill.control import client
-from threadhill.plans.faults import Invalid
-from threadhill.plans.rules import SERVERS
+from threadhill.plans.faults import InvalidConfiguration
+from threadhill.plans.rules import SERVER_KINDS
 from threadhill.settings import address
 from threadhill.standin.servers import Fleet
 
@@ -71,7 +71,7 @@
         settings = wanted.get("settings.settings", {})
         for id, attrs in wanted.items():
             kind, name = id.split(".", 1)
-            if kind not in SERVERS:
+            if kind not in SERVER_KINDS:
                 continue
             where = address(attrs["address"], id)
             running = self.fleet.servers.get(name)
@@ -83,7 +83,9 @@
                 sources = [s.split(".", 1)[1] for s in attrs.get("fills_from", ())]
                 library = next((i.split(".", 1)[1] for i in wanted if i.startswith("library.")), "")
                 await self.fleet.add(name, kind, where, cold, upstream=sources[0] if sources else library)
-        for name in set(self.fleet.servers) - {i.split(".", 1)[1] for i in wanted if i.split(".", 1)[0] in SERVERS}:
+        for name in set(self.fleet.servers) - {
+            i.split(".", 1)[1] for i in wanted if i.split(".", 1)[0] in SERVER_KINDS
+        }:
             self.fleet.remove(name)
         await self._proxies({i.split(".", 1)[1] for i in recorded if i.startswith("proxy.")})
 
@@ -163,7 +165,7 @@
     """Run it until SIGINT or SIGTERM."""
     try:
         wanted = client.read_configuration(folder, client.read_variables([], var))
-    except Invalid as error:
+    except InvalidConfiguration as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(1) from None
     with tempfile.TemporaryDirectory(prefix="threadhill-") as temporary:
