--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -330,7 +330,7 @@
     plane.now += 2 * SECOND
     plane.report()
     gone = Observed(frozenset(plane.ledger.observed(plane.now)["gone"]))
-    assert gone.unreachable == {"box.costa-0"}
+    assert gone.gone == {"box.costa-0"}
     one, records = read(BASE, boxes=1), list(plane.ledger.fleet.records.values())  # that box is unreachable
     assert not planner.plan(one, records).blocked
     assert "drain box.costa-3" in planner.plan(one, records, gone).blocked
--- a/threadhill/plans/planner.py
+++ b/threadhill/plans/planner.py
@@ -121,7 +121,7 @@
 class Observed:
     """What proxies report: servers that none of them reaches, and proxies that are not as recorded."""
 
-    unreachable: frozenset[str] = frozenset()  # ids of servers
+    gone: frozenset[str] = frozenset()  # ids of servers
     proxies: Mapping[str, str] = field(default_factory=dict)  # id -> what is odd about it
 
 
@@ -180,9 +180,7 @@
     wanted = with_config_digests(wanted)
     records = {record.id: record for record in recorded}
     steps = _differences(wanted, records)
-    ordered, blocked = _order(
-        steps, Fleet.from_records(records.values(), rules.places(wanted.values()), observed.unreachable)
-    )
+    ordered, blocked = _order(steps, Fleet.from_records(records.values(), rules.places(wanted.values()), observed.gone))
     pending = [id for id, r in sorted(records.items()) if r.phase in (Phase.COLD, Phase.DRAINING, Phase.CONFIGURING)]
     return Plan(ordered, blocked, drift(records, observed), pending)
 
@@ -191,7 +189,7 @@
     """What proxies see that is not as recorded; a plan does not undo it, since nobody asked for it by file."""
     found = [
         Drift(id, records[id].phase.value, "no live proxy reaches it")
-        for id in sorted(observed.unreachable)
+        for id in sorted(observed.gone)
         if id in records and records[id].ready
     ]
     found += [Drift(id, "as configured", text) for id, text in sorted(observed.proxies.items()) if id in records]
--- a/threadhill/plans/rules.py
+++ b/threadhill/plans/rules.py
@@ -129,15 +129,13 @@
     named: Counter[str] = field(default_factory=Counter)  # id -> ready servers whose source it is
     belongs: Counter[str] = field(default_factory=Counter)  # node or hub -> what stands there
     proxies: dict[str, Record] = field(default_factory=dict)  # by name
-    unreachable: frozenset[str] = (
-        frozenset()
-    )  # ids of servers that no proxy reaches: they carry nothing, whatever is recorded
+    gone: frozenset[str] = frozenset()  # ids of servers that no proxy reaches: not counted while ready
 
     @classmethod
     def from_records(
-        cls, records: Iterable[Record], places: dict[str, Place], unreachable: frozenset[str] = frozenset()
+        cls, records: Iterable[Record], places: dict[str, Place], gone: frozenset[str] = frozenset()
     ) -> Fleet:
-        fleet = cls(places=places, unreachable=unreachable)
+        fleet = cls(places=places, gone=gone)
         for record in records:
             fleet.put(record)
         return fleet
@@ -149,7 +147,7 @@
         if record.kind == "proxy":
             self.counts[record.attrs["node"], record.phase] += by
         if record.kind in SERVER_KINDS:
-            if record.id not in self.unreachable or not record.ready:
+            if record.id not in self.gone or not record.ready:
                 self.counts[record.place, record.phase] += by
             if record.ready:
                 for source in record.attrs.get("fills_from", ()):
@@ -176,7 +174,7 @@
         if new.kind == "proxy":
             self.proxies[new.name] = new
         place = old.attrs["node"] if old.kind == "proxy" else old.place
-        if old.id not in self.unreachable or not old.ready:
+        if old.id not in self.gone or not old.ready:
             self.counts[place, old.phase] -= 1
             self.counts[place, new.phase] += 1
 
@@ -212,7 +210,7 @@
         known = fleet.records.get(source)
         if known is None or not known.ready:
             return f"{source}, its source, is not ready"
-        if source in fleet.unreachable:
+        if source in fleet.gone:
             return f"{source}, its source, is out of every proxy's reach"
         if known.phase is Phase.COLD and fleet.warm(known.place):
             return f"{source}, its source, is cold"
@@ -230,7 +228,7 @@
         return f"{fleet.named[record.id]} others still fill from it"
     if record.kind != "box" and place.allow_empty and any(fleet.counts[p] for p in fleet.counts if p[0] != name):
         return "boxes are still there"
-    counted = record.id not in fleet.unreachable
+    counted = record.id not in fleet.gone
     warm = fleet.warm(name) - (counted and record.phase is Phase.WARM)
     if counted and warm < place.min_warm:  # one that is out of reach carries nothing already
         return f"{name} must keep {place.min_warm} warm"
