--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -132,10 +132,12 @@
     def said(at: int, name: str, part: str) -> bool:
         return any(l == at and n == name and part in t for l, n, t in told)  # noqa: E741
 
-    assert said(2, "box.costa-0", "stands twice")
+    assert said(2, "box.costa-0", "is defined twice")
     assert said(9, "parent.a", "port")
     assert said(10, "parent.a", "must name a parent or a library; box.costa-1 is a box")
-    assert said(15, "parent.b", "parent.b -> parent.c -> parent.b") and said(19, "parent.c", "is parent.b's already")
+    assert said(15, "parent.b", "parent.b -> parent.c -> parent.b") and said(
+        19, "parent.c", "is already used by parent.b"
+    )
     assert said(23, "tenant.x", "domain name") and said(25, "thing.y", "no such kind")
     assert said(0, "colour", "no such variable")
     with pytest.raises(InvalidConfiguration) as caught:
@@ -147,7 +149,7 @@
             "x.hcl:2: node.n: hub: there is no 'none'",
             "x.hcl:3: node.n: lod: no such",
             "x.hcl:5: variable.v",
-            "local.a needs itself: a -> b -> a",
+            "local.a refers to itself: a -> b -> a",
         )
     )
 
--- a/threadhill/plans/__init__.py
+++ b/threadhill/plans/__init__.py
@@ -1,2 +1,4 @@
-"""Plan and apply: files that say what there should be, and the plan that leads there. Nothing here does I/O but
-`syntax`, which reads the files."""
+"""Plan and apply: configuration files describe the wanted state, and a plan is the steps from the recorded state to it.
+
+Nothing here does I/O but `syntax`, which reads the files.
+"""
--- a/threadhill/plans/expr.py
+++ b/threadhill/plans/expr.py
@@ -1,7 +1,7 @@
-"""HCL expressions: compiled once into closures, evaluated in a scope. What is not listed here is an error.
+"""HCL expressions: compiled once into closures, evaluated in a scope. Anything not listed here is an error.
 
 Supported: numbers, strings with `${}`, heredocs without it, booleans, null, lists, maps, `for` in both, `?:`,
-arithmetic, comparison and logic, attributes and indices, and the functions of `FUNCTIONS`. Not supported: splats,
+arithmetic, comparison and logical operators, attributes and indices, and the functions of `FUNCTIONS`. Not supported: splats,
 template directives, and argument expansion; docs/control.md has the table.
 """
 
@@ -16,16 +16,16 @@
 
 from lark import Token, Tree
 
-MOST_ITEMS = 200_000  # of one list: a slip in a range must not take the machine's memory
+MAX_ITEMS = 200_000  # of one list: a mistake in a range must not exhaust the memory
 ESCAPES = {"n": "\n", "r": "\r", "t": "\t", '"': '"', "\\": "\\"}
 ESCAPE = re.compile(r"\\(u[0-9a-fA-F]{4}|U[0-9a-fA-F]{8}|.)", re.S)
 HEREDOC = re.compile(r"<<-?(\w+)\r?\n(.*)\n[ \t]*\1\s*\Z", re.S)
-VERB = re.compile(r"%(?:(%)|(0?)(\d*)([sdvfx]))")
-SKIPPED = {"new_line_or_comment"}
+FORMAT_VERB = re.compile(r"%(?:(%)|(0?)(\d*)([sdvfx]))")
+IGNORED_TREES = {"new_line_or_comment"}
 
 
 class EvalError(Exception):
-    """An expression that cannot be evaluated, and the line that it is on."""
+    """An expression cannot be compiled or evaluated; `line` is its line in the file."""
 
     def __init__(self, line: int, text: str) -> None:
         super().__init__(text)
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ref:
-    """A resource that another one names."""
+    """A reference to a resource."""
 
     kind: str
     name: str
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class Scope:
-    """What names mean. `roots` answers the first word of a reference, or raises KeyError."""
+    """The values of names. `roots` resolves the first word of a reference, or raises KeyError."""
 
     roots: Callable[[str], Any]
     names: dict[str, Any] = field(default_factory=dict)
@@ -58,13 +58,13 @@
 
 
 def compile_expression(tree: Tree | Token) -> Compiled:
-    """The tree as a closure. Raises EvalError at once for what is not supported."""
+    """Compiles the tree into a closure. Raises EvalError if it is not supported."""
     if isinstance(tree, Token):
         raise EvalError(tree.line or 0, f"`{tree}` is not supported here")
-    maker = MAKERS.get(tree.data)
-    if maker is None:
+    compiler = COMPILERS.get(tree.data)
+    if compiler is None:
         raise EvalError(_line(tree), f"{str(tree.data).replace('_', ' ')} is not supported")
-    return maker(tree)
+    return compiler(tree)
 
 
 def is_number(value: Any) -> bool:
@@ -76,8 +76,8 @@
 
 
 def _parts(tree: Tree) -> list[Tree]:
-    """The sub-trees that mean something."""
-    return [child for child in tree.children if isinstance(child, Tree) and child.data not in SKIPPED]
+    """The sub-trees without line breaks and comments."""
+    return [child for child in tree.children if isinstance(child, Tree) and child.data not in IGNORED_TREES]
 
 
 def _identifier(tree: Tree) -> str:
@@ -85,7 +85,7 @@
 
 
 def _text(value: Any, line: int) -> str:
-    """A value within a string."""
+    """The value as text, for use in a string."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, str):
@@ -96,11 +96,11 @@
         return str(value)
     if isinstance(value, Ref):
         return value.name
-    raise EvalError(line, f"a {kind_of(value)} can't stand in a string")
+    raise EvalError(line, f"a {describe_type(value)} can't be converted to a string")
 
 
-def kind_of(value: Any) -> str:
-    """What people call a value's type."""
+def describe_type(value: Any) -> str:
+    """The name of the value's type for messages."""
     if value is None:
         return "null"
     for types, name in ((bool, "boolean"), ((int, float), "number"), (str, "string"), (list, "list"), (dict, "map")):
@@ -115,13 +115,13 @@
         if code[0] in "uU" and len(code) > 1:
             return chr(int(code[1:], 16))
         if code not in ESCAPES:
-            raise EvalError(line, f"\\{code} is no escape of a string")
+            raise EvalError(line, f"\\{code} is not a valid escape sequence")
         return ESCAPES[code]
 
     return ESCAPE.sub(one, raw)
 
 
-# --- makers, one for each kind of tree
+# --- compilers, one for each kind of tree
 
 
 def _term(tree: Tree) -> Compiled:
@@ -138,7 +138,7 @@
         try:
             return scope.roots(word)
         except KeyError:
-            raise EvalError(line, f"there is no `{word}`: text stands in quotes, resources as kind.name") from None
+            raise EvalError(line, f"there is no `{word}`: put text in quotes, name a resource as kind.name") from None
 
     return get
 
@@ -192,7 +192,7 @@
         for key, value, line in pairs:
             word = _text(key(scope), line)
             if word in made:
-                raise EvalError(line, f"the key {word!r} stands twice")
+                raise EvalError(line, f"the key {word!r} is defined twice")
             made[word] = value(scope)
         return made
 
@@ -235,7 +235,7 @@
         if 0 <= key < len(value):
             return value[int(key)]
         raise EvalError(line, f"there is no item {int(key)} in a list of {len(value)}")
-    raise EvalError(line, f"a {kind_of(value)} has no {key!r}")
+    raise EvalError(line, f"a {describe_type(value)} has no {key!r}")
 
 
 def _attribute(tree: Tree) -> Compiled:
@@ -262,7 +262,7 @@
 
 def _boolean(value: Any, line: int) -> bool:
     if not isinstance(value, bool):
-        raise EvalError(line, f"must be true or false, not a {kind_of(value)}")
+        raise EvalError(line, f"must be true or false, not a {describe_type(value)}")
     return value
 
 
@@ -276,7 +276,7 @@
 
 def _numeric(value: Any, line: int) -> float:
     if not is_number(value):
-        raise EvalError(line, f"must be a number, not a {kind_of(value)}")
+        raise EvalError(line, f"must be a number, not a {describe_type(value)}")
     return value
 
 
@@ -291,13 +291,13 @@
         return lambda scope: _boolean(left(scope), line) or _boolean(right(scope), line)
     if sign in ("==", "!="):
         return lambda scope: (_same(left(scope), right(scope))) == (sign == "==")
-    work = ARITHMETIC.get(sign)
-    if work is None:
+    operation = ARITHMETIC.get(sign)
+    if operation is None:
         raise EvalError(line, f"the operator {sign} is not supported")
 
     def calculate(scope: Scope) -> Any:
         try:
-            value = work(_numeric(left(scope), line), _numeric(right(scope), line))
+            value = operation(_numeric(left(scope), line), _numeric(right(scope), line))
         except (ZeroDivisionError, OverflowError) as error:
             raise EvalError(line, str(error)) from None
         return int(value) if isinstance(value, float) and value.is_integer() and abs(value) < 1e15 else value
@@ -314,7 +314,7 @@
         return value.items()
     if isinstance(value, list):
         return enumerate(value)
-    raise EvalError(line, f"for goes over a list or a map, not a {kind_of(value)}")
+    raise EvalError(line, f"for iterates over a list or a map, not a {describe_type(value)}")
 
 
 def _for(tree: Tree) -> Compiled:
@@ -324,20 +324,20 @@
     conditions = [compile_expression(_parts(part)[0]) for part in parts[1:] if part.data == "for_cond"]
     results = [compile_expression(part) for part in parts[1:] if part.data != "for_cond"]
 
-    def turns(scope: Scope) -> Iterable[Scope]:
+    def iterations(scope: Scope) -> Iterable[Scope]:
         for key, value in _pairs(over(scope), line):
             inner = scope.with_names(dict(zip(words, (key, value) if len(words) == 2 else (value,), strict=True)))
             if all(_boolean(condition(inner), line) for condition in conditions):
                 yield inner
 
     if tree.data == "for_tuple_expr":
-        return lambda scope: [results[0](inner) for inner in turns(scope)]
+        return lambda scope: [results[0](inner) for inner in iterations(scope)]
     if any(isinstance(child, Token) and child.type == "ELLIPSIS" for child in tree.children):
         raise EvalError(line, "grouping (...) is not supported")
 
     def make(scope: Scope) -> dict[str, Any]:
         made: dict[str, Any] = {}
-        for inner in turns(scope):
+        for inner in iterations(scope):
             key = _text(results[0](inner), line)
             if key in made:
                 raise EvalError(line, f"the key {key!r} comes twice")
@@ -359,7 +359,7 @@
     ">=": lambda a, b: a >= b,
 }
 
-MAKERS: dict[str, Callable[[Tree], Compiled]] = {
+COMPILERS: dict[str, Callable[[Tree], Compiled]] = {
     "expr_term": _term,
     "identifier": _name,
     "string": _string,
@@ -386,22 +386,22 @@
 
 def _range(*bounds: Any) -> list[Any]:
     if not all(isinstance(b, int) and not isinstance(b, bool) for b in bounds):
-        raise ValueError("takes whole numbers")
+        raise ValueError("takes only whole numbers")
     whole = range(*bounds)
-    if len(whole) > MOST_ITEMS:
-        raise ValueError(f"makes over {MOST_ITEMS} items")
+    if len(whole) > MAX_ITEMS:
+        raise ValueError(f"makes over {MAX_ITEMS} items")
     return list(whole)
 
 
 def _format(text: str, *values: Any) -> str:
-    left = list(values)
+    remaining = list(values)
 
     def one(match: re.Match[str]) -> str:
         if match[1]:
             return "%"
-        if not left:
+        if not remaining:
             raise ValueError("has too few values")
-        value, (zero, width, verb) = left.pop(0), match.group(2, 3, 4)
+        value, (zero, width, verb) = remaining.pop(0), match.group(2, 3, 4)
         if width and int(width) > 64:
             raise ValueError("has a width over 64")
         if verb in "sv":
@@ -412,8 +412,8 @@
             shown = f"{value:f}" if verb == "f" else f"{int(value):{verb}}"
         return shown.rjust(int(width or 0), "0" if zero else " ")
 
-    made = VERB.sub(one, text)
-    if left:
+    made = FORMAT_VERB.sub(one, text)
+    if remaining:
         raise ValueError("has too many values")
     return made
 
--- a/threadhill/plans/faults.py
+++ b/threadhill/plans/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a configuration: all of them are told at once, each with where it is."""
+"""Errors in configuration files, called faults: all are reported together, each with its position."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, order=True, slots=True)
 class Fault:
-    """One fault: the file and line (from 1; 0 where there is none), the name concerned, and what to do."""
+    """One error: its file and line (from 1; 0 if unknown), the name that it concerns, and a message."""
 
     file: str
     line: int
@@ -20,7 +20,7 @@
 
 
 class InvalidConfiguration(Exception):
-    """A configuration that cannot be used; `faults` has every fault that was found, in order of place."""
+    """The configuration is invalid; `faults` lists all errors, ordered by file and line."""
 
     def __init__(self, faults: list[Fault]) -> None:
         self.faults = sorted(set(faults))
--- a/threadhill/plans/fmt.py
+++ b/threadhill/plans/fmt.py
@@ -1,67 +1,67 @@
-"""Canonical form of files: indents of two, `=` aligned within a run of attributes, no space at line ends.
+"""Formats files: two-space indents, `=` aligned in consecutive attributes, no trailing spaces.
 
-Only white space is touched: what a file means stays as it is, and so do comments and heredocs.
+Only white space changes; comments and heredocs stay as they are.
 """
 
 from __future__ import annotations
 
 import re
 
-PAIR = re.compile(r'^("(?:[^"\\]|\\.)*"|[A-Za-z_][\w-]*)\s*=(?![=>])\s*(.*)$')
+ATTRIBUTE = re.compile(r'^("(?:[^"\\]|\\.)*"|[A-Za-z_][\w-]*)\s*=(?![=>])\s*(.*)$')
 HEREDOC = re.compile(r"<<-?(\w+)\s*$")
 
 
 def canonical(text: str) -> str:
-    """The text in canonical form. The text must be HCL that was read without a fault."""
-    lines: list[tuple[int, str, bool]] = []  # depth, text, whether it is kept as it is
-    depth, ends, comment = 0, "", False
+    """The text in canonical form. The text must be valid HCL."""
+    lines: list[tuple[int, str, bool]] = []  # depth, text, whether it is kept verbatim
+    depth, heredoc_end, in_comment = 0, "", False
     for raw in text.splitlines():
-        if ends:  # within a heredoc
+        if heredoc_end:  # within a heredoc
             lines.append((0, raw, True))
-            if raw.strip() == ends:
-                ends = ""
+            if raw.strip() == heredoc_end:
+                heredoc_end = ""
             continue
         line = raw.strip()
-        if comment:
+        if in_comment:
             lines.append((0, raw.rstrip(), True))
-            comment = "*/" not in line
+            in_comment = "*/" not in line
             continue
-        opened, closed_first, comment = _brackets(line)
-        lines.append((max(0, depth - closed_first), line, False))
-        depth = max(0, depth + opened)
+        depth_change, leading_closed, in_comment = _brackets(line)
+        lines.append((max(0, depth - leading_closed), line, False))
+        depth = max(0, depth + depth_change)
         match = HEREDOC.search(line)
-        ends = match[1] if match and not line.startswith("#") else ""
-    return _joined(_aligned(lines))
+        heredoc_end = match[1] if match and not line.startswith("#") else ""
+    return _join(_align(lines))
 
 
 def _brackets(line: str) -> tuple[int, int, bool]:
-    """By how much the line deepens what follows, how many it closes first, and whether a comment goes on."""
-    depth, first, leading, i = 0, 0, True, 0
+    """By how much the line changes the depth, how many brackets it begins by closing, whether a comment stays open."""
+    depth, leading_closed, at_start, i = 0, 0, True, 0
     while i < len(line):
         c = line[i]
         if c == '"':
             i = _string_end(line, i)
-            leading = False
+            at_start = False
         elif c == "#" or line.startswith("//", i):
             break
         elif line.startswith("/*", i):
             end = line.find("*/", i + 2)
             if end < 0:
-                return depth, first, True
+                return depth, leading_closed, True
             i = end + 1
         elif c in "{[(":
-            depth, leading = depth + 1, False
+            depth, at_start = depth + 1, False
         elif c in "}])":
             depth -= 1
-            first += leading
+            leading_closed += at_start
         elif not c.isspace():
-            leading = False
+            at_start = False
         i += 1
-    return depth, first, False
+    return depth, leading_closed, False
 
 
 def _string_end(line: str, begin: int) -> int:
-    """Where the string that begins there ends; interpolations may hold strings themselves."""
+    """The index of the quote that ends the string; interpolations may contain strings themselves."""
     i, nested = begin + 1, 0
     while i < len(line):
         if line[i] == "\\":
@@ -79,39 +79,39 @@
     return len(line)
 
 
-def _aligned(lines: list[tuple[int, str, bool]]) -> list[str]:
-    done: list[str] = []
+def _align(lines: list[tuple[int, str, bool]]) -> list[str]:
+    formatted: list[str] = []
     run: list[tuple[int, str, str]] = []
 
     def flush() -> None:
         width = max((len(name) for _, name, _ in run), default=0)
-        done.extend(f"{'  ' * depth}{name.ljust(width)} = {value}".rstrip() for depth, name, value in run)
+        formatted.extend(f"{'  ' * depth}{name.ljust(width)} = {value}".rstrip() for depth, name, value in run)
         run.clear()
 
-    for depth, line, kept in lines:
-        match = None if kept else PAIR.match(line)
+    for depth, line, verbatim in lines:
+        match = None if verbatim else ATTRIBUTE.match(line)
         if match is None:
             flush()
-            done.append(line if kept else ("  " * depth + line).rstrip())
+            formatted.append(line if verbatim else ("  " * depth + line).rstrip())
             continue
         if run and run[0][0] != depth:
             flush()
         run.append((depth, match[1], match[2]))
-        if _brackets(line)[0]:  # a value of several lines stands by itself
+        if _brackets(line)[0]:  # a multi-line value is aligned with no other line
             last = run.pop()
             flush()
             run.append(last)
             flush()
     flush()
-    return done
+    return formatted
 
 
-def _joined(lines: list[str]) -> str:
-    """One empty line at most between others, none at the ends."""
-    kept: list[str] = []
+def _join(lines: list[str]) -> str:
+    """Joins the lines with at most one blank line between others and none at either end."""
+    joined: list[str] = []
     for line in lines:
-        if line or (kept and kept[-1]):
-            kept.append(line)
-    while kept and not kept[-1]:
-        kept.pop()
-    return "\n".join(kept) + "\n" if kept else ""
+        if line or (joined and joined[-1]):
+            joined.append(line)
+    while joined and not joined[-1]:
+        joined.pop()
+    return "\n".join(joined) + "\n" if joined else ""
--- a/threadhill/plans/model.py
+++ b/threadhill/plans/model.py
@@ -1,4 +1,4 @@
-"""What may stand in a configuration: one model for each kind of block, checked by pydantic."""
+"""The schema of a configuration: one pydantic model for each kind of block."""
 
 from __future__ import annotations
 
@@ -13,7 +13,9 @@
 from threadhill.plans.expr import Ref
 from threadhill.zonefile import MOST_RECORDS
 
-NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")  # a DNS label, since it may stand in names and in lines
+NAME_PATTERN = re.compile(
+    r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?"
+)  # a DNS label, since it may become part of a domain name
 KINDS = ("hub", "node", "library", "parent", "box", "proxy", "tenant", "settings")
 
 
@@ -41,8 +43,8 @@
     return zonefile.read(value).text
 
 
-def _to(*kinds: str) -> BeforeValidator:
-    """A reference to one of these kinds, kept as `kind.name`."""
+def _reference_to(*kinds: str) -> BeforeValidator:
+    """Validates a reference to a resource of one of these kinds and converts it to `kind.name`."""
 
     def check(value: Any) -> Any:
         if not isinstance(value, Ref):
@@ -56,53 +58,55 @@
 
 def _unique(value: list[Any]) -> list[Any]:
     if len(set(value)) < len(value):
-        raise ValueError("names something twice")
+        raise ValueError("has an item more than once")
     return value
 
 
 Address = Annotated[str, AfterValidator(_address)]
 Zone = Annotated[str, AfterValidator(_zone)]
-Part = Annotated[float, Field(ge=0, le=1)]
-HubRef, NodeRef = Annotated[str, _to("hub")], Annotated[str, _to("node")]
-Sources = Annotated[list[Annotated[str, _to("parent", "library")]], AfterValidator(_unique)]
+Fraction = Annotated[float, Field(ge=0, le=1)]
+HubRef, NodeRef = Annotated[str, _reference_to("hub")], Annotated[str, _reference_to("node")]
+Sources = Annotated[list[Annotated[str, _reference_to("parent", "library")]], AfterValidator(_unique)]
 
 
 class Model(BaseModel):
-    """Strict: no unknown keys, and no value that only looks like another."""
+    """Base of all models. Strict: rejects unknown keys and converts no types."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
 class Hub(Model):
-    """Where links meet; upper caches and the library stand there."""
+    """A hub, where the links of nodes meet; upper caches and the library are located there."""
 
 
 class Node(Model):
-    """Where boxes and proxies stand."""
+    """A node, where boxes and proxies are located."""
 
     hub: HubRef
-    link_kb_per_s: float = Field(0, ge=0)  # its link in; 0 where it is not known
-    load: Part = 0.6  # part of what its boxes can do together that is asked of them
-    hits: Part = 0.65  # part of its requests that pooled boxes serve from what they keep
-    link_room: float = Field(1.3, ge=1, le=100)  # its link, over what pooled boxes draw at full load
-    cold_at_once: int | None = Field(None, ge=1)  # cold boxes at once, in place of what the planner works out
-    allow_empty: bool = False  # whether it may be left without a box
+    link_kb_per_s: float = Field(0, ge=0)  # capacity of its inbound link; 0: unknown
+    load: Fraction = 0.6  # expected load, as a fraction of the total capacity of its boxes
+    hits: Fraction = 0.65  # hit rate of its boxes together
+    link_room: float = Field(
+        1.3, ge=1, le=100
+    )  # capacity of its link, as a multiple of its misses' traffic at full load
+    cold_at_once: int | None = Field(None, ge=1)  # limit of boxes that are cold at once; None: the planner computes it
+    allow_empty: bool = False  # whether its last box may be removed
 
 
 class Server(Model):
-    """What boxes, upper caches and the library share."""
+    """Attributes that boxes, upper caches and the library have in common."""
 
     address: Address
     size: float = Field(4, gt=0, le=10_000)  # cores
     cell: int = Field(0, ge=0, lt=1 << 31)
-    warm: bool = False  # whether it runs already when it is listed: then it is never taken for cold
+    warm: bool = False  # whether it runs already when it is listed: then it is never treated as cold
 
 
 class Box(Server):
     """A cache box of a node."""
 
     node: NodeRef
-    fills_from: Sources = []  # what it is set up to reach; empty: all upper caches
+    fills_from: Sources = []  # the sources that it can reach; empty: all upper caches
 
 
 class Parent(Server):
@@ -113,13 +117,13 @@
 
 
 class Library(Server):
-    """The origin of everything."""
+    """The library: the origin server of all objects."""
 
     hub: HubRef
 
 
 class Proxy(Model):
-    """A steering proxy."""
+    """A proxy that routes clients' requests to boxes."""
 
     node: NodeRef
     listen: Address
@@ -129,7 +133,7 @@
 
 
 class Tenant(Model):
-    """A tenant: zones in which DNS serves it, a quota of requests a second (0: none), and static records."""
+    """A tenant: its DNS zones, its quota in requests per second (0: unlimited), and its static records."""
 
     zones: Annotated[list[Zone], AfterValidator(_unique), Field(max_length=MAX_ZONES)] = []
     quota: float = Field(0, ge=0, le=MAX_QUOTA)
@@ -137,26 +141,26 @@
 
 
 class RequestClass(Model):
-    """A class of requests, a block `class "NAME"` within `settings`."""
+    """A class of requests: a block `class "NAME"` in `settings`."""
 
     repeat: Literal["safe", "keyed", "unsafe"]
     wanted_ms: int = Field(gt=0, le=3_600_000)
     wanted_stretch: float = Field(0, ge=0, le=100)
     given_up_ms: int = Field(gt=0, le=3_600_000)
     worth: float = Field(1, ge=0)
-    late_worth: Part = 0
-    window_ms: int = Field(2_000, ge=0, le=3_600_000)  # keyed: in which the library drops a repeat
+    late_worth: Fraction = 0
+    window_ms: int = Field(2_000, ge=0, le=3_600_000)  # keyed: period in which the library drops a repeated request
     write: bool = False
     parts: bool = False
     fresh_ms: int = Field(0, ge=0)
     grace_ms: int = Field(0, ge=0)
 
 
-REPORTS = ("rif", "busy", "x1", "x0")  # what a cache's answer may report of its load
+REPORT_FIELDS = ("rif", "busy", "x1", "x0")  # load figures that a cache's answer may carry
 
 
 class Settings(Model):
-    """What holds for the whole installation; there is one block of it."""
+    """Settings of the whole installation; there is exactly one such block."""
 
     client_kb_per_s: float = Field(4_000, gt=0)
     drain_ms: int = Field(250, ge=0, le=60_000)
@@ -169,12 +173,14 @@
     upper_fall_multiple: float = Field(2, ge=1)
     purge_grace_ms: int = Field(500, ge=0, le=60_000)
     purge_done_s: float = Field(6, ge=0, le=600)
-    notes: Literal["all", "hit", "none"] = "none"  # what caches' answers tell of how a miss was filled
-    reports: Annotated[list[Literal["rif", "busy", "x1", "x0"]], AfterValidator(_unique)] = list(REPORTS)
+    notes: Literal["all", "hit", "none"] = "none"  # which caches' answers tell how a miss was filled
+    reports: Annotated[list[Literal["rif", "busy", "x1", "x0"]], AfterValidator(_unique)] = list(REPORT_FIELDS)
     attempts: int = Field(8, ge=1, le=100)
     back_off_ms: int = Field(500, ge=0, le=60_000)
-    settle_s: float | None = Field(None, ge=0, le=3_600)  # from drained to removed; default: the longest give-up time
-    silent_s: float = Field(7, ge=1, le=600)  # after which a proxy that says nothing is not waited for
+    settle_s: float | None = Field(
+        None, ge=0, le=3_600
+    )  # time that open requests have to end on a drained server; None: the longest given_up_ms
+    silent_s: float = Field(7, ge=1, le=600)  # after which a proxy that sends no report is no longer waited for
 
 
 MODELS: dict[str, type[Model]] = {
--- a/threadhill/plans/options.py
+++ b/threadhill/plans/options.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from threadhill.plans.model import REPORTS
+from threadhill.plans.model import REPORT_FIELDS
 from threadhill.plans.resource import Resource
 
 REPEATS = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
@@ -85,7 +85,7 @@
             for name, c in classes
         ],
         "rank": [name for _, name in crews].index(proxy.name) if proxy.kind == "proxy" else 0,
-        "report": {"columns": list(attrs.get("reports", REPORTS)), "via": "answers"},
+        "report": {"columns": list(attrs.get("reports", REPORT_FIELDS)), "via": "answers"},
         "tick": 2_000,
         "zone": proxy.attrs["node"].removeprefix("node."),
         "zones": names,
--- a/threadhill/plans/resource.py
+++ b/threadhill/plans/resource.py
@@ -1,16 +1,16 @@
-"""One thing that there should be. Light: the control plane knows resources without the libraries that read files."""
+"""Resources. This module imports no parser, so the control plane can use resources without the HCL libraries."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Any
 
-SERVER_KINDS = ("box", "parent", "library")  # kinds that requests are sent to
+SERVER_KINDS = ("box", "parent", "library")  # kinds of resource that requests are sent to
 
 
 @dataclass(frozen=True, slots=True)
 class Resource:
-    """One thing that there should be; `attrs` is plain JSON with every default filled in."""
+    """A resource of a configuration; `attrs` is plain JSON with all defaults filled in."""
 
     kind: str
     name: str
--- a/threadhill/plans/syntax.py
+++ b/threadhill/plans/syntax.py
@@ -1,4 +1,4 @@
-"""Files in HCL (python-hcl2): read into blocks whose every part knows its line."""
+"""Reads HCL files (with python-hcl2) into blocks and attributes that record their lines."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from threadhill.plans.expr import Compiled, EvalError, compile_expression
 from threadhill.plans.faults import Fault, InvalidConfiguration
 
-MOST_FILE = 8 << 20  # bytes of one file
-MOST_FILES = 1_000
+MAX_FILE_BYTES = 8 << 20  # size limit of one file
+MAX_FILES = 1_000
 
 
 @dataclass(frozen=True, slots=True)
 class Attribute:
-    """`name = expression`."""
+    """An attribute: `name = expression`."""
 
     name: str
     line: int
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class Block:
-    """`kind "label" { ... }`."""
+    """A block: `kind "label" { ... }`."""
 
     kind: str
     labels: tuple[str, ...]
@@ -43,20 +43,20 @@
 
 
 def read(path: Path, suffix: str = ".hcl") -> list[Block]:
-    """The blocks of a file, or of all files of a folder that end so, by name. Raises Invalid with every fault."""
+    """The blocks of a file, or of all files of a folder with this suffix, by file name. Raises InvalidConfiguration."""
     files = [path]
     if path.is_dir():
         files = sorted(p for p in path.iterdir() if p.suffix == suffix and p.is_file())
-    if not files or len(files) > MOST_FILES:
+    if not files or len(files) > MAX_FILES:
         raise InvalidConfiguration(
-            [Fault(str(path), 0, "", f"holds {len(files)} {suffix} files; 1 to {MOST_FILES} are needed")]
+            [Fault(str(path), 0, "", f"holds {len(files)} {suffix} files; 1 to {MAX_FILES} are needed")]
         )
     faults: list[Fault] = []
     blocks: list[Block] = []
     for file in files:
         try:
-            if file.stat().st_size > MOST_FILE:
-                raise ValueError(f"has over {MOST_FILE >> 20} MB")
+            if file.stat().st_size > MAX_FILE_BYTES:
+                raise ValueError(f"has over {MAX_FILE_BYTES >> 20} MB")
             text = file.read_text("utf-8")
         except (OSError, ValueError) as error:
             faults.append(Fault(str(file), 0, "", getattr(error, "strerror", None) or str(error)))
@@ -68,62 +68,62 @@
 
 
 def parse(text: str, file: str, faults: list[Fault]) -> list[Block]:
-    """The blocks of one text; what is wrong with it goes to `faults`."""
-    body = _tree(text, file, faults)
+    """The blocks of a text; errors are appended to `faults`."""
+    body = _parse_tree(text, file, faults)
     if body is None:
         return []
     top = Block("", (), file, 1)
-    _fill(top, body, faults)
+    _read_body(top, body, faults)
     for attribute in top.attributes.values():
-        faults.append(Fault(file, attribute.line, attribute.name, "stands outside any block"))
+        faults.append(Fault(file, attribute.line, attribute.name, "is outside any block"))
     return top.blocks
 
 
 def parse_values(text: str, file: str, faults: list[Fault]) -> dict[str, Attribute]:
-    """A file of `name = value` lines, as variables are given in."""
-    body = _tree(text, file, faults)
+    """The attributes of a file of variables: `name = value` lines."""
+    body = _parse_tree(text, file, faults)
     top = Block("", (), file, 1)
     if body is not None:
-        _fill(top, body, faults)
+        _read_body(top, body, faults)
     for block in top.blocks:
-        faults.append(Fault(file, block.line, block.title, "only `name = value` may stand in a file of variables"))
+        faults.append(Fault(file, block.line, block.title, "a file of variables may contain only `name = value`"))
     return top.attributes
 
 
-def _tree(text: str, file: str, faults: list[Fault]) -> Tree | None:
+def _parse_tree(text: str, file: str, faults: list[Fault]) -> Tree | None:
     try:
-        # A file that ends in the middle of a line is as good as one that does not.
+        # The last line of a file may lack its newline.
         return hcl2.parses_to_tree(text + "\n").children[0]
     except UnexpectedInput as error:
-        faults.append(Fault(file, max(0, error.line), "", _unexpected(error)))
+        faults.append(Fault(file, max(0, error.line), "", _describe_unexpected(error)))
     except (LarkError, ValueError, RecursionError) as error:
         faults.append(Fault(file, 0, "", f"not HCL: {str(error).splitlines()[0] if str(error) else 'nested too deep'}"))
     return None
 
 
-def _unexpected(error: UnexpectedInput) -> str:
+def _describe_unexpected(error: UnexpectedInput) -> str:
     token = getattr(error, "token", None)
     if token is None:
-        return f"not HCL: cannot be read from column {error.column} on"
+        return f"not HCL: unexpected character at column {error.column}"
     if token.type == "$END":
-        return "not HCL: the file ends within a block or an expression: a bracket or quote is missing"
+        return "not HCL: the file ends inside a block or an expression: a bracket or quote is missing"
     shown = str(token).strip()[:30] or "the end of the line"
-    return f"not HCL: {shown!r} can't stand at column {error.column}"
+    return f"not HCL: unexpected {shown!r} at column {error.column}"
 
 
-def _fill(block: Block, body: Tree, faults: list[Fault]) -> None:
+def _read_body(block: Block, body: Tree, faults: list[Fault]) -> None:
     for child in body.children:
         if not isinstance(child, Tree):
             continue
         if child.data == "attribute":
-            _attribute(block, child, faults)
+            _read_attribute(block, child, faults)
         elif child.data == "block":
-            inner = _block(child, block.file, faults)
+            inner = _read_block(child, block.file, faults)
             if inner is not None:
                 block.blocks.append(inner)
 
 
-def _attribute(block: Block, tree: Tree, faults: list[Fault]) -> None:
+def _read_attribute(block: Block, tree: Tree, faults: list[Fault]) -> None:
     name, value = str(tree.children[0].children[0]), tree.children[2]
     line = tree.children[0].meta.line
     if name in block.attributes:
@@ -132,7 +132,7 @@
                 block.file,
                 line,
                 f"{block.title}.{name}".lstrip("."),
-                f"stands twice, first in line {block.attributes[name].line}",
+                f"is defined twice, first in line {block.attributes[name].line}",
             )
         )
         return
@@ -142,16 +142,18 @@
         faults.append(Fault(block.file, error.line or line, f"{block.title}.{name}".lstrip("."), str(error)))
 
 
-def _block(tree: Tree, file: str, faults: list[Fault]) -> Block | None:
+def _read_block(tree: Tree, file: str, faults: list[Fault]) -> Block | None:
     words = [child for child in tree.children if isinstance(child, Tree) and child.data in ("identifier", "string")]
     labels = []
     for word in words[1:]:
         try:
             label = compile_expression(word)(None) if word.data == "string" else str(word.children[0])
-        except Exception:  # an interpolation: labels name things before anything is evaluated
-            faults.append(Fault(file, tree.meta.line, "", "a label must be plain text"))
+        except Exception:  # an interpolation: labels are needed before anything is evaluated
+            faults.append(Fault(file, tree.meta.line, "", "a label must be plain text, without interpolation"))
             return None
         labels.append(label)
     block = Block(str(words[0].children[0]), tuple(labels), file, tree.meta.line)
-    _fill(block, next(child for child in tree.children if isinstance(child, Tree) and child.data == "body"), faults)
+    _read_body(
+        block, next(child for child in tree.children if isinstance(child, Tree) and child.data == "body"), faults
+    )
     return block
