--- a/threadhill/plans/configuration.py
+++ b/threadhill/plans/configuration.py
@@ -45,7 +45,7 @@
     variables: dict[str, Any] = field(default_factory=dict)
     local_sources: dict[str, tuple[Attribute, str]] = field(default_factory=dict)
     locals: dict[str, Any] = field(default_factory=dict)
-    evaluating: list[str] = field(default_factory=list)
+    under_way: list[str] = field(default_factory=list)  # names of the locals that are being evaluated
     addresses: dict[str, str] = field(default_factory=dict)  # address -> id of the resource that has it
     references: dict[str, dict[str, Any]] = field(default_factory=lambda: {kind: {} for kind in KINDS})
 
@@ -87,14 +87,14 @@
         evaluation = self.evaluation
         if name not in evaluation.locals:
             attribute, _ = evaluation.local_sources[name]
-            if name in evaluation.evaluating:
-                cycle = " -> ".join([*evaluation.evaluating, name])
+            if name in evaluation.under_way:
+                cycle = " -> ".join([*evaluation.under_way, name])
                 raise EvalError(attribute.line, f"local.{name} refers to itself: {cycle}")
-            evaluation.evaluating.append(name)
+            evaluation.under_way.append(name)
             try:
                 evaluation.locals[name] = attribute.value(evaluation.scope(resources=False))
             finally:
-                evaluation.evaluating.pop()
+                evaluation.under_way.pop()
         return evaluation.locals[name]
 
 
--- a/threadhill/plans/expr.py
+++ b/threadhill/plans/expr.py
@@ -1,8 +1,8 @@
 """HCL expressions: compiled once into closures, evaluated in a scope. Anything not listed here is an error.
 
 Supported: numbers, strings with `${}`, heredocs without it, booleans, null, lists, maps, `for` in both, `?:`,
-arithmetic, comparison and logical operators, attributes and indices, and the functions of `FUNCTIONS`. Not supported: splats,
-template directives, and argument expansion; docs/control.md has the table.
+arithmetic, comparison and logical operators, attributes and indices, and the functions of `FUNCTIONS`. Not supported:
+splats, template directives, and argument expansion; docs/control.md has the table.
 """
 
 from __future__ import annotations
