--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""The module's ordinary path, its guards and the five rules, by a script of events."""
+"""The decision module under scripted events: normal operation, the five rules and the guards."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
     return replace(SETTINGS, classes={**CLASSES, cls.name: cls}, **more)
 
 
-# --- the ordinary path
+# --- normal operation
 
 
-def test_one_copy_in_the_first_interval_however_many_ask() -> None:
+def test_one_copy_in_the_first_interval_at_any_rate() -> None:
     assert len(Script().servers_used("hot", 100)) == 1
 
 
-def test_copies_grow_by_one_an_interval_up_to_all_caches() -> None:
+def test_copies_grow_by_one_per_interval_up_to_all_caches() -> None:
     script = Script()
     seen = []
     for _ in range(7):
@@ -54,7 +54,7 @@
     assert seen[4:] == [4, 4, 4]
 
 
-def test_copies_shrink_again_when_the_rate_falls() -> None:
+def test_copies_shrink_when_the_rate_falls() -> None:
     script = Script()
     script.send_steadily("hot", 8, 40)
     assert len(script.servers_used("hot", 60)) == 4
@@ -64,7 +64,7 @@
     assert len({script.serve("hot").server for _ in range(30)}) == 1
 
 
-def test_a_seldom_object_keeps_to_one_cache() -> None:
+def test_a_rare_object_stays_at_one_cache() -> None:
     script = Script()
     servers = set()
     for _ in range(40):
@@ -82,7 +82,7 @@
     assert min(counts.values()) > 200
 
 
-def test_a_part_keeps_its_place_among_the_copies_and_parts_spread() -> None:
+def test_each_part_keeps_its_cache_and_parts_are_spread() -> None:
     script = Script()
     for _ in range(8):
         for part in range(12):
@@ -96,8 +96,8 @@
     assert len(set(first)) > 1
 
 
-def test_a_part_that_all_ask_for_gets_further_copies() -> None:
-    """Seen with live objects: all clients ask for the same part at once, and one cache had to serve it."""
+def test_a_part_requested_by_all_gets_more_copies() -> None:
+    """Failure: all clients of a live object requested the same part at once, and one cache had to serve it."""
     script = Script()
     for part in range(8):
         for _ in range(20):
@@ -107,8 +107,8 @@
     assert len({script.serve("live", "parts", part=9).server for _ in range(60)}) > 1
 
 
-def test_a_cache_that_answers_slowly_is_passed_over_and_forgiven_with_time() -> None:
-    """Seen with ageing caches: each of many routers had too few attempts out to find the cache full."""
+def test_a_slow_cache_is_avoided_and_used_again_after_a_time() -> None:
+    """Failure: each of many routers had too few attempts in flight to notice that a slow cache was full."""
     script = Script()
     home = script.serve("a", size=400.0).server
     for _ in range(6):
@@ -127,7 +127,7 @@
 
 
 def test_a_slow_fill_does_not_make_its_cache_look_slow() -> None:
-    """Seen with a hot object: caches were passed over for their fills' time, which scattered the objects."""
+    """Failure: for a hot object, caches were avoided because of fill times, which scattered the objects."""
     script = Script()
     home = script.serve("a", size=400.0).server
     (sent,) = script.ask("a", size=400.0)
@@ -139,8 +139,8 @@
     assert script.router.fleet.servers[home].latency_ratio > before
 
 
-def test_cold_credit_lets_some_of_many_routers_send_and_not_all() -> None:
-    """Seen with many routers: a request outweighs one router's share, so a cold cache got nothing at all."""
+def test_cold_credit_lets_some_but_not_all_of_many_routers_send() -> None:
+    """Failure: a single request exceeded the share of each of many routers, so a cold cache got none."""
     scripts = [Script(replace(SETTINGS, zone_routers=(0, 20, 1), routers=40), seed=n) for n in range(20)]
     sends = 0
     for script in scripts:
@@ -154,14 +154,14 @@
     assert 0 < sends < 20
 
 
-def test_the_last_attempt_ends_before_the_deadlines_timer() -> None:
-    """Seen with ageing caches: the last attempt ended with the timer, and nobody learnt from it."""
+def test_the_last_attempt_ends_before_the_deadline_timer() -> None:
+    """Failure: the last attempt ended together with the timer, so its result was not counted."""
     (sent,) = Script(replace(SETTINGS, max_attempts=1)).ask("a", time_left=900 * MS)
     assert sent.timeout < 900 * MS - choice.DEADLINE_MARGIN
 
 
-def test_a_passing_burst_on_the_link_does_not_shut_it() -> None:
-    """Seen where the link is small: one report of a few large fills at once had the next misses refused."""
+def test_a_short_burst_on_the_link_does_not_stop_fills() -> None:
+    """Failure: on a small link, one report of a few large simultaneous fills caused the next misses to be refused."""
     script = Script()
     script.end(script.ask("first")[0], load={"link": 0.5})
     script.wait(50 * MS)
@@ -171,7 +171,7 @@
 
 
 def filled(script: Script, count: int, **more: object) -> int:
-    """How many of so many requests for new objects name a source; each is a hit in the end."""
+    """How many of these requests for new objects name a source; each of them ends as a hit."""
     sent = []
     for n in range(count):
         sent.append(script.ask(f"new-{script.asked}-{n}", **more)[0])
@@ -179,8 +179,8 @@
     return sum(fetch.source != fetch.server for fetch in sent)
 
 
-def test_fetches_that_a_parent_has_out_are_no_sign_of_the_link() -> None:
-    """Guards against x1 read alike from both: of a parent it counts fetches, 90 of which are nothing unusual."""
+def test_the_link_figure_of_a_parent_is_ignored() -> None:
+    """A parent's x1 counts fetches, and 90 of them are normal; it must not be read as a link load like a cache's."""
     script = Script(entries=fleet(caches=()))
     (sent,) = script.ask("straight")
     assert sent.server in PARENTS
@@ -189,8 +189,8 @@
     assert filled(script, 20) == 20
 
 
-def test_a_full_link_is_shut_by_degrees() -> None:
-    """Seen on a second site: a link from 1.2 to 2.4 times full was open, then shut, and swung between empty and 11."""
+def test_fills_are_reduced_gradually_on_a_congested_link() -> None:
+    """Failure: fills were switched off completely between link loads of 1.2 and 2.4, so the load swung from 0 to 11."""
     script = Script()
     shares = []
     for script.router.link_load in (1.4, 2.6, 3.8, 5.0):
@@ -198,16 +198,16 @@
     assert shares[0] == 200 and 100 < shares[1] < 150 and 20 < shares[2] < 80 and shares[3] == 0
 
 
-def test_a_source_whose_mean_fill_takes_most_of_the_aim_is_asked_for_fewer() -> None:
-    """Guards against a mean that just fits: half of the fills take longer than it and are late."""
+def test_a_source_whose_mean_fill_takes_most_of_the_latency_target_gets_fewer_fills() -> None:
+    """Half of the fills take longer than the mean, so a mean close to the target makes many of them late."""
     script = Script()
     for number in PARENTS:
         script.router.fleet.servers[number].fill_latency_ratio = dict.fromkeys((False, True), (2.06, script.now))
     assert 60 < filled(script, 200, size=8000.0) < 120  # 2.06 of 1.05 s where 2.4 s are wanted
 
 
-def test_where_sizes_are_not_told_a_source_is_not_slow_by_the_first_answers_or_one_large_one() -> None:
-    """Seen after each start: the mean sending time began at 50 ms, so every fill looked slow and fills were refused."""
+def test_with_unknown_sizes_first_answers_and_large_ones_do_not_make_a_source_slow() -> None:
+    """Failure: the initial mean transfer time of 50 ms made fills look slow after a start, and they were refused."""
     script = Script(replace(SETTINGS, client_kb_per_s=0.0), fleet(parents=(21,)))
     source = script.router.fleet.servers[21]
     for n in range(12):
@@ -219,7 +219,7 @@
     assert source.fill_latency_ratio[False][0] < 1.4
 
 
-def test_where_all_are_slow_the_part_that_is_too_much_is_refused() -> None:
+def test_where_all_caches_are_slow_the_excess_load_is_refused() -> None:
     script = Script()
     for number in CACHES:
         script.router.fleet.servers[number].latency_ratio = (4.0, script.now)
@@ -227,7 +227,7 @@
     assert 0 < kinds.count(api.Fetch) < 30
 
 
-def test_marked_repeats_do_not_count() -> None:
+def test_marked_repeats_are_not_counted() -> None:
     script = Script()
     servers = set()
     for _ in range(200):
@@ -236,7 +236,7 @@
     assert len(servers) == 1
 
 
-def test_the_order_is_the_same_at_every_router_and_moves_little() -> None:
+def test_the_order_is_the_same_at_every_router_and_changes_little() -> None:
     one, two = Script(seed=1), Script(seed=99)
     names = [f"object-{n}" for n in range(200)]
     before = [one.serve(name).server for name in names]
@@ -271,8 +271,8 @@
     assert script.serve("a", size=400.0).source != first
 
 
-def test_a_parent_that_is_faster_by_little_of_the_aim_is_not_taken_from_those_who_share_the_first() -> None:
-    """Seen with hubs apart: each location asked its near parent for everything, so both had the origin fetch it all."""
+def test_a_slightly_faster_second_parent_is_not_used() -> None:
+    """Failure: each location used its nearest parent for everything, so both parents fetched all from the origin."""
     script = Script()
     script.router.mean_fill_ratio = {False: Mean(1.0, 50), True: Mean(1.0, 50)}
     first = script.serve("a", size=400.0).source
@@ -282,7 +282,7 @@
     assert script.serve("a", size=400.0).source == first  # 80 ms of 500
 
 
-def test_without_notes_the_first_parent_stays_the_source() -> None:
+def test_without_cache_status_the_first_parent_stays_the_source() -> None:
     script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE))
     first = script.serve("a").source
     for n in range(200):
@@ -291,11 +291,11 @@
     assert script.serve("a").source == first
 
 
-def test_no_parent_listed_fills_from_the_origin() -> None:
+def test_without_parents_fills_come_from_the_origin() -> None:
     assert Script(entries=fleet(parents=())).serve("a").source == ORIGIN
 
 
-def test_writes_take_the_shortest_way() -> None:
+def test_writes_take_the_shortest_route() -> None:
     (sent,) = Script().ask("w", "orders")
     assert (sent.server, sent.source, sent.keep_rank) == (ORIGIN, ORIGIN, 0)
     (sent,) = Script(replace(SETTINGS, direct_to_origin=False)).ask("w", "orders")
@@ -307,7 +307,7 @@
 
 @pytest.mark.parametrize("outcome", NEVER_RAN + MAYBE_RAN)
 @pytest.mark.parametrize("cls", ["reads", "orders", "reports"])
-def test_every_request_ends_once_whatever_happens(outcome: Outcome, cls: str) -> None:
+def test_every_request_gets_one_answer_for_any_outcome(outcome: Outcome, cls: str) -> None:
     script = Script()
     actions = script.ask("a", cls)
     for attempt in range(20):
@@ -320,7 +320,7 @@
     assert script.handle(api.TimerDue("q1")) == []
 
 
-def test_an_open_request_is_ended_before_its_deadline() -> None:
+def test_an_open_request_is_answered_before_its_deadline() -> None:
     script = Script()
     timers = [a for a in script.handle(api.Request("x", "reads", "a", 900 * MS)) if isinstance(a, api.SetTimer)]
     assert len(timers) == 1 and timers[0].delay < 900 * MS
@@ -330,7 +330,7 @@
     assert script.handle(api.AttemptEnded("x", 0, 11, Outcome.CANCELLED)) == []
 
 
-def test_no_list_at_all_refuses_at_once() -> None:
+def test_without_a_list_requests_are_refused_at_once() -> None:
     (action,) = Script(entries=[]).ask("a")
     assert isinstance(action, api.Refuse)
 
@@ -345,32 +345,32 @@
     assert script.handle(api.PeerSays(1, b"x")) == []
 
 
-def test_a_client_that_left_is_not_answered() -> None:
+def test_a_disconnected_client_is_not_answered() -> None:
     script = Script()
     (sent,) = script.ask("a")
     assert script.handle(api.ClientGone(sent.id)) == []
     assert script.end(sent, Outcome.REFUSED) == []
 
 
-# --- rule 2: effects
+# --- rule 2: repeats
 
 
 @pytest.mark.parametrize("outcome", MAYBE_RAN)
-def test_unsafe_that_may_have_run_is_failed_not_resent(outcome: Outcome) -> None:
+def test_an_unsafe_request_that_may_have_run_fails_and_is_not_resent(outcome: Outcome) -> None:
     script = Script()
     (sent,) = script.ask("w", "orders")
     assert script.end(sent, outcome) == [api.Fail(sent.id)]
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
-def test_unsafe_that_never_ran_may_be_resent(outcome: Outcome) -> None:
+def test_an_unsafe_request_that_never_ran_may_be_resent(outcome: Outcome) -> None:
     script = Script()
     (sent,) = script.ask("w", "orders")
     (action,) = script.end(sent, outcome)
     assert isinstance(action, api.Fetch | api.Refuse)
 
 
-def test_keyed_is_resent_only_inside_its_window() -> None:
+def test_a_keyed_request_is_resent_only_inside_its_window() -> None:
     script = Script()
     (sent,) = script.ask("w", "reports")
     (again,) = script.end(sent, Outcome.BROKEN)
@@ -381,7 +381,7 @@
 
 
 @pytest.mark.parametrize(("scope", "allowed"), [(DedupScope.ZONE, {11, 12, 13}), (DedupScope.CELL, {11, 12})])
-def test_keyed_stays_in_its_group_and_is_failed_not_refused(scope: DedupScope, allowed: set[int]) -> None:
+def test_a_keyed_request_stays_in_its_dedup_scope_and_fails_outside(scope: DedupScope, allowed: set[int]) -> None:
     keyed = replace(KEYED, name="keyed", dedup_scope=scope, write=False)
     entries = [cache(11), cache(12), cache(13, cell=2), parent(21), origin()]
     for name in ("a", "b", "c", "d", "e"):
@@ -399,7 +399,7 @@
         assert set(sends) <= group
 
 
-def test_never_two_attempts_of_a_request_out_at_once() -> None:
+def test_a_request_never_has_two_attempts_in_flight() -> None:
     script = Script()
     for n in range(40):
         sent = [a for a in script.ask(f"o{n}") if not isinstance(a, api.CancelAttempt)]
@@ -411,7 +411,7 @@
 
 
 @pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
-def test_nothing_new_to_what_drains_or_is_gone_as_cache_or_source(state: State) -> None:
+def test_draining_or_removed_servers_get_nothing_new_as_cache_or_source(state: State) -> None:
     script = Script()
     script.list([cache(11, state=state), parent(21, state=state)])
     for n in range(100):
@@ -419,13 +419,13 @@
         assert sent.server != 11 and sent.source != 21
 
 
-def test_a_full_list_drops_what_it_does_not_name() -> None:
+def test_a_full_list_removes_servers_that_it_does_not_contain() -> None:
     script = Script()
     script.list(fleet(caches=CACHES[1:]), api.ListKind.FULL)
     assert all(script.serve(f"o{n}").server != 11 for n in range(60))
 
 
-def test_all_caches_out_goes_direct_where_allowed_else_refuses() -> None:
+def test_without_caches_requests_go_to_the_origin_where_allowed_else_are_refused() -> None:
     out = [cache(n, state=State.DRAINING) for n in CACHES]
     script = Script()
     script.list(out)
@@ -435,7 +435,7 @@
     assert isinstance(script.ask("a")[0], api.Refuse)
 
 
-def test_a_failed_call_keeps_the_old_list_and_asks_again_where_lists_are_asked_for() -> None:
+def test_a_failed_list_call_keeps_the_old_list_and_is_retried() -> None:
     script = Script(replace(SETTINGS, list_on_request=True))
     assert script.started == [api.FollowList(True)]
     (timer,) = script.list([], api.ListKind.FAILED)
@@ -472,7 +472,7 @@
     assert sum(script.serve(f"o{n}").source == 21 for n in range(80)) <= 2 * SETTINGS.parent_cold_capacity * 40
 
 
-def test_all_cold_and_no_budget_refuses_early_where_direct_is_not_allowed() -> None:
+def test_cold_caches_without_credit_refuse_where_the_origin_is_not_allowed() -> None:
     now = 1000 * SECOND
     entries = (
         [cache(n, reported_start=now) for n in CACHES] + [parent(n, reported_start=now) for n in PARENTS] + [origin()]
@@ -482,7 +482,7 @@
     assert api.Refuse in kinds
 
 
-def test_a_server_that_returns_under_its_number_is_cold_again() -> None:
+def test_a_server_restarted_under_the_same_number_is_cold_again() -> None:
     script = Script()
     script.send_steadily("a", 5, 20)
     home = script.serve("a").server
@@ -494,7 +494,7 @@
 # --- rule 5: purges
 
 
-def test_after_a_purge_no_copy_from_before_it_will_do() -> None:
+def test_after_a_purge_no_older_copy_is_accepted() -> None:
     script = Script()
     script.handle(api.Purge("a", 3, 100 * MS))
     for wait in (0, SECOND, 3 * SECOND):
@@ -513,11 +513,11 @@
     assert script.serve("y", group=4).max_age == 0
 
 
-def test_where_purges_may_be_missing_no_copy_older_than_that_will_do() -> None:
+def test_while_purges_may_be_missing_the_maximum_age_excludes_copies_from_before() -> None:
     script = Script()
     script.handle(api.Purge("a", 3, 5 * SECOND))
     script.handle(api.Unsure(2 * SECOND))
-    for wait in (0, SECOND, 3 * SECOND):  # it holds as long as it is told, and a purge that is newer holds with it
+    for wait in (0, SECOND, 3 * SECOND):  # it applies until it is withdrawn, together with newer purges
         script.wait(wait)
         assert script.serve("a").max_age == script.serve("b").max_age == 2 * SECOND
     script.handle(api.Purge("a", 3, SECOND))
@@ -526,7 +526,7 @@
     assert script.serve("b").max_age == 0
 
 
-def test_the_age_sent_is_never_over_the_fresh_time() -> None:
+def test_the_maximum_age_never_exceeds_the_freshness_lifetime() -> None:
     fresh = replace(READS, name="reads", freshness_lifetime=2 * SECOND)
     script = Script(with_class(fresh))
     script.handle(api.Purge("a", None, 0))
@@ -537,7 +537,7 @@
 # --- guards
 
 
-def test_a_silent_cache_is_ejected_and_its_attempts_called_off() -> None:
+def test_a_silent_cache_is_ejected_and_its_attempts_are_cancelled() -> None:
     script = Script()
     script.send_steadily("warm", 1, 20)
     home = script.serve("a").server
@@ -557,7 +557,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.UNREACHED, Outcome.BROKEN, Outcome.ERROR])
-def test_a_failing_cache_is_left_alone_and_tried_again_later(outcome: Outcome) -> None:
+def test_a_failing_cache_is_ejected_and_tried_again_later(outcome: Outcome) -> None:
     script = Script()
     home = script.serve("a").server
     for _ in range(12):
@@ -572,7 +572,7 @@
 
 
 def fail_throughout(script: Script, outcome: Outcome) -> list[api.Action]:
-    """One request whose every attempt ends so; all that was done about it."""
+    """All actions for one request whose attempts all end with this outcome."""
     done, attempt = script.ask("a"), 0
     while (sent := done[-1]) and isinstance(sent, api.Fetch):
         done += script.end(sent, outcome, attempt)
@@ -580,8 +580,8 @@
     return done
 
 
-def test_where_all_refuse_nobody_is_ejected_and_ejection_calls_off_only_what_is_silent() -> None:
-    """Guards against throwing away what a crowded cache keeps, and against asking twice for what it is sending."""
+def test_if_all_caches_refuse_none_is_ejected_and_only_a_silent_one_loses_its_attempts() -> None:
+    """Ejecting crowded caches would lose their copies, and cancelling would request again what they are sending."""
     script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE))
     servers = script.router.fleet.servers.values()
     for _ in range(60):
@@ -589,7 +589,7 @@
         script.wait(SECOND)
     for server in servers:
         server.ejections = 0
-    for _ in range(20):  # they are known to, so it says nothing of any one
+    for _ in range(20):  # refusals are usual then, so they say nothing about one cache
         fail_throughout(script, Outcome.REFUSED)
         script.wait(SECOND)
     assert not any(server.ejections for server in servers)
@@ -603,31 +603,31 @@
     assert home.ejections and not [a for a in done if isinstance(a, api.CancelAttempt)]
 
 
-def test_past_a_full_room_a_cache_is_still_asked_for_what_it_holds() -> None:
-    """Guards against refusing hits while fills that wait for a slow origin take up the room."""
+def test_above_its_inflight_limit_a_cache_still_serves_its_copies() -> None:
+    """Hits must not be refused while fills from a slow origin use up the in-flight limit."""
     script = Script(entries=fleet(caches=(11,)))
     sent = [script.ask(f"o{n}")[0] for n in range(90)]
     looks = [a for a in sent if isinstance(a, api.Fetch) and a.source == a.server == 11]
     fills = [a for a in sent if isinstance(a, api.Fetch) and a.source != a.server]
     assert fills and len(looks) > len(fills)
-    assert sent[: len(fills) - 1] == fills[:-1]  # fills first, then looks, then refusals; the last by chance
+    assert sent[: len(fills) - 1] == fills[:-1]  # fills first, then copies only, then refusals; the last fill is random
     assert isinstance(sent[-1], api.Refuse)
     (end,) = script.end(looks[0], Outcome.MISS)
-    assert isinstance(end, api.Refuse)  # at once: it is not held, and nothing may be filled
+    assert isinstance(end, api.Refuse)  # at once: no copy, and no fill allowed
 
 
-def test_a_source_that_fills_too_late_is_asked_for_fewer_at_once() -> None:
-    """Guards against pushing a slow origin over: what it can't fill in time is answered from what caches hold."""
+def test_late_fills_lower_the_fill_limit_of_the_source() -> None:
+    """A slow origin must not be overloaded: what it cannot fill in time is served from copies."""
     script = Script(
         replace(SETTINGS, second_copies=True, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=(21,))
     )
     source = script.router.fleet.servers[21]
-    script.router.fleet.origin.latency_ratio = (9.0, script.now)  # it is no way out
+    script.router.fleet.origin.latency_ratio = (9.0, script.now)  # too slow as a fallback
     first = source.fill_limit
     out = [script.ask(f"o{n}")[0] for n in range(24)]
     assert source.inflight_fills == 24 and {a.source for a in out} == {21}
     script.wait(2 * SECOND)
-    for sent in out:  # too late for the aim, but answered
+    for sent in out:  # answered, but after the latency target
         script.end(sent, duration=2 * SECOND)
     assert source.inflight_fills == 0 and source.fill_limit == script.router.min_fill_limit < first
     source.fill_latency_ratio.clear()
@@ -635,7 +635,7 @@
     held = [a for a in out if isinstance(a, api.Fetch) and a.mode & api.FillMode.CACHED_ONLY]
     fills = [a for a in out if isinstance(a, api.Fetch) and a.source == 21 and a not in held]
     assert len(fills) <= source.fill_limit + 1 and len(fills) + len(held) == source.inflight_fills
-    # Past its room a parent still gives what it holds; what it lacks is refused at once, not tried again.
+    # Above its limit a parent still serves its copies; a miss is refused at once and not retried.
     assert held and {a.source for a in held} == {21}
     assert isinstance(script.end(held[0], Outcome.MISS)[0], api.Refuse)
     room = source.fill_limit
@@ -644,8 +644,8 @@
     assert source.fill_limit > room and not script.router.fill_sources.get((fills[0].id, 0))
 
 
-def test_past_its_room_the_origin_is_asked_for_no_fill() -> None:
-    """Guards against asking it only for what it holds: that is everything."""
+def test_above_its_fill_limit_the_origin_gets_no_fill() -> None:
+    """Restricting the origin to its copies would not help, as it holds everything."""
     script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=()))
     script.router.fleet.origin.fill_limit = 12.0
     out = [script.ask(f"o{n}")[0] for n in range(30)]
@@ -654,9 +654,9 @@
 
 
 @pytest.mark.parametrize("routers", [1, 3, 40])
-def test_what_protects_a_source_holds_for_all_routers_together(routers: int) -> None:
-    """Guards against a bound that each router holds alone: 40 times it is no bound, and a part of it under one that is
-    rounded up is more than the whole."""
+def test_a_fill_limit_holds_for_all_routers_together(routers: int) -> None:
+    """A limit applied by each of 40 routers alone is 40 times too high; and a share below one, rounded up at each of
+    them, exceeds the limit as well."""
     settings = replace(
         SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE, routers=routers, zone_routers=(0, routers, 0)
     )
@@ -680,9 +680,9 @@
 
 
 @pytest.mark.parametrize(("locations", "parents", "sources"), [(3, 0, 1), (30, 0, 10), (30, 10, 1), (30, 5, 2)])
-def test_a_source_that_stands_for_many_is_asked_for_as_many_fills(locations: int, parents: int, sources: int) -> None:
-    """Seen on a site without parents, 180 proxies at 30 locations, calm: 46 to 57% refused. The whole fleet had the
-    room that one parent of three locations has."""
+def test_a_source_of_many_locations_has_a_higher_fill_limit(locations: int, parents: int, sources: int) -> None:
+    """Failure: without parents, with 180 proxies at 30 locations and low load, 46 to 57% of the requests were refused,
+    as the whole fleet had the fill limit of one parent of three locations."""
     routers = 2 * locations
     zones = ("hub", "here", *(f"z{n}" for n in range(2, locations + 1)))
     settings = replace(
@@ -698,7 +698,7 @@
     for seed in range(routers):
         script = Script(settings, entries, seed=seed)
         if parents:
-            script.router.fleet.origin.latency_ratio = (9.0, script.now)  # it is no way out
+            script.router.fleet.origin.latency_ratio = (9.0, script.now)  # too slow as a fallback
         for name in range(max(1, parents) * 2_000 // routers):
             for sent in script.ask(f"o{name}"):
                 held = isinstance(sent, api.Fetch) and sent.mode & api.FillMode.CACHED_ONLY
@@ -706,14 +706,14 @@
     assert 0.7 * sources * choice.INITIAL_FILL_LIMIT < fills < 1.3 * sources * choice.INITIAL_FILL_LIMIT
 
 
-def test_an_ill_source_is_told_from_the_caches_that_ask_it_by_a_few_failures() -> None:
-    """Guards against means over ten outcomes: a router that meets a parent seldom learnt of its end too late, and
-    put half of the blame on the caches."""
+def test_a_few_failures_tell_an_unhealthy_source_from_its_caches() -> None:
+    """With means over ten outcomes, a router that rarely used a parent noticed its failure too late and attributed half
+    of the failures to the caches."""
     script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE))
     ill, failures = script.router.fleet.servers[21], 0
     for n in range(60):
         (sent,) = script.ask(f"o{n}")
-        hit = n % 3 == 0 or sent.source != 21  # caches hold a third of it
+        hit = n % 3 == 0 or sent.source != 21  # a third are hits
         failures += not hit
         action = script.end(sent, Outcome.SERVED if hit else Outcome.REFUSED, duration=10 * MS)
         if action and isinstance(action[0], api.Fetch):
@@ -726,8 +726,8 @@
     assert {script.serve(f"p{n}").source for n in range(20)} == {22}
 
 
-def test_slowness_is_put_down_to_the_source_that_is_slow_with_all() -> None:
-    """Guards against refusing for the sake of caches that wait for a slow parent themselves."""
+def test_delays_are_attributed_to_the_source_that_is_slow_with_all_caches() -> None:
+    """Caches that wait for a slow parent must not count as slow, which would cause refusals."""
     script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE))
     for n in range(40):
         (sent,) = script.ask(f"o{n}", size=800.0)
@@ -738,8 +738,8 @@
     assert max(server.latency_ratio[0] for server in script.router.fleet.caches) < 3
 
 
-def test_a_late_fill_tells_so_at_its_aim() -> None:
-    """Guards against learning from an attempt only when it is given up, seconds after it was late."""
+def test_a_late_fill_counts_at_its_latency_target() -> None:
+    """A late attempt must count at its target, not only when it times out seconds later."""
     script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=(21,)))
     source = script.router.fleet.servers[21]
     script.ask("a", size=400.0)
@@ -749,7 +749,7 @@
     assert source.fill_limit < room and source.fill_latency_ratio[False][0] > 1
 
 
-def test_the_origin_fills_what_the_parents_have_no_room_for_unless_it_is_slow_itself() -> None:
+def test_the_origin_takes_fills_above_the_limits_of_the_parents_unless_it_is_slow() -> None:
     script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=(21,)))
     script.router.fleet.servers[21].fill_limit = 0.0
     out = [script.ask(f"o{n}")[0] for n in range(60)]
@@ -761,14 +761,14 @@
     assert ORIGIN not in {a.source for n in range(60) for a in script.ask(f"o{n}") if isinstance(a, api.Fetch)}
 
 
-def test_with_no_cache_left_a_parent_is_asked_with_the_origin_behind_it() -> None:
-    """Guards against asking it only for what it holds: half of a lost location's requests were refused so."""
+def test_without_caches_a_parent_is_used_with_the_origin_as_its_source() -> None:
+    """Failure: parents were asked for copies only, so half of the requests of a lost location were refused."""
     (sent,) = Script(entries=fleet(caches=())).ask("a")
     assert isinstance(sent, api.Fetch) and (sent.server in PARENTS) and sent.source == ORIGIN
 
 
-def test_what_all_see_at_once_brings_them_back_at_different_times() -> None:
-    """Guards against a fleet that comes back in one instant; equal seeds and events still give equal decisions."""
+def test_ejections_and_retry_times_are_jittered() -> None:
+    """Routers must not all return at the same time; equal seeds and events still give equal decisions."""
 
     def times(seed: int) -> tuple[int, int]:
         script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE), seed=seed)
@@ -783,8 +783,8 @@
         assert len(set(of_all)) > 15 and max(of_all) <= 2 * min(of_all)
 
 
-def test_rare_late_fills_do_not_hold_a_source_down_where_many_are_asked_for() -> None:
-    """Guards against a room that grew by ones and shrank by parts: one lost answer in fifty set it for good."""
+def test_rare_late_fills_do_not_keep_the_fill_limit_low() -> None:
+    """Failure: a limit that grew by constant steps and shrank by a share stayed low with one lost answer in fifty."""
     script = Script(
         replace(SETTINGS, second_copies=True, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=(21,))
     )
@@ -798,14 +798,14 @@
     assert source.fill_limit > 50
 
 
-def test_a_location_whose_caches_are_all_silent_is_passed_by_and_found_again() -> None:
-    """Seen with a branch that was lost for eight seconds: half of its caches could not be ejected, their rooms were
-    full of what waited for them, and a third of all requests was refused although parents could serve them."""
+def test_a_location_with_only_silent_caches_is_bypassed_and_used_again_later() -> None:
+    """Failure: a location was lost for eight seconds, half of its caches could not be ejected, their limits were used
+    up by waiting attempts, and a third of all requests was refused although parents could serve them."""
     script = Script(entries=fleet(caches=(11, 12, 13)))
     for n in range(30):
         script.serve(f"o{n}")
     straight = []
-    for second in range(5):  # only what goes to parents is answered
+    for second in range(5):  # only attempts at parents are answered
         for n in range(12):
             for sent in script.ask(f"o{n}"):
                 if isinstance(sent, api.Fetch) and sent.server in PARENTS:
@@ -822,9 +822,9 @@
 
 
 @pytest.mark.parametrize(("load", "shrinks"), [({"util": 0.2}, False), ({"util": 0.9}, True), ({}, True)])
-def test_a_late_answer_takes_room_only_from_a_cache_that_is_busy(load: dict[str, float], shrinks: bool) -> None:
-    """Seen where sizes are not told and some answers get lost: with two in a hundred late for that, rooms fell to 20 on
-    caches that were a fifth busy, and a fifth of the requests was refused."""
+def test_a_late_answer_lowers_the_limit_only_of_a_busy_cache(load: dict[str, float], shrinks: bool) -> None:
+    """Failure: with unknown sizes and 2% of the answers lost, limits fell to 20 on caches at 20% utilization, and a
+    fifth of the requests was refused."""
     script = Script(entries=fleet(caches=(11,)))
     server = script.router.fleet.servers[11]
     room = server.inflight_limit
@@ -833,15 +833,15 @@
         script.end(sent, duration=3 * SECOND, cache_status=CacheStatus.HIT, load=load)
     assert (server.inflight_limit < room) == shrinks
     (sent,) = script.ask("full")
-    script.end(sent, Outcome.REFUSED, load={"util": 0.1})  # it says so itself
+    script.end(sent, Outcome.REFUSED, load={"util": 0.1})  # a refusal counts at any utilization
     assert server.inflight_limit < room
 
 
-def test_what_is_handed_over_spends_room_and_credit_and_tells_nothing_of_health() -> None:
+def test_a_hand_over_counts_against_limit_and_credit_and_not_for_health() -> None:
     script = Script(entries=fleet(caches=(11,)))
     server = script.router.fleet.servers[11]
     free = [script.ask(f"f{n}", hand_over=True)[0] for n in range(30)]
-    assert {type(a) for a in free} == {api.HandOver}  # its room is a guess while nothing was heard of it
+    assert {type(a) for a in free} == {api.HandOver}  # before the first answer its limit is only a guess
     for action in free:
         script.handle(api.AttemptEnded(action.id, 0, 11, Outcome.HANDED_OVER, request_closed=True))
     server.last_answer_at = 1
@@ -855,7 +855,7 @@
         ended = api.AttemptEnded(action.id, 0, 11, Outcome.HANDED_OVER, request_closed=True)
         assert not script.handle(ended)
     assert (server.inflight, server.unanswered, server.fault_log_odds, server.last_answer_at) == (0, 0, 0.0, 1)
-    server.ejections = 1  # on trial: nothing comes back of a client that goes there itself
+    server.ejections = 1  # on trial: a hand-over reports no result
     (other,) = script.ask("o1", hand_over=True)
     assert isinstance(other, api.HandOver) and other.server != 11
     server.ejections = 0
@@ -864,20 +864,20 @@
     assert isinstance(after, api.HandOver) and after.server == 31
 
 
-def test_the_last_part_of_a_servers_room_is_for_those_that_go_first() -> None:
+def test_the_last_part_of_a_servers_limit_is_reserved_for_priority_requests() -> None:
     script = Script(
         replace(SETTINGS, second_copies=False, cache_status_detail=api.CacheStatusDetail.NONE),
         fleet(caches=(11,), parents=()),
     )
     server = script.router.fleet.servers[11]
     server.inflight_limit, server.inflight = 20.0, 12.0
-    others = [script.ask(f"b{n}", inflight_share=0.5)[-1] for n in range(3)]  # asked only for what it holds
+    others = [script.ask(f"b{n}", inflight_share=0.5)[-1] for n in range(3)]  # answered from copies only
     first = [script.ask(f"c{n}")[-1] for n in range(3)]
     assert all(isinstance(a, api.Fetch) and a.source == 11 for a in others)
     assert all(isinstance(a, api.Fetch) and a.source != 11 for a in first)
 
 
-def test_an_answer_that_brings_many_clients_goes_to_no_cold_cache_and_counts_as_many() -> None:
+def test_a_hand_over_of_many_clients_counts_for_all_and_avoids_cold_caches() -> None:
     script = Script()
     for n in range(400):
         script.serve(f"o{n % 80}")
@@ -885,7 +885,7 @@
     script.list([cache(11, reported_start=script.now)])
     cold = script.router.fleet.servers[11]
     heavy = []
-    for n in range(80):  # over 8 s: credit that grows must still not let one answer bring 200 clients at once
+    for n in range(80):  # over 8 s: accrued credit must still not admit 200 clients at once
         heavy.append(script.ask(f"o{n}", hand_over=True, weight=200.0)[0])
         script.wait(100 * MS)
     named = [a for a in heavy if isinstance(a, api.HandOver)]
@@ -898,7 +898,7 @@
     assert held.inflight == 200 * (sum(a.server == named[0].server for a in named) - 1)
     light = [script.ask(f"p{n}", hand_over=True)[0] for n in range(200)]
     assert sum(isinstance(a, api.HandOver) and a.server == 11 for a in light) < 2 * SETTINGS.cold_capacity * 50
-    # However long credit grows, what one answer brings must fit in the fall's window at once; one request must not.
+    # However much credit accrues, the clients of one hand-over must fit the overload window; a request need not.
     router, unit = script.router, script.router.work.peak / 100
     cold.credit_updated_at = router.now - 10**5 * SECOND
     assert router.has_cold_credit(cold, unit)
@@ -918,15 +918,15 @@
     assert {script.serve(f"last-{n}").server for n in range(60)} <= set(CACHES)
 
 
-def test_full_caches_refuse_at_once_and_do_not_flood_what_is_behind() -> None:
+def test_full_caches_cause_refusals_and_no_load_on_their_sources() -> None:
     script = Script()
     actions = [script.ask(f"o{n}")[0] for n in range(400)]
     assert isinstance(actions[-1], api.Refuse) and actions[-1].retry_after > 0
     assert all(a.server in CACHES for a in actions if isinstance(a, api.Fetch))
 
 
-def test_on_a_jammed_link_caches_are_asked_only_for_what_they_hold() -> None:
-    """Seen with many routers: what others had fetched looked like a miss and was refused unasked."""
+def test_on_a_congested_link_caches_serve_only_their_copies() -> None:
+    """Failure: with many routers, objects that others had fetched were taken for misses and refused without asking."""
     script = Script()
     script.end(script.ask("first")[0], load={"link": 50.0})
     for n in range(20):
@@ -937,21 +937,21 @@
     assert script.end(sent, cache_status=CacheStatus.HIT) == []
 
 
-def test_copies_are_counted_for_the_location_not_for_one_of_its_many_routers() -> None:
-    """Seen with many routers: each saw too little of a hot object to give it a copy."""
+def test_copies_follow_the_rate_of_the_location_and_not_of_one_router() -> None:
+    """Failure: each of many routers saw too few requests of a hot object to add a copy."""
     script = Script(replace(SETTINGS, zone_routers=(0, 20, 1), routers=40))
     for n in range(60):
         script.serve("hot")
         script.serve(f"rare-{n}")
         script.wait(SECOND)
     assert len(script.servers_used("hot", 60)) == 4
-    assert {script.router.rates[f"rare-{n}"].copies for n in range(10, 60)} == {1}  # asked for once each
+    assert {script.router.rates[f"rare-{n}"].copies for n in range(10, 60)} == {1}  # one request each
     script.serve("rare-9")
-    assert script.router.rates["rare-9"].copies == 1  # twice within a minute is no news
+    assert script.router.rates["rare-9"].copies == 1  # twice within a minute is not hot
 
 
-def test_parts_are_placed_alike_by_routers_that_saw_different_requests() -> None:
-    """Seen with many routers: each placed an object's parts among its own number of copies, and none hit."""
+def test_routers_with_different_traffic_place_parts_alike() -> None:
+    """Failure: each of many routers placed parts among its own number of copies, so there were no hits."""
     many = replace(SETTINGS, zone_routers=(0, 20, 1), routers=40)
     one, two = Script(many), Script(many, seed=8)
     for second in range(40):
@@ -974,7 +974,7 @@
         script.wait(SECOND)
 
 
-def test_retries_are_budgeted() -> None:
+def test_retries_are_limited_by_credit() -> None:
     script = Script(replace(SETTINGS, retry_after_allowed=False))
     attempts = 0
     for n in range(1000):
@@ -988,14 +988,14 @@
     assert attempts < 1000 * (1 + choice.RETRY_CREDIT_PER_REQUEST) + choice.MAX_RETRY_CREDIT + 1
 
 
-def test_advice_is_given_only_where_allowed_and_within_its_limit() -> None:
+def test_retry_after_is_given_only_where_allowed_and_within_its_limit() -> None:
     (action,) = Script(entries=[]).ask("a")
     assert 0 < action.retry_after <= SETTINGS.max_retry_after
     (action,) = Script(replace(SETTINGS, retry_after_allowed=False), []).ask("a")
     assert action.retry_after == 0
 
 
-def test_joins_and_cancels_only_where_the_site_allows_them() -> None:
+def test_joins_and_cancels_only_where_the_settings_allow_them() -> None:
     assert api.FillMode.JOIN in Script().serve("a").mode
     script = Script(replace(SETTINGS, coalesces_fills=False, cancel=False))
     assert api.FillMode.JOIN not in script.serve("a").mode
@@ -1031,7 +1031,7 @@
     st.booleans(),
     st.sampled_from(list(api.CacheStatusDetail)),
 )
-def test_any_order_of_events_keeps_answers_single_and_attempts_alone(
+def test_any_order_of_events_gives_one_answer_and_one_attempt_at_a_time(
     steps: list[tuple[str, int]], direct: bool, joins: bool, tells: api.CacheStatusDetail
 ) -> None:
     def play() -> list[list[api.Action]]:
@@ -1076,7 +1076,7 @@
 
 
 @pytest.mark.parametrize("effect", list(RetrySafety))
-def test_every_effect_gets_an_answer_when_nobody_is_left(effect: RetrySafety) -> None:
+def test_every_class_gets_an_answer_without_servers(effect: RetrySafety) -> None:
     cls = api.RequestClass("c", retry_safety=effect, deadline=SECOND)
     script = Script(with_class(cls), [])
     actions = [a for a in script.handle(api.Request("x", "c", "a", SECOND)) if not isinstance(a, api.SetTimer)]
@@ -1085,8 +1085,8 @@
     )
 
 
-def test_hits_do_not_clear_a_parent_that_answers_nothing() -> None:
-    """Seen on a hang day: hits that merely named the hung parent kept it the source of half the objects."""
+def test_hits_do_not_improve_the_health_of_a_silent_parent() -> None:
+    """Failure: hits that only named a hung parent as their source kept it the source of half of the objects."""
     script = Script()
     script.serve("a")
     hung = script.serve("b").source
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter against recorded lines that this project wrote itself, and against malformed ones."""
+"""The simulator adapter, tested with recorded messages of this project and with malformed ones."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
     )
 
 
-def play(lines: list[str]) -> list[list[Any]]:
+def run_in_process(lines: list[str]) -> list[list[Any]]:
     out = io.StringIO()
     host = simhost.Host(out)
     for line in lines:
-        host.line(line)
+        host.read_line(line)
     return [json.loads(line) for line in out.getvalue().splitlines()]
 
 
@@ -51,22 +51,22 @@
     assert "crash" not in by_name
 
 
-def test_a_get_names_its_values_in_the_wires_order() -> None:
-    get = next(r for r in play(LINES) if r[0] == "get" and r[2] == "t/a1")
+def test_a_get_message_has_its_values_in_protocol_order() -> None:
+    get = next(r for r in run_in_process(LINES) if r[0] == "get" and r[2] == "t/a1")
     name, router, request, limit, age, source, opts, admit, server = get
     assert (name, router, request) == ("get", 3, "t/a1")
     assert 0 < limit <= 240000 and age == 0 and source in (200, 201)
     assert opts & 1 == 1 and admit in (1, 2, 3) and server in (100, 101)
 
 
-def test_instances_together_act_as_they_do_alone() -> None:
+def test_instances_do_not_affect_each_other() -> None:
     def only(router: int) -> list[str]:
         framing = ("begin-batch", "go")
         return [x for x in LINES if json.loads(x)[0] in framing or json.loads(x)[1] == router]
 
-    together = play(LINES)
+    together = run_in_process(LINES)
     for router in (3, 5):
-        alone = [r for r in play(only(router)) if r[0] != "done"]
+        alone = [r for r in run_in_process(only(router)) if r[0] != "done"]
         assert alone == [r for r in together if r[0] != "done" and r[1] == router]
         assert alone
 
@@ -90,26 +90,26 @@
     assert read.parent_kind is None and not read.direct_to_origin and read.max_attempts == 1
 
 
-def test_unknown_report_fields_and_notes_are_skipped() -> None:
+def test_unknown_report_fields_and_cache_statuses_are_skipped() -> None:
     load = simhost.read_load({"rif": 3, "x1": 0.5, "novel": 9, "busy": "?"})
     assert load == {"inflight": 3.0, "link": 0.5}
     end = simhost.read_ended(["t/1", 0, 7, "delivered", 10, True, 99, None, None])
     assert end.cache_status is api.CacheStatus.NONE
 
 
-def test_an_exception_in_the_decisions_is_told_by_the_wires_own_message(
+def test_an_exception_in_the_decision_code_is_reported_as_a_crash_message(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def broken(self: object, now: int, event: object) -> list[api.Action]:
         raise IndexError("out of range")
 
     monkeypatch.setattr(simhost.Router, "handle", broken)
-    assert ["crash", 3, "IndexError: out of range"] in play(LINES)
+    assert ["crash", 3, "IndexError: out of range"] in run_in_process(LINES)
     capsys.readouterr()
 
 
 @pytest.mark.parametrize(
-    ("line", "says"),
+    ("line", "message_part"),
     [
         ("{", "not JSON"),
         ("{}", "not an array"),
@@ -128,28 +128,28 @@
         ('["open-instance",4,1,{"profiles":[{"name":"x","repeat":"maybe"}]}]', "repeat is unknown"),
     ],
 )
-def test_malformed_lines_end_with_one_plain_line_that_says_where(line: str, says: str) -> None:
+def test_a_malformed_line_ends_the_process_with_one_error_that_names_it(line: str, message_part: str) -> None:
     done = run([*LINES[:4], line])
     assert done.returncode == 2
     (message,) = done.stderr.splitlines()
-    assert "line 5" in message and says in message
+    assert "line 5" in message and message_part in message
 
 
-def test_input_that_ends_inside_a_batch_is_told() -> None:
+def test_input_that_ends_inside_a_batch_is_an_error() -> None:
     done = run(LINES[:3])
     assert done.returncode == 2 and "inside a batch" in done.stderr
 
 
-def test_a_killed_instance_is_forgotten_and_may_start_again() -> None:
+def test_a_killed_instance_is_removed_and_may_start_again() -> None:
     opened = LINES[1]
     ask = '["ask",3,"t/z","tiles",null,"aa",900000,0,0,0,0]'
-    replies = play([*LINES[:7], '["killed",3]', opened, ask, '["go"]'])
+    replies = run_in_process([*LINES[:7], '["killed",3]', opened, ask, '["go"]'])
     (refused,) = [reply for reply in replies if reply[:3] == ["push-back", 3, "t/z"]]
     assert 250_000 <= refused[3] <= 500_000
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "message"),
     [
         ({"n-instances": -3}, "n-instances is -3"),
         ({"n-instances": 2, "zones": ["a", "b"], "extra": {"crew-by-zone": [1, 3]}}, "3 instances in b, more than"),
@@ -160,12 +160,12 @@
         ({"profiles": [{"name": "x", "repeat": "read_like", "deadline": -5}]}, "deadline of class x is -5"),
     ],
 )
-def test_settings_that_do_not_hold_together_are_refused_by_name(change: dict[str, object], said: str) -> None:
-    with pytest.raises(simhost.Malformed, match=said):
+def test_inconsistent_settings_are_rejected_with_the_name_of_the_fault(change: dict[str, object], message: str) -> None:
+    with pytest.raises(simhost.Malformed, match=message):
         simhost.read_settings({"profiles": [{"name": "x", "repeat": "read_like"}]} | change)
 
 
-def test_one_instance_and_forty_divide_nothing_by_zero() -> None:
+def test_no_number_of_instances_divides_by_zero() -> None:
     for routers in (0, 1, 40):
         options = {
             "profiles": [{"name": "x", "repeat": "read_like"}],
--- a/threadhill/decision/freshness.py
+++ b/threadhill/decision/freshness.py
@@ -86,7 +86,7 @@
             self._evict_oldest(record)
 
     def _evict_oldest(self, newest: PurgeRecord) -> None:
-        """Drop the key purged longest ago. If copies may still predate its purge, everything counts as purged instead."""
+        """Drop the key purged longest ago. While copies may still predate its purge, everything counts as purged."""
         oldest = next(key for key in self.records if key != EVERYTHING)
         purged = self.records.pop(oldest)
         if newest.known_at - purged.purged_at <= self.drop_time:
--- a/threadhill/simhost.py
+++ b/threadhill/simhost.py
@@ -1,6 +1,6 @@
-"""The wire on standard input and output: one Router per instance, nothing shared between them.
+"""The simulator's protocol on standard input and output: one independent Router per instance.
 
-Translates only; every decision is made in threadhill.decision.choice.
+This module only translates messages; all decisions are made in threadhill.decision.choice.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 
 def read_load(value: Any) -> dict[str, float]:
-    """A load report in the library's names; fields it does not know are skipped."""
+    """A load report with its fields renamed to those of the decision module; unknown fields are skipped."""
     return {
         REPORT_FIELDS[key]: float(item)
         for key, item in mapping(value, "the load report").items()
@@ -69,7 +69,7 @@
 
 
 def read_entry(raw: Any) -> api.Entry:
-    """One line of a server list."""
+    """One entry of a server list."""
     values = sequence(raw, "a list line")
     if len(values) < 7:
         raise Malformed(f"a list line has {len(values)} values, not 7")
@@ -177,7 +177,7 @@
 
 
 class Host:
-    """Reads batches, hands each event to its instance, writes the replies."""
+    """Reads batches of messages, passes each event to its instance and writes the replies."""
 
     def __init__(self, out: TextIO) -> None:
         self.out = out
@@ -186,13 +186,13 @@
         self.now = 0
         self.reply: list[str] = []
 
-    def act(self, router: int, actions: list[api.Action]) -> None:
+    def write_actions(self, router: int, actions: list[api.Action]) -> None:
         for action in actions:
             name, values = WRITERS[type(action)]
             self.reply.append(json.dumps([name, router, *values(action)], separators=(",", ":")))
 
-    def line(self, line: str) -> None:
-        """Take one line of input; raises Malformed where it is not the wire's."""
+    def read_line(self, line: str) -> None:
+        """Process one line of input; raises Malformed if it is not a valid message."""
         try:
             message = json.loads(line)
         except (ValueError, RecursionError) as error:
@@ -214,10 +214,10 @@
             self.out.flush()
             self.reply, self.batch = [], None
         else:
-            self.event(name, values)
+            self.handle_event(name, values)
 
-    def event(self, name: str, values: list[Any]) -> None:
-        """One event of a batch, for one instance."""
+    def handle_event(self, name: str, values: list[Any]) -> None:
+        """Process one event of a batch, for one instance."""
         router = required_integer(values[0] if values else None, f"{name}: router")
         if name == "killed":
             self.routers.pop(router, None)
@@ -239,25 +239,25 @@
         try:
             if event is None:
                 self.routers[router] = Router(settings, seed)
-                self.act(router, self.routers[router].start(self.now))
+                self.write_actions(router, self.routers[router].start(self.now))
             else:
-                self.act(router, self.routers[router].handle(self.now, event))
-        except Exception as error:  # whatever the decision code raises is told by the wire's own message
+                self.write_actions(router, self.routers[router].handle(self.now, event))
+        except Exception as error:  # any exception of the decision code is reported with a crash message
             traceback.print_exc()
-            words = f"{type(error).__name__}: {error}"
-            self.reply.append(json.dumps(["crash", router, words], separators=(",", ":")))
+            message = f"{type(error).__name__}: {error}"
+            self.reply.append(json.dumps(["crash", router, message], separators=(",", ":")))
 
 
 def main() -> int:
-    """Serve standard input until it ends."""
+    """Process standard input until it ends."""
     host = Host(sys.stdout)
-    for at, raw in enumerate(sys.stdin.buffer, 1):
+    for line_number, raw in enumerate(sys.stdin.buffer, 1):
         try:
             line = raw.decode("utf-8")
             if line.strip():
-                host.line(line)
+                host.read_line(line)
         except (Malformed, UnicodeDecodeError) as error:
-            print(f"threadhill.simhost: line {at}: {error}", file=sys.stderr)
+            print(f"threadhill.simhost: line {line_number}: {error}", file=sys.stderr)
             return 2
     if host.batch is not None:
         print("threadhill.simhost: input ended inside a batch", file=sys.stderr)
