--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""Purges as a law: an answer is turned down if, and only if, a plain list of all purges says so."""
+"""Property tests of purges: an answer is rejected exactly if a plain list of all purges says so."""
 
 from __future__ import annotations
 
@@ -17,56 +17,60 @@
 
 
 @dataclass(frozen=True)
-class Told:
-    """One purge: its key, how long after the one before it is told, how old it is then, how long it waited unread."""
+class ReceivedPurge:
+    """One purge: its key, the time since the previous one was received, its age then, and how long it waited unread."""
 
     key: str | int
     pause: int
     age: int
-    waited: int
+    queue_delay: int
 
 
 purges = st.lists(
     st.builds(
-        Told, st.sampled_from(KEYS), st.integers(1, 3 * SECOND), st.integers(0, 2 * SECOND), st.integers(0, SECOND)
+        ReceivedPurge,
+        st.sampled_from(KEYS),
+        st.integers(1, 3 * SECOND),
+        st.integers(0, 2 * SECOND),
+        st.integers(0, SECOND),
     ),
     max_size=12,
 )
 
 
 @given(purges, st.integers(0, 20 * SECOND), st.integers(-20 * SECOND, 20 * SECOND))
-def test_a_copy_is_turned_down_by_the_purges_that_were_known_when_it_was_asked_for(
-    told: list[Told], sent_after: int, born_after: int
+def test_a_copy_is_rejected_by_the_purges_known_when_the_attempt_was_sent(
+    received: list[ReceivedPurge], sent_after: int, created_after: int
 ) -> None:
     now, known = START, []
     fresh = Freshness(DROP_TIME)
-    for one in told:
-        now += one.pause
-        record = PurgeRecord(now - one.age, now - one.waited, now - one.age)
-        fresh.add_purge(one.key, record)
-        known.append((one.key, record))
-    sent_at, born = START + sent_after, START + born_after
+    for purge in received:
+        now += purge.pause
+        record = PurgeRecord(now - purge.age, now - purge.queue_delay, now - purge.age)
+        fresh.add_purge(purge.key, record)
+        known.append((purge.key, record))
+    sent_at, created_at = START + sent_after, START + created_after
     expected = any(
-        key in ("a", 3, EVERYTHING) and record.known_at <= sent_at and born <= record.timestamp + TIMESTAMP_ERROR
+        key in ("a", 3, EVERYTHING) and record.known_at <= sent_at and created_at <= record.timestamp + TIMESTAMP_ERROR
         for key, record in known
     )
-    assert fresh.is_purged("a", 3, sent_at, born, max(now, sent_at)) == expected
+    assert fresh.is_purged("a", 3, sent_at, created_at, max(now, sent_at)) == expected
 
 
 @given(purges)
-def test_no_age_that_is_named_admits_a_copy_from_before_a_purge(told: list[Told]) -> None:
+def test_no_maximum_age_admits_a_copy_from_before_a_purge(received: list[ReceivedPurge]) -> None:
     now, known = START, []
     fresh = Freshness(DROP_TIME)
-    for one in told:
-        now += one.pause
-        fresh.add_purge(one.key, PurgeRecord(now - one.age, now, now - one.age))
-        known += [now - one.age] * (one.key in ("a", 3, EVERYTHING))
+    for purge in received:
+        now += purge.pause
+        fresh.add_purge(purge.key, PurgeRecord(now - purge.age, now, now - purge.age))
+        known += [now - purge.age] * (purge.key in ("a", 3, EVERYTHING))
         binding = [at for at in known if now - at <= DROP_TIME]
         oldest = fresh.max_copy_age("a", 3, now)
         assert oldest == (max(1, now - max(binding)) if binding else 0)
 
 
-def test_purges_that_may_be_missing_bound_the_age_from_where_they_may_begin() -> None:
+def test_possibly_missing_purges_limit_the_maximum_age() -> None:
     fresh = Freshness(DROP_TIME)
     fresh.missed_at = START
     assert fresh.max_copy_age("a", 3, START + SECOND) == SECOND
@@ -74,8 +78,8 @@
     assert fresh.max_copy_age("a", 3, START + SECOND) == 500 * MS
 
 
-def test_a_flood_of_purges_of_one_key_forgets_none() -> None:
-    """Those that can't be told apart any more count as known earlier than they were."""
+def test_many_purges_of_one_key_are_all_applied() -> None:
+    """Purges that are merged count as known earlier than they were."""
     fresh = Freshness(DROP_TIME)
     for n in range(200):
         fresh.add_purge("a", PurgeRecord(START + n * MS, START + n * MS, START + n * 10 * MS))
@@ -84,7 +88,7 @@
         assert fresh.is_purged("a", 3, START + n * MS, START + n * 10 * MS, START + SECOND)
 
 
-def test_where_more_objects_are_purged_than_are_remembered_everything_counts_as_purged() -> None:
+def test_beyond_the_limit_of_keys_everything_counts_as_purged() -> None:
     fresh = Freshness(DROP_TIME)
     for n in range(freshness.MAX_KEYS + 10):
         fresh.add_purge(f"o{n}", PurgeRecord(START, START, START))
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""Many proxies killed at once under load, and idle clients that hold all descriptors while discovery is away."""
+"""Many proxies killed at once under load, and idle clients that use up the descriptors while discovery is down."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from threadhill.standin.swarm import Crowd, Swarm, settings_for
 
 KILLED = 24
-READY_S = 10.0  # within which nine in ten of the killed have to be ready
+READY_S = 10.0  # seconds within which nine in ten of the killed proxies must be ready
 
 
 async def ready(swarm: Swarm, name: str, began: float) -> float:
@@ -30,7 +30,7 @@
         await asyncio.sleep(0.02)
 
 
-def test_of_24_proxies_killed_at_once_under_load_nine_in_ten_are_soon_ready(tmp_path: Path) -> None:
+def test_nine_in_ten_of_24_proxies_killed_under_load_are_soon_ready(tmp_path: Path) -> None:
     async def scene() -> None:
         swarm = Swarm(tmp_path, "127.0.0.1", settings_for(KILLED), ROOT)
         try:
@@ -56,8 +56,8 @@
     asyncio.run(scene())
 
 
-def test_idle_clients_that_hold_all_descriptors_do_not_keep_discovery_out(tmp_path: Path) -> None:
-    """Discovery goes away and comes back while idle clients hold every descriptor that they may have."""
+def test_idle_clients_holding_all_descriptors_do_not_block_discovery(tmp_path: Path) -> None:
+    """Discovery stops and restarts while idle clients hold all descriptors that clients may use."""
 
     async def scene(w: ProxyHarness) -> None:
         silent = await open_silent_connections(w.port, 120)
--- a/tests/test_server_order.py
+++ b/tests/test_server_order.py
@@ -1,4 +1,4 @@
-"""An object's order of servers, as laws, and what finding it costs."""
+"""Properties of an object's order of servers, and the work of computing it."""
 
 from __future__ import annotations
 
@@ -84,40 +84,40 @@
 # --- the module with many servers: every hard case is answered, with bounded work
 
 
-class Counted(Script):
-    """A router with so many caches; `looked` tells the servers that one request looked at."""
+class CountingScript(Script):
+    """A router with `count` caches that counts the servers inspected by each request."""
 
     def __init__(self, count: int, **changes: object) -> None:
         self.numbers = range(1_000, 1_000 + count)
         super().__init__(entries=fleet(self.numbers))
         if changes:
             self.list([cache(number, **changes) for number in self.numbers])
-        self.judged = 0
-        judge = self.router.has_cold_credit
+        self.inspected = 0
+        original = self.router.has_cold_credit
 
         def counting(server: Server, work: float, weight: float = 1.0) -> bool:
-            self.judged += 1
-            return judge(server, work, weight)
+            self.inspected += 1
+            return original(server, work, weight)
 
         self.router.has_cold_credit = counting
 
-    def looked(self, name: str, **more: object) -> tuple[int, list[api.Action]]:
-        before = self.judged
+    def ask_counting(self, name: str, **more: object) -> tuple[int, list[api.Action]]:
+        before = self.inspected
         actions = self.ask(name, **more)
-        return self.judged - before, actions
+        return self.inspected - before, actions
 
 
 @pytest.mark.parametrize("count", [200, LARGE])
-def test_a_usual_request_looks_at_a_few_servers(count: int) -> None:
-    script = Counted(count)
-    work = [script.looked(name)[0] for name in OBJECTS]
+def test_a_usual_request_inspects_few_servers(count: int) -> None:
+    script = CountingScript(count)
+    work = [script.ask_counting(name)[0] for name in OBJECTS]
     assert max(work) <= 8
 
 
 @pytest.mark.parametrize("count", [200, LARGE])
 @pytest.mark.parametrize("trouble", ["ejected", "full", "in slow start"])
 def test_the_first_fifty_of_an_order_may_all_be_unusable(count: int, trouble: str) -> None:
-    script = Counted(count)
+    script = CountingScript(count)
     name = OBJECTS[0]
     script.serve(name)
     for server in itertools.islice(script.router.fleet.caches.ordered_for(name), 50):
@@ -128,48 +128,48 @@
         else:
             server.entry = cache(server.entry.server, reported_start=script.now - 1)
             server.credit, server.credit_updated_at = -1.0, script.now
-    work, (action,) = script.looked(name)
+    work, (action,) = script.ask_counting(name)
     assert isinstance(action, api.Fetch) and work <= 64
 
 
 @pytest.mark.parametrize("count", [200, LARGE])
 def test_nine_in_ten_servers_may_drain_at_once(count: int) -> None:
-    script = Counted(count)
+    script = CountingScript(count)
     left = set(script.numbers[::10])
     script.list([cache(n, state=api.State.DRAINING) for n in script.numbers if n not in left])
     for name in OBJECTS[:50]:
-        work, (action,) = script.looked(name)
+        work, (action,) = script.ask_counting(name)
         assert isinstance(action, api.Fetch) and action.server in left and work <= 8
 
 
 @pytest.mark.parametrize("count", [200, LARGE])
 def test_every_server_may_be_cold(count: int) -> None:
-    script = Counted(count, reported_start=1000 * SECOND)
+    script = CountingScript(count, reported_start=1000 * SECOND)
     for name in OBJECTS[:50]:
-        work, actions = script.looked(name)
+        work, actions = script.ask_counting(name)
         assert actions and work <= max(64, MAX_SORTED) + 4
 
 
 @pytest.mark.parametrize("count", [200, LARGE])
 def test_one_object_with_a_third_of_all_requests_is_spread_over_many_servers(count: int) -> None:
-    script = Counted(count)
+    script = CountingScript(count)
     seen: Counter[int] = Counter()
     for n in range(6_000):
         name = "hot" if n % 3 == 0 else OBJECTS[n % len(OBJECTS)]
         if n == 3_000:  # copies grow by one a second: as after some minutes
             script.router.rates["hot"].copies = 150
-        before = script.judged
+        before = script.inspected
         sent = script.serve(name)
         if n > 3_000 and name == "hot":
             seen[sent.server] += 1
-            assert script.judged - before <= 150 + 4
+            assert script.inspected - before <= 150 + 4
         script.wait(4 * MS)
     assert len(seen) > 100 and max(seen.values()) < sum(seen.values()) / 20
 
 
-def test_a_list_that_changes_costs_each_server_its_own_change_only() -> None:
-    """3,200 servers, each change of one: neither the others nor the orders of objects are reckoned anew."""
-    script = Counted(LARGE)
+def test_a_list_change_costs_work_for_the_changed_server_only() -> None:
+    """With 3,200 servers, changing one at a time recomputes neither the others nor the orders of objects."""
+    script = CountingScript(LARGE)
     order = script.router.fleet.caches
     before = order.inspected
     for n in range(600):
@@ -179,8 +179,8 @@
     assert order.inspected == before and len(order) == LARGE
 
 
-def test_a_list_may_shrink_to_three_and_every_object_is_served_from_these() -> None:
-    script = Counted(LARGE)
+def test_after_the_list_shrinks_to_three_every_object_is_served_by_these() -> None:
+    script = CountingScript(LARGE)
     script.serve("a")
     script.list(fleet(CACHES[:3]), api.ListKind.FULL)
     assert {script.serve(name).server for name in OBJECTS[:60]} == set(CACHES[:3])
