--- a/threadhill/decision/interface.py
+++ b/threadhill/decision/interface.py
@@ -132,58 +132,58 @@
     name: str
     retry_safety: RetrySafety = RetrySafety.SAFE
     dedup_scope: DedupScope = DedupScope.ALL
-    dedup_window: int = 0
+    dedup_window: int = 0  # time in which servers drop repeats of a keyed request
     latency_target: int = 0
-    latency_target_stretch: float = 0.0
+    latency_target_stretch: float = 0.0  # added to the target, in transfer times of the answer
     deadline: int = 0
-    value: float = 1.0
-    late_value: float = 0.0
+    value: float = 1.0  # of an answer in time, relative to other classes
+    late_value: float = 0.0  # share of it that a late answer has
     streamed: bool = False
     write: bool = False
-    freshness_lifetime: int = 0
-    max_stale: int = 0
-    stale_value: float = 1.0
-    in_parts: bool = False
+    freshness_lifetime: int = 0  # how long a copy counts as fresh; 0: no such limit
+    max_stale: int = 0  # how long after that a copy may still be served
+    stale_value: float = 1.0  # share of it that an answer from a stale copy has
+    in_parts: bool = False  # objects are requested and kept part by part
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings that an instance is started with."""
+    """The settings that an instance is started with. Times are microseconds."""
 
     classes: dict[str, RequestClass]
-    zone: str = ""
-    zones: tuple[str, ...] = ()
-    zone_hub: tuple[int, ...] = ()
-    zone_link_kb_per_s: tuple[float, ...] = ()
-    zone_routers: tuple[int, ...] = ()
-    routers: int = 1
-    rank: int = 0
-    parent_kind: str | None = None
-    origin_kind: str | None = None
-    client_kb_per_s: float = 0.0
+    zone: str = ""  # location of this router
+    zones: tuple[str, ...] = ()  # all locations; the next three have one value for each
+    zone_hub: tuple[int, ...] = ()  # index of the location's hub in `zones`
+    zone_link_kb_per_s: tuple[float, ...] = ()  # capacity of the location's incoming link
+    zone_routers: tuple[int, ...] = ()  # routers at the location
+    routers: int = 1  # in all
+    router_index: int = 0  # of this router among all
+    parent_kind: str | None = None  # kind of the list entries that are parents; None: there are none
+    origin_kind: str | None = None  # the same for the origin
+    client_kb_per_s: float = 0.0  # speed at which clients receive answers; 0: unknown
     tick: int = 0
-    direct_to_origin: bool = False
-    coalesces_fills: bool = False
+    direct_to_origin: bool = False  # requests may bypass the caches
+    coalesces_fills: bool = False  # caches let a request join a fill in progress
     siblings: Siblings = Siblings.NONE
     cache_status_detail: CacheStatusDetail = CacheStatusDetail.NONE
     weights: Weights = Weights.NONE
     clients_mark_retries: bool = False
-    list_on_request: bool = False
+    list_on_request: bool = False  # the list must be subscribed to; else it is pushed
     ask_within: int = 0
     answer_slack: int = 0
-    drain_grace: int = 0
-    cold_capacity: float = 1.0
-    warm_up_time: int = 0
-    overload_multiple: float = 1.0
-    overload_window: int = 0
+    drain_grace: int = 0  # time in which requests to a draining server must stop
+    cold_capacity: float = 1.0  # share of its capacity that a cold cache starts with
+    warm_up_time: int = 0  # until a cold cache has its full capacity
+    overload_multiple: float = 1.0  # multiple of its capacity that overloads a cold cache
+    overload_window: int = 0  # time over which that load is counted
     parent_cold_capacity: float = 1.0
     parent_warm_up_time: int = 0
     parent_overload_multiple: float = 1.0
-    purge_grace: int = 0
-    purge_drop_time: int = 0
-    cancel: bool = False
+    purge_grace: int = 0  # time that a purge may take to be obeyed
+    purge_drop_time: int = 0  # time in which servers drop older copies after a purge
+    cancel: bool = False  # attempts can be cancelled
     probes: bool = False
-    retry_after_allowed: bool = False
+    retry_after_allowed: bool = False  # refusals may carry a retry-after time
     max_retry_after: int = 0
     max_attempts: int = 1
     second_copies: bool = False
--- a/threadhill/settings.py
+++ b/threadhill/settings.py
@@ -268,7 +268,7 @@
         ),
         zone_routers=tuple(sequence(extra.get("crew-by-zone"), "crew-by-zone")),
         routers=max(1, given_routers) if given_routers >= 0 else given_routers,
-        rank=integer(raw.get("rank"), "rank"),
+        router_index=integer(raw.get("rank"), "rank"),
         parent_kind=kind("upper-kind"),
         origin_kind=kind("master-kind"),
         client_kb_per_s=number(extra.get("client-kb-per-s"), "client-kb-per-s"),
