--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -170,7 +170,7 @@
     assert sent.source != sent.server
 
 
-def filled(script: Script, count: int, **more: object) -> int:
+def count_fills(script: Script, count: int, **more: object) -> int:
     """How many of these requests for new objects name a source; each of them ends as a hit."""
     sent = []
     for n in range(count):
@@ -186,7 +186,7 @@
     assert sent.server in PARENTS
     script.end(sent, load={"link": 90.0})
     script.list([cache(number) for number in CACHES])
-    assert filled(script, 20) == 20
+    assert count_fills(script, 20) == 20
 
 
 def test_fills_are_reduced_gradually_on_a_congested_link() -> None:
@@ -194,7 +194,7 @@
     script = Script()
     shares = []
     for script.router.link_load in (1.4, 2.6, 3.8, 5.0):
-        shares.append(filled(script, 200))
+        shares.append(count_fills(script, 200))
     assert shares[0] == 200 and 100 < shares[1] < 150 and 20 < shares[2] < 80 and shares[3] == 0
 
 
@@ -203,7 +203,7 @@
     script = Script()
     for number in PARENTS:
         script.router.fleet.servers[number].fill_latency_ratio = dict.fromkeys((False, True), (2.06, script.now))
-    assert 60 < filled(script, 200, size=8000.0) < 120  # 2.06 of 1.05 s where 2.4 s are wanted
+    assert 60 < count_fills(script, 200, size=8000.0) < 120  # mean fill: 2.06 of 1.05 s; target: 2.4 s
 
 
 def test_with_unknown_sizes_first_answers_and_large_ones_do_not_make_a_source_slow() -> None:
@@ -426,12 +426,12 @@
 
 
 def test_without_caches_requests_go_to_the_origin_where_allowed_else_are_refused() -> None:
-    out = [cache(n, state=State.DRAINING) for n in CACHES]
+    draining = [cache(n, state=State.DRAINING) for n in CACHES]
     script = Script()
-    script.list(out)
+    script.list(draining)
     assert script.serve("a").server in PARENTS
     script = Script(replace(SETTINGS, direct_to_origin=False))
-    script.list(out)
+    script.list(draining)
     assert isinstance(script.ask("a")[0], api.Refuse)
 
 
@@ -540,20 +540,20 @@
 def test_a_silent_cache_is_ejected_and_its_attempts_are_cancelled() -> None:
     script = Script()
     script.send_steadily("warm", 1, 20)
-    home = script.serve("a").server
+    first_cache = script.serve("a").server
     hung = [script.ask("a")[0] for _ in range(5)]
-    assert {h.server for h in hung} == {home}
+    assert {h.server for h in hung} == {first_cache}
     for n in range(100):
         script.wait(30 * MS)
         actions = script.ask(f"o{n}")
         if any(isinstance(a, api.CancelAttempt) for a in actions):
             break
-        if actions[0].server != home:
+        if actions[0].server != first_cache:
             script.end(actions[0])
     cancelled = {a.id for a in actions if isinstance(a, api.CancelAttempt)}
     assert {h.id for h in hung} <= cancelled
     (resent,) = script.end(hung[0], Outcome.CANCELLED)
-    assert isinstance(resent, api.Fetch) and resent.server != home
+    assert isinstance(resent, api.Fetch) and resent.server != first_cache
 
 
 @pytest.mark.parametrize("outcome", [Outcome.UNREACHED, Outcome.BROKEN, Outcome.ERROR])
@@ -607,12 +607,12 @@
     """Hits must not be refused while fills from a slow origin use up the in-flight limit."""
     script = Script(entries=fleet(caches=(11,)))
     sent = [script.ask(f"o{n}")[0] for n in range(90)]
-    looks = [a for a in sent if isinstance(a, api.Fetch) and a.source == a.server == 11]
+    cached_only = [a for a in sent if isinstance(a, api.Fetch) and a.source == a.server == 11]
     fills = [a for a in sent if isinstance(a, api.Fetch) and a.source != a.server]
-    assert fills and len(looks) > len(fills)
+    assert fills and len(cached_only) > len(fills)
     assert sent[: len(fills) - 1] == fills[:-1]  # fills first, then copies only, then refusals; the last fill is random
     assert isinstance(sent[-1], api.Refuse)
-    (end,) = script.end(looks[0], Outcome.MISS)
+    (end,) = script.end(cached_only[0], Outcome.MISS)
     assert isinstance(end, api.Refuse)  # at once: no copy, and no fill allowed
 
 
@@ -624,20 +624,20 @@
     source = script.router.fleet.servers[21]
     script.router.fleet.origin.latency_ratio = (9.0, script.now)  # too slow as a fallback
     first = source.fill_limit
-    out = [script.ask(f"o{n}")[0] for n in range(24)]
-    assert source.inflight_fills == 24 and {a.source for a in out} == {21}
+    attempts = [script.ask(f"o{n}")[0] for n in range(24)]
+    assert source.inflight_fills == 24 and {a.source for a in attempts} == {21}
     script.wait(2 * SECOND)
-    for sent in out:  # answered, but after the latency target
+    for sent in attempts:  # answered, but after the latency target
         script.end(sent, duration=2 * SECOND)
     assert source.inflight_fills == 0 and source.fill_limit == script.router.min_fill_limit < first
     source.fill_latency_ratio.clear()
-    out = [script.ask(f"p{n}")[0] for n in range(60)]
-    held = [a for a in out if isinstance(a, api.Fetch) and a.mode & api.FillMode.CACHED_ONLY]
-    fills = [a for a in out if isinstance(a, api.Fetch) and a.source == 21 and a not in held]
-    assert len(fills) <= source.fill_limit + 1 and len(fills) + len(held) == source.inflight_fills
+    attempts = [script.ask(f"p{n}")[0] for n in range(60)]
+    cached_only = [a for a in attempts if isinstance(a, api.Fetch) and a.mode & api.FillMode.CACHED_ONLY]
+    fills = [a for a in attempts if isinstance(a, api.Fetch) and a.source == 21 and a not in cached_only]
+    assert len(fills) <= source.fill_limit + 1 and len(fills) + len(cached_only) == source.inflight_fills
     # Above its limit a parent still serves its copies; a miss is refused at once and not retried.
-    assert held and {a.source for a in held} == {21}
-    assert isinstance(script.end(held[0], Outcome.MISS)[0], api.Refuse)
+    assert cached_only and {a.source for a in cached_only} == {21}
+    assert isinstance(script.end(cached_only[0], Outcome.MISS)[0], api.Refuse)
     room = source.fill_limit
     for sent in fills:
         script.end(sent, duration=MS)
@@ -648,9 +648,11 @@
     """Restricting the origin to its copies would not help, as it holds everything."""
     script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=()))
     script.router.fleet.origin.fill_limit = 12.0
-    out = [script.ask(f"o{n}")[0] for n in range(30)]
-    assert [a.source == ORIGIN for a in out][:11] == [True] * 11 and 11 <= sum(a.source == ORIGIN for a in out) <= 12
-    assert not any(a.mode & api.FillMode.CACHED_ONLY for a in out)
+    attempts = [script.ask(f"o{n}")[0] for n in range(30)]
+    assert [a.source == ORIGIN for a in attempts][:11] == [True] * 11 and 11 <= sum(
+        a.source == ORIGIN for a in attempts
+    ) <= 12
+    assert not any(a.mode & api.FillMode.CACHED_ONLY for a in attempts)
 
 
 @pytest.mark.parametrize("routers", [1, 3, 40])
@@ -701,8 +703,8 @@
             script.router.fleet.origin.latency_ratio = (9.0, script.now)  # too slow as a fallback
         for name in range(max(1, parents) * 2_000 // routers):
             for sent in script.ask(f"o{name}"):
-                held = isinstance(sent, api.Fetch) and sent.mode & api.FillMode.CACHED_ONLY
-                fills += isinstance(sent, api.Fetch) and sent.source == source and not held
+                cached_only = isinstance(sent, api.Fetch) and sent.mode & api.FillMode.CACHED_ONLY
+                fills += isinstance(sent, api.Fetch) and sent.source == source and not cached_only
     assert 0.7 * sources * choice.INITIAL_FILL_LIMIT < fills < 1.3 * sources * choice.INITIAL_FILL_LIMIT
 
 
@@ -752,9 +754,9 @@
 def test_the_origin_takes_fills_above_the_limits_of_the_parents_unless_it_is_slow() -> None:
     script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=(21,)))
     script.router.fleet.servers[21].fill_limit = 0.0
-    out = [script.ask(f"o{n}")[0] for n in range(60)]
-    straight = [a for a in out if isinstance(a, api.Fetch) and a.source == ORIGIN]
-    assert choice.ORIGIN_FILL_LIMIT / 2 - 1 <= len(straight) <= choice.ORIGIN_FILL_LIMIT / 2 + 1  # one of two routers
+    actions = [script.ask(f"o{n}")[0] for n in range(60)]
+    to_origin = [a for a in actions if isinstance(a, api.Fetch) and a.source == ORIGIN]
+    assert choice.ORIGIN_FILL_LIMIT / 2 - 1 <= len(to_origin) <= choice.ORIGIN_FILL_LIMIT / 2 + 1  # one of two routers
     script = Script(replace(SETTINGS, cache_status_detail=api.CacheStatusDetail.NONE), fleet(parents=(21,)))
     script.router.fleet.servers[21].fill_limit = 0.0
     script.router.fleet.origin.latency_ratio = (4.0, script.now)
@@ -791,8 +793,8 @@
     source = script.router.fleet.servers[21]
     ended = 0
     for round in range(100):
-        out = [script.ask(f"o{round}-{n}")[0] for n in range(50)]
-        for sent in [a for a in out if isinstance(a, api.Fetch)]:
+        actions = [script.ask(f"o{round}-{n}")[0] for n in range(50)]
+        for sent in [a for a in actions if isinstance(a, api.Fetch)]:
             ended += sent.source == 21
             script.end(sent, duration=2 * SECOND if sent.source == 21 and ended % 50 == 10 else MS)
     assert source.fill_limit > 50
@@ -804,15 +806,15 @@
     script = Script(entries=fleet(caches=(11, 12, 13)))
     for n in range(30):
         script.serve(f"o{n}")
-    straight = []
+    answered_at = []
     for second in range(5):  # only attempts at parents are answered
         for n in range(12):
             for sent in script.ask(f"o{n}"):
                 if isinstance(sent, api.Fetch) and sent.server in PARENTS:
-                    straight.append(second)
+                    answered_at.append(second)
                     script.end(sent)
         script.wait(700 * MS)
-    assert straight.count(0) == 0 and straight.count(4) >= 9  # at most one trial a cache
+    assert answered_at.count(0) == 0 and answered_at.count(4) >= 9  # at most one trial a cache
     for n in range(20):
         script.wait(SECOND)
         for sent in script.ask(f"r{n}"):
@@ -840,18 +842,18 @@
 def test_a_hand_over_counts_against_limit_and_credit_and_not_for_health() -> None:
     script = Script(entries=fleet(caches=(11,)))
     server = script.router.fleet.servers[11]
-    free = [script.ask(f"f{n}", hand_over=True)[0] for n in range(30)]
-    assert {type(a) for a in free} == {api.HandOver}  # before the first answer its limit is only a guess
-    for action in free:
+    unlimited = [script.ask(f"f{n}", hand_over=True)[0] for n in range(30)]
+    assert {type(a) for a in unlimited} == {api.HandOver}  # before the first answer its limit is only a guess
+    for action in unlimited:
         script.handle(api.AttemptEnded(action.id, 0, 11, Outcome.HANDED_OVER, request_closed=True))
     server.last_answer_at = 1
     handed = [script.ask(f"o{n}", hand_over=True)[0] for n in range(30)]
-    named = [a for a in handed if isinstance(a, api.HandOver)]
-    assert {a.server for a in named} == {11} and isinstance(handed[-1], api.Refuse)
-    assert (server.inflight, server.unanswered, server.fault_log_odds) == (len(named), 0, 0.0)
+    handed_over = [a for a in handed if isinstance(a, api.HandOver)]
+    assert {a.server for a in handed_over} == {11} and isinstance(handed[-1], api.Refuse)
+    assert (server.inflight, server.unanswered, server.fault_log_odds) == (len(handed_over), 0, 0.0)
     assert server.credit < 0 and not script.router.jobs
     script.wait(10 * SECOND)
-    for action in named:
+    for action in handed_over:
         ended = api.AttemptEnded(action.id, 0, 11, Outcome.HANDED_OVER, request_closed=True)
         assert not script.handle(ended)
     assert (server.inflight, server.unanswered, server.fault_log_odds, server.last_answer_at) == (0, 0, 0.0, 1)
@@ -888,14 +890,16 @@
     for n in range(80):  # over 8 s: accrued credit must still not admit 200 clients at once
         heavy.append(script.ask(f"o{n}", hand_over=True, weight=200.0)[0])
         script.wait(100 * MS)
-    named = [a for a in heavy if isinstance(a, api.HandOver)]
-    assert named and not any(a.server == 11 for a in named)
-    held = script.router.fleet.servers[named[0].server]
-    assert held.inflight >= 200
+    handed_over = [a for a in heavy if isinstance(a, api.HandOver)]
+    assert handed_over and not any(a.server == 11 for a in handed_over)
+    server = script.router.fleet.servers[handed_over[0].server]
+    assert server.inflight >= 200
     script.handle(
-        api.AttemptEnded(named[0].id, 0, named[0].server, Outcome.HANDED_OVER, request_closed=True, weight=200.0)
+        api.AttemptEnded(
+            handed_over[0].id, 0, handed_over[0].server, Outcome.HANDED_OVER, request_closed=True, weight=200.0
+        )
     )
-    assert held.inflight == 200 * (sum(a.server == named[0].server for a in named) - 1)
+    assert server.inflight == 200 * (sum(a.server == handed_over[0].server for a in handed_over) - 1)
     light = [script.ask(f"p{n}", hand_over=True)[0] for n in range(200)]
     assert sum(isinstance(a, api.HandOver) and a.server == 11 for a in light) < 2 * SETTINGS.cold_capacity * 50
     # However much credit accrues, the clients of one hand-over must fit the overload window; a request need not.
@@ -1037,7 +1041,7 @@
     def play() -> list[list[api.Action]]:
         script = Script(replace(SETTINGS, direct_to_origin=direct, coalesces_fills=joins, cache_status_detail=tells))
         log: list[list[api.Action]] = []
-        out: dict[str, api.Fetch] = {}
+        in_flight: dict[str, api.Fetch] = {}
         attempts: dict[str, int] = {}
         answered: set[str] = set()
         names = sorted(CLASSES)
@@ -1047,8 +1051,8 @@
             log.append(actions)
             for action in actions:
                 if isinstance(action, api.Fetch):
-                    assert action.id not in out and action.id not in answered
-                    out[action.id] = action
+                    assert action.id not in in_flight and action.id not in answered
+                    in_flight[action.id] = action
                     attempts[action.id] = attempts.get(action.id, -1) + 1
                 elif isinstance(action, api.Refuse | api.Fail):
                     assert action.id not in answered
@@ -1064,9 +1068,9 @@
             elif step == "list":
                 state = list(State)[n % 3]
                 take(script.list([cache(CACHES[n % 4], state=state, reported_start=script.now - n * MS)]))
-            elif out:
-                name = sorted(out)[n % len(out)]
-                sent, outcome = out.pop(name), outcomes[n % len(outcomes)]
+            elif in_flight:
+                name = sorted(in_flight)[n % len(in_flight)]
+                sent, outcome = in_flight.pop(name), outcomes[n % len(outcomes)]
                 if outcome is Outcome.SERVED:
                     answered.add(name)
                 take(script.end(sent, outcome, attempts[name], request_closed=name in answered))
