--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -144,9 +144,9 @@
         history.append(dict(world))
     cut = draw.randrange(len(history))
     heard = [draw.randint(cut, len(history) - 1) for _ in range(3)]
-    held: dict[str, adopt.Held] = {}
+    held: dict[str, adopt.ProxyView] = {}
     for n, pos in enumerate(heard):
-        adopt.take(
+        adopt.add_part(
             held,
             {
                 "proxy": f"p{n}",
--- a/benchmarks/storm_ways.py
+++ b/benchmarks/storm_ways.py
@@ -24,9 +24,9 @@
 if not __package__:
     sys.path[0] = str(ROOT)
 
-from threadhill.overload.admission import Gate, Rank  # noqa: E402
-from threadhill.overload.budgets import Budgets  # noqa: E402
-from threadhill.overload.capacity import Capacity, Signs  # noqa: E402
+from threadhill.overload.admission import AdmissionController, Priority  # noqa: E402
+from threadhill.overload.budgets import RetryBudgets  # noqa: E402
+from threadhill.overload.capacity import CapacityEstimator, UpstreamLoad  # noqa: E402
 
 STEP, ROOM, WANTED = 0.01, 300.0, 0.6
 QUEUES = {"deep": 600, "bounded": 60}  # asks that wait at most: without a bound to speak of, and as the module bounds
@@ -51,14 +51,14 @@
 
 class RetryBudget(Way):
     def __init__(self) -> None:
-        self.book = Budgets()
+        self.book = RetryBudgets()
 
     def admits(self, now: float, again: bool, waiting: int) -> bool:
         at = int(now * 1e6)
         if not again:
-            self.book.first("c", "t", at)
+            self.book.deposit("c", "t", at)
             return True
-        return self.book.retry("c", "t", at) is None
+        return self.book.withdraw("c", "t", at) is None
 
 
 class Gradient(Way):
@@ -120,31 +120,31 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.capacity, self.gate = Capacity(), Gate()
+        self.capacity, self.admission = CapacityEstimator(), AdmissionController()
         self.number = 0
 
     def admits(self, now: float, again: bool, waiting: int) -> bool:
-        if self.capacity.room != math.inf and not super().admits(now, again, waiting):
+        if self.capacity.limit != math.inf and not super().admits(now, again, waiting):
             return False
         self.number += 1
         at = int(now * 1e6)
-        rank = Rank.AGAIN if again else Rank.FIRST
-        level = self.gate.level(rank, 1.0, 1 / ROOM, f"c{self.number % 200}", at)
-        if not self.gate.lets_in("t", level, 1 / ROOM):
-            self.capacity.held_off(1 / ROOM)
+        rank = Priority.AGAIN if again else Priority.FIRST
+        level = self.admission.level(rank, 1.0, 1 / ROOM, f"c{self.number % 200}", at)
+        if not self.admission.admit("t", level, 1 / ROOM):
+            self.capacity.record_shed(1 / ROOM)
             return False
-        self.capacity.reached(1 / ROOM)
+        self.capacity.record_admitted(1 / ROOM)
         return True
 
     def ended(self, now: float, took: float, good: bool) -> None:
-        self.capacity.ended(1 / ROOM, good)
+        self.capacity.record_finished(1 / ROOM, good)
 
     def turn(self, now: float) -> None:
         at = int(now * 1e6)
-        strained = self.capacity.room != math.inf or self.capacity.good_mean < 0.85 * self.capacity.sent_mean
-        self.capacity.turn(at, strained, Signs())
-        self.gate.room = self.capacity.room
-        self.gate.turn(at)
+        strained = self.capacity.limit != math.inf or self.capacity.goodput < 0.85 * self.capacity.admitted_rate
+        self.capacity.update(at, strained, UpstreamLoad())
+        self.admission.limit = self.capacity.limit
+        self.admission.update(at)
 
 
 def way_of(name: str, seed: int) -> Way:
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -16,10 +16,10 @@
 from tests.test_spread import Many
 from threadhill.decision import interface as api
 from threadhill.decision.interface import Outcome
-from threadhill.decision.state import MAX_REPORT_FACTOR
-from threadhill.knowledge.hints import Hints
-from threadhill.knowledge.merge import CACHES, FRESH, OBJECTS, Merged
-from threadhill.knowledge.report import Report
+from threadhill.decision.state import OFF
+from threadhill.knowledge.hints import HintReader
+from threadhill.knowledge.merge import CACHES, FRESH, OBJECTS, ReportAggregator
+from threadhill.knowledge.report import ReportBuilder
 from threadhill.settings import Malformed
 from threadhill.standin.links import PASS, Way
 from threadhill.standin.swarm import Crowd, Swarm, settings_for
@@ -34,28 +34,30 @@
 
 
 def test_reports_are_summed_once_each_and_for_their_own_location() -> None:
-    merged = Merged()
+    aggregator = ReportAggregator()
     for proxy in ("a", "b", "c"):
-        assert merged.report(proxy, said(1), 1_000)
-    assert merged.report("far", said(1, rate=9.0, zone="there"), 1_000)
-    told = merged.hint("a", 1_200)
+        assert aggregator.add_report(proxy, said(1), 1_000)
+    assert aggregator.add_report("far", said(1, rate=9.0, zone="there"), 1_000)
+    told = aggregator.hint("a", 1_200)
     assert told is not None and told["objects"] == [["hot", 6.0]] and told["proxies"] == 3
     assert told["caches"] == [[12, 0.0, 1.0], [11, 3.0, 0.0]]
-    assert merged.hint("far", 1_200) is None and merged.hint("stranger", 1_200) is None
+    assert aggregator.hint("far", 1_200) is None and aggregator.hint("stranger", 1_200) is None
 
 
 def test_a_report_that_comes_twice_or_late_counts_once_and_a_silent_proxy_counts_no_more() -> None:
-    merged = Merged()
+    aggregator = ReportAggregator()
     for proxy in ("a", "b", "c"):
-        merged.report(proxy, said(5), 1_000)
-    assert not merged.report("a", said(5, rate=100.0), 1_100) and not merged.report("a", said(4, rate=100.0), 1_100)
-    assert merged.hint("b", 1_200)["objects"] == [["hot", 6.0]]
-    merged.report("a", said(6), FRESH)
-    merged.report("b", said(6), FRESH)
-    assert merged.hint("a", 1_000 + FRESH + 100)["objects"] == [["hot", 4.0]]
-    assert merged.report("a", said(1), 3 * FRESH)  # it started anew
-    merged.forget(20 * FRESH)
-    assert not merged.by_name
+        aggregator.add_report(proxy, said(5), 1_000)
+    assert not aggregator.add_report("a", said(5, rate=100.0), 1_100) and not aggregator.add_report(
+        "a", said(4, rate=100.0), 1_100
+    )
+    assert aggregator.hint("b", 1_200)["objects"] == [["hot", 6.0]]
+    aggregator.add_report("a", said(6), FRESH)
+    aggregator.add_report("b", said(6), FRESH)
+    assert aggregator.hint("a", 1_000 + FRESH + 100)["objects"] == [["hot", 4.0]]
+    assert aggregator.add_report("a", said(1), 3 * FRESH)  # it started anew
+    aggregator.expire(20 * FRESH)
+    assert not aggregator.by_name
 
 
 @pytest.mark.parametrize(
@@ -75,14 +77,14 @@
     ],
 )
 def test_a_report_that_cannot_be_used_is_left_whole(raw: Any) -> None:
-    merged = Merged()
-    assert not merged.report("a", raw, 0) and merged.refused == 1 and not merged.by_name
+    aggregator = ReportAggregator()
+    assert not aggregator.add_report("a", raw, 0) and aggregator.refused == 1 and not aggregator.by_name
 
 
 def test_a_hint_is_bounded_whatever_the_proxies_say() -> None:
-    merged = Merged()
+    aggregator = ReportAggregator()
     for n in range(50):
-        merged.report(
+        aggregator.add_report(
             f"p{n}",
             said(
                 1,
@@ -91,7 +93,7 @@
             ),
             0,
         )
-    told = merged.hint("p0", 100)
+    told = aggregator.hint("p0", 100)
     assert len(told["objects"]) == OBJECTS and len(told["caches"]) == CACHES
 
 
@@ -111,32 +113,32 @@
     ],
 )
 def test_a_hint_that_cannot_be_read_is_refused_whole(raw: dict[str, Any]) -> None:
-    hints = Hints()
+    hints = HintReader()
     with pytest.raises(Malformed):
         hints.read(raw, 0)
     assert hints.read(hint(), 0) is not None
 
 
 def test_doubled_and_old_hints_are_left_and_a_new_connection_counts_anew() -> None:
-    hints = Hints()
+    hints = HintReader()
     assert hints.read(hint(7), 0).age == 100_000
     assert hints.read(hint(7), 0) is None and hints.read(hint(6), 0) is None
     assert hints.read(hint(8), 9 * SECOND) is None  # it lay somewhere for nine seconds
-    hints.again()
+    hints.reset()
     assert hints.read(hint(1), 0) is not None and hints.left == 3
 
 
 def test_a_report_names_what_is_asked_for_most_and_what_is_out() -> None:
     script = Script()
-    report = Report(script.router)
+    report = ReportBuilder(script.router)
     for _ in range(3):
         script.send_steadily("hot", 1, 20)
         script.serve("rare")
     script.ask("hot")
-    told = report.told(script.now)
+    told = report.build(script.now)
     assert told["objects"][0][0] == "hot" and told["n"] == 1 and told["zone"] == "here"
     assert sum(out for _, out, _ in told["caches"]) == 1
-    assert len(Report(Many(1).routers[0]).told(0)["objects"]) == 0
+    assert len(ReportBuilder(Many(1).routers[0]).build(0)["objects"]) == 0
 
 
 def test_a_hint_gives_a_hot_object_its_copies_before_this_router_saw_it() -> None:
@@ -237,7 +239,7 @@
                 await asyncio.sleep(0.2)
             hints = [line["hint"] for line in got["new-2"] if isinstance(line, dict) and "hint" in line]
             assert hints[0]["objects"] == [["hot", 4.0]] and hints[0]["proxies"] == 2
-            assert Hints().read(hints[0], 0) is not None
+            assert HintReader().read(hints[0], 0) is not None
             await until(lambda: any(isinstance(line, int) for line in got["old"]), "the last number")
             assert not [line for line in got["old"] if isinstance(line, dict) and "hint" in line]
             for task in tasks:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -15,12 +15,12 @@
 from threadhill.core.ports import Answer, AttemptResult, AttemptSpec, ClientRequest, FinalStatus
 from threadhill.decision import interface as api
 from threadhill.overload import budgets, comeback, sketch
-from threadhill.overload.accept import Pace
-from threadhill.overload.admission import SPREADS, SUBS, Claims, Gate, Rank, max_min
-from threadhill.overload.budgets import TERMS, Budgets, Level
-from threadhill.overload.capacity import Capacity, Signs
+from threadhill.overload.accept import AcceptPacer
+from threadhill.overload.admission import SPREADS, SUBS, AdmissionController, Claims, Priority, max_min
+from threadhill.overload.budgets import TERMS, Level, RetryBudgets
+from threadhill.overload.capacity import CapacityEstimator, UpstreamLoad
 from threadhill.overload.comeback import SLOT, Planner, Return
-from threadhill.overload.control import Control, OverloadConfig
+from threadhill.overload.control import OverloadConfig, OverloadController
 from threadhill.overload.detector import Detector, Event, State
 from threadhill.overload.sketch import Unserved
 from threadhill.stats import Stats
@@ -61,7 +61,7 @@
         counts[Event.REFUSED] += round(ends * bad)
         counts[Event.SERVED] += ends - round(ends * bad)
         now += 100 * MS
-        changes += detector.turn(now)
+        changes += detector.update(now)
     return now, changes
 
 
@@ -97,50 +97,59 @@
         assert all(share >= max(shares.values()) - 1e-6 for share in poor)
 
 
-def through(gate: Gate, asks: list[tuple[str, Rank, str]], seconds: int, work: float = 0.05) -> dict[tuple, float]:
+def through(
+    gate: AdmissionController, asks: list[tuple[str, Priority, str]], seconds: int, work: float = 0.05
+) -> dict[tuple, float]:
     """Part let in by tenant and rank, in the last second of a steady mix of asks, each ten times a second."""
     now, let, came = SECOND, {}, {}
     for step in range(10 * seconds):
         for tenant, rank, client in asks:
-            goes = gate.lets_in(tenant, gate.level(rank, 1.0, work, client, now), work)
+            goes = gate.admit(tenant, gate.level(rank, 1.0, work, client, now), work)
             if step >= 10 * (seconds - 2):
                 came[tenant, rank] = came.get((tenant, rank), 0) + 1
                 let[tenant, rank] = let.get((tenant, rank), 0) + goes
         now += 100 * MS
-        gate.turn(now)
+        gate.update(now)
     return {key: let[key] / count for key, count in came.items()}
 
 
 def test_listeners_and_promised_ones_go_before_newcomers_and_purchases_always() -> None:
-    gate = Gate()
-    gate.room = 6.0  # of 20 that are asked for
+    gate = AdmissionController()
+    gate.limit = 6.0  # of 20 that are asked for
     asks = [
         ("t", rank, f"c{rank}-{n}")
-        for rank in (Rank.KEYED, Rank.PROMISED, Rank.LISTENER, Rank.FIRST, Rank.AGAIN)
+        for rank in (Priority.KEYED, Priority.PROMISED, Priority.LISTENER, Priority.FIRST, Priority.AGAIN)
         for n in range(8)
     ]
     part = through(gate, asks, 6)
-    assert part["t", Rank.KEYED] == 1 and part["t", Rank.PROMISED] >= 0.4
-    assert part["t", Rank.PROMISED] >= part["t", Rank.LISTENER] >= part["t", Rank.FIRST] >= part["t", Rank.AGAIN]
-    assert part["t", Rank.AGAIN] == 0
-    gate.room = math.inf
+    assert part["t", Priority.KEYED] == 1 and part["t", Priority.PROMISED] >= 0.4
+    assert (
+        part["t", Priority.PROMISED]
+        >= part["t", Priority.LISTENER]
+        >= part["t", Priority.FIRST]
+        >= part["t", Priority.AGAIN]
+    )
+    assert part["t", Priority.AGAIN] == 0
+    gate.limit = math.inf
     assert set(through(gate, asks, 4).values()) == {1.0}
 
 
 def test_a_tenants_storm_leaves_the_others_their_share_and_a_hog_stands_behind() -> None:
-    gate = Gate()
-    gate.room = 10.0
-    asks = [("flood", Rank.FIRST, f"f{n}") for n in range(100)] + [("calm", Rank.FIRST, f"c{n}") for n in range(6)]
+    gate = AdmissionController()
+    gate.limit = 10.0
+    asks = [("flood", Priority.FIRST, f"f{n}") for n in range(100)] + [
+        ("calm", Priority.FIRST, f"c{n}") for n in range(6)
+    ]
     part = through(gate, asks, 6)
-    assert part["calm", Rank.FIRST] > 0.98 and 0.08 < part["flood", Rank.FIRST] < 0.2
-    gate = Gate()
+    assert part["calm", Priority.FIRST] > 0.98 and 0.08 < part["flood", Priority.FIRST] < 0.2
+    gate = AdmissionController()
     now = SECOND
     for _ in range(30):
         for client in ("a", "b", "c", "d", *["hog"] * 60):
-            gate.level(Rank.FIRST, 1.0, 0.05, client, now)
+            gate.level(Priority.FIRST, 1.0, 0.05, client, now)
         now += 100 * MS
-        gate.turn(now)
-    hog, usual = (gate.level(Rank.FIRST, 1.0, 0.05, client, now) // SPREADS % SUBS for client in ("hog", "a"))
+        gate.update(now)
+    hog, usual = (gate.level(Priority.FIRST, 1.0, 0.05, client, now) // SPREADS % SUBS for client in ("hog", "a"))
     assert hog == SUBS - 1 > usual
 
 
@@ -155,33 +164,33 @@
 
 
 def test_room_holds_at_what_is_served_and_grows_in_steps_slower_while_the_library_is_slow() -> None:
-    def after(signs: Signs, seconds: int) -> float:
-        capacity, now = Capacity(), SECOND
+    def after(upstream: UpstreamLoad, seconds: int) -> float:
+        capacity, now = CapacityEstimator(), SECOND
         for _ in range(30):  # before: all that is asked for is served
-            capacity.reached(0.6)
-            capacity.ended(0.6, True)
+            capacity.record_admitted(0.6)
+            capacity.record_finished(0.6, True)
             now += 100 * MS
-            capacity.turn(now, False, signs)
+            capacity.update(now, False, upstream)
         for step in range(10 * (6 + seconds)):
             fault = step < 60
-            sent = min(3.0, capacity.room / 10)
-            capacity.reached(sent)
-            capacity.held_off(max(0.0, 3.0 - sent))
-            capacity.ended(min(sent, 0.6) if fault else sent, True)
+            sent = min(3.0, capacity.limit / 10)
+            capacity.record_admitted(sent)
+            capacity.record_shed(max(0.0, 3.0 - sent))
+            capacity.record_finished(min(sent, 0.6) if fault else sent, True)
             now += 100 * MS
-            capacity.turn(now, True, signs)
+            capacity.update(now, True, upstream)
             if step == 59:
-                assert 5.2 <= capacity.room <= 9  # of 30 that are asked for, 6 are served
-        return capacity.room
+                assert 5.2 <= capacity.limit <= 9  # of 30 that are asked for, 6 are served
+        return capacity.limit
 
-    assert after(Signs(), 1) < 15 and after(Signs(), 6) > 25
-    assert after(Signs(library=3.0), 6) < after(Signs(), 6) / 2
-    capacity = Capacity()
+    assert after(UpstreamLoad(), 1) < 15 and after(UpstreamLoad(), 6) > 25
+    assert after(UpstreamLoad(origin_slowdown=3.0), 6) < after(UpstreamLoad(), 6) / 2
+    capacity = CapacityEstimator()
     for n in range(100):
-        capacity.reached(1.0)
-        capacity.ended(0.2, True)
-        capacity.turn(n * 100 * MS, False, Signs())
-    assert capacity.room == math.inf  # not while the detector says that all is normal
+        capacity.record_admitted(1.0)
+        capacity.record_finished(0.2, True)
+        capacity.update(n * 100 * MS, False, UpstreamLoad())
+    assert capacity.limit == math.inf  # not while the detector says that all is normal
 
 
 # --- what is paid for
@@ -195,15 +204,15 @@
     )
 )
 def test_purses_are_never_negative_and_nothing_leaks(steps: list[tuple[bool, str, str, int]]) -> None:
-    book, now, paid, spent = Budgets(), 0, 0.0, 0
+    book, now, paid, spent = RetryBudgets(), 0, 0.0, 0
     for first, client, tenant, gone in steps:
         now += gone
         if first:
-            book.first(client, tenant, now)
+            book.deposit(client, tenant, now)
             paid += TERMS[Level.FLEET].share
         else:
             before = {level: {k: p.tokens for k, p in purses.items()} for level, purses in book.purses.items()}
-            empty = book.retry(client, tenant, now)
+            empty = book.withdraw(client, tenant, now)
             spent += empty is None
             if empty is not None:  # none of the three was charged
                 assert all(
@@ -218,16 +227,16 @@
 
 
 def test_a_budget_is_as_deep_as_first_tries_made_it_at_every_level() -> None:
-    book = Budgets()
+    book = RetryBudgets()
     for n in range(200):
-        book.first(f"c{n % 50}", "t", n * 10 * MS)
+        book.deposit(f"c{n % 50}", "t", n * 10 * MS)
     now = 2 * SECOND
-    assert [book.retry("c1", "t", now) for _ in range(6)][-1] is Level.CLIENT
-    told = [book.retry(f"c{n}", "t", now) for n in range(2, 50) for _ in range(2)]
+    assert [book.withdraw("c1", "t", now) for _ in range(6)][-1] is Level.CLIENT
+    told = [book.withdraw(f"c{n}", "t", now) for n in range(2, 50) for _ in range(2)]
     assert Level.TENANT in told and sum(one is None for one in told) <= TERMS[Level.TENANT].most
-    assert book.retry("other", "quiet", now) is None  # another tenant's purse is its own
+    assert book.withdraw("other", "quiet", now) is None  # another tenant's purse is its own
     for n in range(3 * budgets.KEYS[Level.CLIENT]):
-        book.first(f"x{n}", "t", now)
+        book.deposit(f"x{n}", "t", now)
     assert len(book.purses[Level.CLIENT]) == budgets.KEYS[Level.CLIENT]
 
 
@@ -271,9 +280,9 @@
 
 
 def test_connections_are_taken_in_steps_after_a_start_and_in_a_storm() -> None:
-    pace, now, taken = Pace(0), 0, [0] * 12
+    pace, now, taken = AcceptPacer(0), 0, [0] * 12
     while now < 12 * SECOND:
-        wait = pace.take(now, State.NORMAL, 10)
+        wait = pace.acquire(now, State.NORMAL, 10)
         taken[now // SECOND] += not wait
         now += wait or 200
     assert taken[0] < 200 < taken[2] < taken[4] and taken[10] >= 4_000  # no bound any more
@@ -328,7 +337,7 @@
 }
 
 
-def core(config: OverloadConfig | None = None) -> tuple[Engine, Control, Gathers, Time]:
+def core(config: OverloadConfig | None = None) -> tuple[Engine, OverloadController, Gathers, Time]:
     clock, stats = Time(), Stats()
     known = api.Settings(
         CLASSES,
@@ -349,14 +358,14 @@
             tuple(api.Entry(n, api.State.READY, "z", kind) for n, kind in ((1, "std"), (2, "std"), (3, "origin"))),
         )
     )
-    control = Control(CLASSES, 4_000.0, 500 * MS, config or OverloadConfig(), 5, lambda text: None)
+    control = OverloadController(CLASSES, 4_000.0, 500 * MS, config or OverloadConfig(), 5, lambda text: None)
     engine.overload_control = control
     return engine, control, Gathers(), clock
 
 
-def storm(control: Control) -> None:
+def storm(control: OverloadController) -> None:
     control.detector.all.state = State.STORM
-    control.gate.room = control.capacity.room = 0.05
+    control.admission.limit = control.capacity.limit = 0.05
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
@@ -404,7 +413,7 @@
                 left.add(gone)
             engine.client_gone(open_handles.pop(gone))
         elif step == "turn":
-            control.turn(clock.at)
+            control.tick(clock.at)
         elif step == "storm":
             storm(control)
         elif step == "calm":
@@ -439,18 +448,18 @@
     for n in range(100, 140):  # demand that the gate sees
         ask(n)
         clock.at += 20 * MS
-    control.gate.room = 2.0
-    control.gate.turn(clock.at)
+    control.admission.limit = 2.0
+    control.admission.update(clock.at)
     told = [ask(n) for n in range(200, 215)]
     refused = [answer for answer in told if answer is not None]
     assert refused and all(a.status is FinalStatus.REFUSED and 0 < a.retry_after <= 500 * MS for a in refused)
     assert ask(300, "buy", idempotency_key="k1") is None and ask(301, "buy", idempotency_key="k1", repeat=True) is None
     assert ask(302, object="song", part=5, client="listener") is None  # the next part of what it listens to
     rid = f"{next(n for n, a in zip(range(200, 215), told, strict=True) if a is not None):016x}"
-    why = control.why(rid)
+    why = control.explain(rid)
     assert why["state"] == "storm" and "no room for first" in why["why"] and why["come_back_ms"] > 0
-    assert control.status(clock.at)["held_off"] and control.why("ffff") is None
-    control.capacity.room = control.gate.room = math.inf
+    assert control.status(clock.at)["held_off"] and control.explain("ffff") is None
+    control.capacity.limit = control.admission.limit = math.inf
     control.detector.all.state = State.NORMAL
     for handle, _ in list(engine.attempts.live()):  # the caches are not lost: they answer by and by
         engine.attempt_ended(handle, AttemptResult(api.Outcome.SERVED))
@@ -461,7 +470,7 @@
     for mark in (True, False):
         engine, control, front, clock = core(OverloadConfig(admission=False))
         storm(control)
-        control.gate.room = math.inf
+        control.admission.limit = math.inf
         refs = iter(range(1, 10_000))
         for n in range(8):
             engine.submit(front, next(refs), ClientRequest(f"{n:016x}", "clip", f"o{n}", 60 * MS, client="c"))
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -31,7 +31,7 @@
 from threadhill.ownership.tasks import list_tasks, snapshot_member
 from threadhill.plans.rules import Phase, Record
 from threadhill.recovery import saved
-from threadhill.recovery.numbers import Memory
+from threadhill.recovery.numbers import DepartedServers
 from threadhill.settings import Malformed
 from threadhill.standin.dev import start_control
 
@@ -117,7 +117,7 @@
     fence = Fence(4)
     assert [fence.admits(term) for term in (4, 6, 5, 6)] == [True, True, False, True] and fence.refused == 1
     script = warmed()
-    raw = saved.pack(saved.content(script.router, Memory(), 5, [], script.now, 9), "w", 1)
+    raw = saved.pack(saved.content(script.router, DepartedServers(), 5, [], script.now, 9), "w", 1)
     assert saved.unpack(raw, "w", 1).term == 9
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -24,9 +24,9 @@
 from threadhill.decision import interface as api
 from threadhill.decision.interface import State
 from threadhill.recovery import adopt, learned, saved
-from threadhill.recovery.ages import DAY, HOUR, to_drop
-from threadhill.recovery.numbers import Memory, Verdict, judge
-from threadhill.recovery.phases import SEEN_ANSWERS, TOLD, FleetPhases, Phase, Phases, Policy
+from threadhill.recovery.ages import DAY, HOUR, expired_snapshots
+from threadhill.recovery.numbers import DepartedServers, NumberCheck, compare_numbers
+from threadhill.recovery.phases import SEEN_ANSWERS, TOLD, FleetPhaseSummary, Phase, PhasePolicy, PhaseTracker
 from threadhill.recovery.statefile import StateFile
 from threadhill.settings import Malformed
 from threadhill.standin.links import Change, Relay, play
@@ -40,7 +40,7 @@
 
 
 def test_a_start_goes_through_all_phases_by_what_is_seen() -> None:
-    phases = Phases(Policy(), 0, news_at=0)
+    phases = PhaseTracker(PhasePolicy(), 0, news_at=0)
     assert not phases.allows(0).send
     phases.listed(10, frozenset({1, 2, 3, 4}))
     assert phases.phase is Phase.CATCHING_UP and phases.allows(10).send and not phases.allows(10).oldest
@@ -74,7 +74,7 @@
 @settings(max_examples=300, deadline=None)
 @given(EVENTS, st.booleans())
 def test_no_order_of_events_leaves_a_phase_stuck_or_sends_what_it_forbids(events: list, known: bool) -> None:
-    now, phases, news = 0, Phases(Policy(), 0, 0 if known else None), 0 if known else None
+    now, phases, news = 0, PhaseTracker(PhasePolicy(), 0, 0 if known else None), 0 if known else None
     for kind, wait in events:
         now += wait
         phases.turn(now)
@@ -104,31 +104,31 @@
 
 
 def test_a_fleet_is_back_when_all_but_a_twentieth_are_in_full_service_and_says_it_once() -> None:
-    fleet = FleetPhases()
-    assert fleet.look(0, ["full"] * 20, 0) is None
-    assert "not in full service" in fleet.look(1, ["full"] * 6 + ["warming"] * 2, 12)
-    assert fleet.look(2, ["full"] * 18 + ["warming"] * 2, 0) is None
-    assert "back" in fleet.look(3, ["full"] * 19 + ["catching up"], 0) and fleet.back_at == 3
-    assert fleet.look(4, ["full"] * 20, 0) is None
+    fleet = FleetPhaseSummary()
+    assert fleet.update(0, ["full"] * 20, 0) is None
+    assert "not in full service" in fleet.update(1, ["full"] * 6 + ["warming"] * 2, 12)
+    assert fleet.update(2, ["full"] * 18 + ["warming"] * 2, 0) is None
+    assert "back" in fleet.update(3, ["full"] * 19 + ["catching up"], 0) and fleet.back_at == 3
+    assert fleet.update(4, ["full"] * 20, 0) is None
 
 
 # --- numbers
 
 
 def test_numbers_that_go_back_or_jump_are_noticed() -> None:
-    told = [judge(57, n) for n in (57, 58, 3, 57 + 20_000_000)] + [judge(0, 90_000_000)]
-    assert told == [Verdict.SAME, Verdict.AHEAD, Verdict.BACK, Verdict.FAR, Verdict.AHEAD]
+    told = [compare_numbers(57, n) for n in (57, 58, 3, 57 + 20_000_000)] + [compare_numbers(0, 90_000_000)]
+    assert told == [NumberCheck.SAME, NumberCheck.AHEAD, NumberCheck.BACK, NumberCheck.FAR, NumberCheck.AHEAD]
 
 
 def test_an_older_world_puts_nothing_back_that_drained_until_its_numbers_pass() -> None:
-    memory = Memory()
-    memory.note([cache(1), api.Entry(2, State.DRAINING, reported_start=5), api.Entry(3, State.GONE)])
-    memory.went_back(57)
+    departed = DepartedServers()
+    departed.note([cache(1), api.Entry(2, State.DRAINING, reported_start=5), api.Entry(3, State.GONE)])
+    departed.went_back(57)
     again, anew = cache(2, reported_start=5), cache(3, reported_start=9)
-    states = [entry.state for entry in memory.screen((cache(1), again, anew))]
+    states = [entry.state for entry in departed.screen((cache(1), again, anew))]
     assert states == [State.READY, State.DRAINING, State.READY]  # the third was started anew
-    assert memory.reached(56) == () and memory.older
-    assert memory.reached(57) == (again,) and memory.screen((again,)) == (again,)
+    assert departed.reached(56) == () and departed.older
+    assert departed.reached(57) == (again,) and departed.screen((again,)) == (again,)
 
 
 # --- what was learned
@@ -214,10 +214,10 @@
 
 
 def body() -> dict[str, Any]:
-    script, memory = warmed(), Memory()
-    memory.note([api.Entry(9, State.DRAINING, reported_start=4)])
+    script, departed = warmed(), DepartedServers()
+    departed.note([api.Entry(9, State.DRAINING, reported_start=4)])
     script.handle(api.Purge("o1", 3, 0))
-    return saved.content(script.router, memory, 57, ["s-00000007"], script.now)
+    return saved.content(script.router, departed, 57, ["s-00000007"], script.now)
 
 
 DAMAGE: dict[str, tuple[Callable[[bytes], bytes], str]] = {
@@ -260,14 +260,14 @@
 
 def test_drains_and_purges_in_a_file_are_never_aged_away_and_what_was_learned_is() -> None:
     kept = saved.unpack(saved.pack(body(), "w", 1000 * SECOND), "w", 5000 * SECOND)
-    fresh, memory = Script(), Memory()
-    taken, older = saved.restore(kept, fresh.router, memory, 50, kept.at + saved.OLDEST + SECOND)
-    assert (taken, older) == (0, True) and memory.older and memory.out[9] == 4
+    fresh, departed = Script(), DepartedServers()
+    taken, older = saved.restore(kept, fresh.router, departed, 50, kept.at + saved.OLDEST + SECOND)
+    assert (taken, older) == (0, True) and departed.older and departed.out[9] == 4
     # As young as when it was saved: how long the file lay only wall clocks tell, which may have been stepped.
     now, age = kept.at + saved.OLDEST + SECOND, max(0, kept.at - kept.purges[0][1])
-    assert fresh.router.freshness.records["o1"].purged_at == now - age and not fresh.router.mean_latency.samples
-    memory = Memory()
-    assert not saved.restore(kept, Script().router, memory, 57, kept.at)[1] and not memory.older
+    assert fresh.router.freshness.records["o1"].at == now - age and not fresh.router.usual_took.samples
+    departed = DepartedServers()
+    assert not saved.restore(kept, Script().router, departed, 57, kept.at)[1] and not departed.older
 
 
 # --- snapshots, the way back
@@ -276,7 +276,7 @@
 def test_snapshots_are_kept_by_their_age_and_none_goes_where_the_clock_went_back() -> None:
     now = 100 * DAY
     times = [now - 60 * n for n in range(24 * 60)] + [now - DAY * n for n in range(60)] + [now + 900]
-    gone = set(to_drop(times, now))
+    gone = set(expired_snapshots(times, now))
     left = sorted(set(times) - gone, reverse=True)
     assert left[0] == now + 900 and left[1:10] == [now - 60 * n for n in range(9)]
     assert 24 + 28 <= len(left) <= 10 + 25 + 31 and all(now - t <= 30 * DAY for t in left)
@@ -308,10 +308,10 @@
     }
 
 
-def held(*worlds: tuple[str, int, list[dict[str, Any]]], zone: str = "costa") -> dict[str, adopt.Held]:
-    known: dict[str, adopt.Held] = {}
+def held(*worlds: tuple[str, int, list[dict[str, Any]]], zone: str = "costa") -> dict[str, adopt.ProxyView]:
+    known: dict[str, adopt.ProxyView] = {}
     for proxy, pos, members in worlds:
-        adopt.take(
+        adopt.add_part(
             known,
             {
                 "proxy": proxy,
--- a/threadhill/control/adoption.py
+++ b/threadhill/control/adoption.py
@@ -16,7 +16,7 @@
 from threadhill.control.store import Change
 from threadhill.plans.rules import Phase, Record
 from threadhill.recovery import adopt
-from threadhill.recovery.adopt import Held, Proposal
+from threadhill.recovery.adopt import Proposal, ProxyView
 from threadhill.settings import Malformed
 
 MAX_PROXIES = 10_000  # proxies whose reported states are kept
@@ -27,7 +27,7 @@
 
     def __init__(self, ledger: Ledger, log: Callable[..., None]) -> None:
         self.ledger, self.log = ledger, log
-        self.holdings: dict[str, Held] = {}
+        self.holdings: dict[str, ProxyView] = {}
         self.highest_seen = 0  # the highest event number that any proxy named
         self.reason = ""
         self.since = 0
@@ -60,7 +60,7 @@
         """Take in a part of what a proxy holds. Raises Malformed."""
         if len(self.holdings) >= MAX_PROXIES and raw.get("proxy") not in self.holdings:
             raise Malformed(f"over {MAX_PROXIES} proxies report what they hold")
-        self.highest_seen = max(self.highest_seen, adopt.take(self.holdings, raw).pos)
+        self.highest_seen = max(self.highest_seen, adopt.add_part(self.holdings, raw).pos)
 
     def proposal(self) -> Proposal:
         records = {
--- a/threadhill/control/server.py
+++ b/threadhill/control/server.py
@@ -24,13 +24,13 @@
 from threadhill.control.ledger import Ledger, Refused
 from threadhill.control.sqlite import SqliteStore, open_or_recover, take_periodic_snapshot
 from threadhill.control.store import Change, Store, StoreDamaged, WriteFailed
-from threadhill.knowledge.merge import Merged
+from threadhill.knowledge.merge import ReportAggregator
 from threadhill.log import Log
 from threadhill.net.listener import AcceptedConnection, Listener
 from threadhill.net.runtime import LoopRuntime
 from threadhill.ownership.tasks import SNAPSHOT_INTERVAL_MS, list_tasks, snapshot_member
 from threadhill.plans.rules import Phase
-from threadhill.recovery.phases import FleetPhases
+from threadhill.recovery.phases import FleetPhaseSummary
 
 if TYPE_CHECKING:  # imported only by a control plane with members, since pysyncobj is slow to load
     from threadhill.control.cluster import Cluster
@@ -87,11 +87,11 @@
         else:
             self.store = open_or_recover(config.data, log.warning) if config.adopt else SqliteStore(config.data)
         self.ledger = Ledger(self.store, self._on_publish)
-        self.knowledge = Merged()
+        self.knowledge = ReportAggregator()
         self.adoption = AdoptionHold(self.ledger, log.warning)
         if config.adopt:
             self.adoption.hold("started with --adopt", self.now())
-        self.phases = FleetPhases()
+        self.phases = FleetPhaseSummary()
         self.feed = Feed(
             self.ledger,
             self._listener_factory("proxy", MAX_FEEDS),
@@ -268,7 +268,7 @@
             self.log.info("proxy reports", proxy=name, applied=raw["applied"], config=raw["config"])
         if "knows" not in raw or not isinstance(name, str):
             return False
-        self.knowledge.report(name, raw["knows"], self.now())
+        self.knowledge.add_report(name, raw["knows"], self.now())
         return True
 
     def _tick(self) -> None:
@@ -285,7 +285,7 @@
         if self.owns:
             self._check_phases(list(proxies))
         self.ledger.proxy_reports.forget(set(proxies), self.now())
-        self.knowledge.forget(self.now())
+        self.knowledge.expire(self.now())
         live = {
             name for name in self.ledger.proxy_reports.by_name if self.ledger.proxy_reports.is_live(name, self.now())
         }
@@ -300,7 +300,7 @@
         """Log once when the fleet is no longer in full service, and once when it is again."""
         reports, now = self.ledger.proxy_reports, self.now()
         live = [name for name in names if reports.is_live(name, now)]
-        line = self.phases.look(now, [reports.by_name[name].phase for name in live], len(names) - len(live))
+        line = self.phases.update(now, [reports.by_name[name].phase for name in live], len(names) - len(live))
         if line is not None:
             self.log.warning(line, **self.phases.by_phase)
 
--- a/threadhill/control/sqlite.py
+++ b/threadhill/control/sqlite.py
@@ -15,7 +15,7 @@
 
 from threadhill.control.store import Apply, Change, StepState, StoreDamaged, Version, WriteFailed
 from threadhill.plans.rules import Phase, Record
-from threadhill.recovery.ages import to_drop
+from threadhill.recovery.ages import expired_snapshots
 
 SCHEMA = 2
 STORE_FILE = "state.db"
@@ -345,7 +345,7 @@
         for p in snapshots.glob("state-*.db")
         if p.stem.removeprefix("state-").isdigit()
     }
-    deleted = [times[time] for time in to_drop(times, now)]
+    deleted = [times[time] for time in expired_snapshots(times, now)]
     for old in deleted:
         old.unlink()
     return path, deleted
--- a/threadhill/knowledge/hints.py
+++ b/threadhill/knowledge/hints.py
@@ -16,7 +16,7 @@
 OLD = 8_000  # milliseconds after which a hint says nothing
 
 
-class Hints:
+class HintReader:
     """The hints of one feed, in their order."""
 
     def __init__(self) -> None:
@@ -50,7 +50,7 @@
         self.taken += 1
         return api.Hints(rates, out, ill, own * 1_000)
 
-    def again(self) -> None:
+    def reset(self) -> None:
         """Another connection, maybe to a control plane that counts from one again."""
         self.number = 0
 
--- a/threadhill/knowledge/merge.py
+++ b/threadhill/knowledge/merge.py
@@ -53,7 +53,7 @@
     return Said(number, at, zone, told, held) if good else None
 
 
-class Merged:
+class ReportAggregator:
     """All proxies' newest reports."""
 
     def __init__(self) -> None:
@@ -62,7 +62,7 @@
         self.refused = 0  # reports that could not be used, were old or came twice
         self._made: dict[str, tuple[int, dict[str, Any]]] = {}  # zone -> when, and what was told
 
-    def report(self, proxy: str, raw: Any, now: int) -> bool:
+    def add_report(self, proxy: str, raw: Any, now: int) -> bool:
         """Take one; whether it counts."""
         said, known = read(raw, now), self.by_name.get(proxy)
         # A number that went back is a proxy that started anew, once its older report counts no more.
@@ -73,7 +73,7 @@
         self.by_name[proxy] = said
         return True
 
-    def forget(self, now: int) -> None:
+    def expire(self, now: int) -> None:
         """Let go of those that said nothing for long."""
         for proxy in [name for name, said in self.by_name.items() if now - said.at > 10 * FRESH]:
             del self.by_name[proxy]
--- a/threadhill/knowledge/proxy.py
+++ b/threadhill/knowledge/proxy.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from threadhill.core.engine import Engine
-from threadhill.knowledge.hints import Hints, stamp_of
-from threadhill.knowledge.report import Report
+from threadhill.knowledge.hints import HintReader, stamp_of
+from threadhill.knowledge.report import ReportBuilder
 from threadhill.settings import Malformed
 
 
@@ -16,15 +16,15 @@
 
     def __init__(self, engine: Engine, log: Callable[[str], None]) -> None:
         self.engine, self.log = engine, log
-        self.report, self.hints = Report(engine.router), Hints()
+        self.reporter, self.hints = ReportBuilder(engine.router), HintReader()
 
-    def opened(self) -> None:
-        self.hints.again()
+    def connected(self) -> None:
+        self.hints.reset()
 
-    def told(self) -> dict[str, Any]:
-        return self.report.told(self.engine.clock.now())
+    def report(self) -> dict[str, Any]:
+        return self.reporter.build(self.engine.clock.now())
 
-    def take(self, raw: Any) -> None:
+    def receive_hint(self, raw: Any) -> None:
         try:
             hints = self.hints.read(raw, self.engine.clock.wall_clock_age(stamp_of(raw)))
         except Malformed as error:
--- a/threadhill/knowledge/report.py
+++ b/threadhill/knowledge/report.py
@@ -19,14 +19,14 @@
 LEAST = 0.05  # own requests a second: once in twenty seconds is no news to others
 
 
-class Report:
+class ReportBuilder:
     """Made once a second; each has a number, so that one that comes twice or late is known for it."""
 
     def __init__(self, router: Router) -> None:
         self.router = router
         self.number = 0
 
-    def told(self, now: int) -> dict[str, Any]:
+    def build(self, now: int) -> dict[str, Any]:
         """The part of the report that is about this, as plain JSON."""
         self.number += 1
         interval, found = now // RATE_INTERVAL, []
--- a/threadhill/net/event_applier.py
+++ b/threadhill/net/event_applier.py
@@ -76,7 +76,7 @@
         if event.tenants is not None:
             self.engine.tenants.update(list(event.tenants), set(event.tenants_gone), event.complete)
         if self.recovery is not None:
-            self.recovery.applied(age)
+            self.recovery.event_applied(age)
 
     def observe_stamps(self, event: Event) -> None:
         """Pass the event's timestamps to the age estimate: it cannot be earlier than any of them."""
@@ -222,4 +222,4 @@
         filtered = tuple(entries) if self.recovery is None else self.recovery.screen(tuple(entries))
         self.engine.list_changed(api.ListNews(kind, filtered, revision))
         if self.recovery is not None:
-            self.recovery.listed()
+            self.recovery.list_applied()
--- a/threadhill/net/journal.py
+++ b/threadhill/net/journal.py
@@ -112,7 +112,7 @@
         if connection is not None:
             connection.abort()
         if address is not None and self.recovery is not None and not self._checking:
-            self._schedule_retry(self.recovery.first_dial(self.engine.router.settings.routers))
+            self._schedule_retry(self.recovery.first_dial_delay(self.engine.router.settings.routers))
         elif address is not None:
             self._connect()
         if not self._checking:
@@ -166,7 +166,7 @@
             "down": down[:MAX_REPORTED],
         }
         if self.knowledge is not None:
-            status["knows"] = self.knowledge.told()
+            status["knows"] = self.knowledge.report()
         if self.recovery is not None:
             status["recovery"] = self.recovery.report()
         self.connection.write(orjson.dumps(status) + b"\n")
@@ -211,9 +211,9 @@
 
     def _heartbeat(self, number: int) -> None:
         """Handle the service's last number, which announces events but does not replace them."""
-        if self.recovery is not None and self.recovery.older(self.pos, number):
+        if self.recovery is not None and self.recovery.is_rollback(self.pos, number):
             self.pos, self._gap_after = 0, -1
-            raise Malformed(f"number {number} after {self.recovery.memory.before}: all of it is asked for")
+            raise Malformed(f"number {number} after {self.recovery.departed.resume_at}: all of it is asked for")
         self._retry_delay = MIN_RETRY_DELAY
         self.monitor.heartbeat(number, self.pos, self.last_line_at)
         self._update_missing(self.last_line_at)
@@ -232,7 +232,7 @@
             isinstance(value, dict) and "hint" in value
         ):  # protocol extension: sent to proxies whose reports have `knows`
             if self.knowledge is not None:
-                self.knowledge.take(value["hint"])
+                self.knowledge.receive_hint(value["hint"])
             return
         if isinstance(value, dict) and self.recovery is not None and self._handle_recovery_line(value):
             return
@@ -261,7 +261,7 @@
                 self.engine.stats.count("journal", "older term")
                 raise Malformed(f"term {value['term']} is over: {self.recovery.fence.term} was told")
         elif "learned" in value:
-            self.recovery.taught(value["learned"])
+            self.recovery.import_learned(value["learned"])
         elif "later" in value:  # the service is overloaded and tells when to reconnect
             self._reconnect_wait = min(
                 MAX_RECONNECT_WAIT, max(MIN_RETRY_DELAY, required_integer(value["later"], "later") * 1_000)
--- a/threadhill/net/watch_connection.py
+++ b/threadhill/net/watch_connection.py
@@ -42,7 +42,7 @@
         self.journal.log(f"journal: connected, events after {self.journal.pos} are asked for")
         if self.journal.report is not None:
             if self.journal.knowledge is not None:
-                self.journal.knowledge.opened()
+                self.journal.knowledge.connected()
             self.journal._report_periodically(self)
 
     def ended(self) -> None:
--- a/threadhill/operators.py
+++ b/threadhill/operators.py
@@ -96,11 +96,11 @@
     table = optional_table(raw, "recovery", {"trust_ms", "blind", "state_folder", "every_ms", "learn"})
     if table is None:
         return None
-    from threadhill.recovery.phases import Blind
+    from threadhill.recovery.phases import UntrustedNewsPolicy
     from threadhill.recovery.proxy import RecoveryConfig
 
-    blind, learn = table.get("blind", Blind.REFUSE.value), table.get("learn", True)
-    if blind not in {kind.value for kind in Blind}:
+    blind, learn = table.get("blind", StaleListPolicy.REFUSE.value), table.get("learn", True)
+    if blind not in {kind.value for kind in StaleListPolicy}:
         raise Malformed(f"recovery.blind: must be refuse or serve, not {str(blind)[:20]!r}")
     if not isinstance(learn, bool):
         raise Malformed("recovery.learn: must be true or false")
@@ -111,7 +111,11 @@
             raise Malformed(f"recovery.{key}: must be from {lower} to {upper}")
     folder = text(table["state_folder"], "recovery.state_folder") if "state_folder" in table else ""
     return RecoveryConfig(
-        times["trust_ms"] * 1_000, Blind(blind), base / folder if folder else None, times["every_ms"] * 1_000, learn
+        times["trust_ms"] * 1_000,
+        UntrustedNewsPolicy(blind),
+        base / folder if folder else None,
+        times["every_ms"] * 1_000,
+        learn,
     )
 
 
--- a/threadhill/overload/accept.py
+++ b/threadhill/overload/accept.py
@@ -15,7 +15,7 @@
 STORM = 4.0  # times the first pace while there is a storm
 
 
-class Pace:
+class AcceptPacer:
     """Connections that may be taken now."""
 
     def __init__(self, now: int) -> None:
@@ -29,7 +29,7 @@
             return first * 2 ** (age / DOUBLED)
         return STORM * first if state is State.STORM else math.inf
 
-    def take(self, now: int, state: State, servers: int) -> int:
+    def acquire(self, now: int, state: State, servers: int) -> int:
         """0: one may be taken now. Else the microseconds until one may."""
         rate = self.rate(now, state, servers)
         gone, self._at = max(0, now - self._at) / SECOND, now
--- a/threadhill/overload/admission.py
+++ b/threadhill/overload/admission.py
@@ -27,7 +27,7 @@
 MEAN = 0.5  # seconds of the mean of demand
 
 
-class Rank(IntEnum):
+class Priority(IntEnum):
     """Who goes first."""
 
     KEYED = 0  # purchases: never damped into a repeat that nobody asked for
@@ -38,7 +38,7 @@
     EARLY = 5  # it comes before the time that it was told
 
 
-LEVELS = len(Rank) * SUBS * SPREADS
+LEVELS = len(Priority) * SUBS * SPREADS
 
 
 @dataclass(slots=True)
@@ -78,11 +78,11 @@
     return shares
 
 
-class Gate:
+class AdmissionController:
     """Lets asks in up to `room` (work a second; infinite: all)."""
 
     def __init__(self) -> None:
-        self.room = math.inf
+        self.limit = math.inf
         self.demands: OrderedDict[str, Demand] = OrderedDict()
         self.rates: OrderedDict[str, tuple[float, int]] = OrderedDict()  # client -> asks lately, and when
         self.claims = Claims()
@@ -91,7 +91,7 @@
         self._drawn = 0.0
         self._usual = 1.0  # asks lately of the usual client
 
-    def level(self, rank: Rank, worth: float, work: float, client: str, now: int) -> int:
+    def level(self, rank: Priority, worth: float, work: float, client: str, now: int) -> int:
         """The ask's level: the lower, the sooner it is let in."""
         density = worth / max(work, 1e-4)
         self.density += 0.02 * (density - self.density) if self.density else density
@@ -111,7 +111,7 @@
             self.rates.popitem(last=False)
         return amount > HOG_LEAST and amount > HOG * self._usual
 
-    def lets_in(self, tenant: str, level: int, work: float) -> bool:
+    def admit(self, tenant: str, level: int, work: float) -> bool:
         """Count the ask as demanded, and tell whether it is let in."""
         demand = self.demands.get(tenant)
         if demand is None:
@@ -119,7 +119,7 @@
             if len(self.demands) > TENANTS:
                 self.demands.popitem(last=False)
         demand.now[level] += work
-        if self.room == math.inf or level < SUBS * SPREADS:  # keyed asks are never held off
+        if self.limit == math.inf or level < SUBS * SPREADS:  # keyed asks are never held off
             return True
         if level != demand.level:
             return level < demand.level
@@ -133,9 +133,9 @@
     def within(self, tenant: str) -> bool:
         """Whether all that this tenant asks for is let in, while others are cut."""
         demand = self.demands.get(tenant)
-        return self.room != math.inf and len(self.demands) > 1 and demand is not None and demand.level == LEVELS
+        return self.limit != math.inf and len(self.demands) > 1 and demand is not None and demand.level == LEVELS
 
-    def turn(self, now: int) -> None:
+    def update(self, now: int) -> None:
         """Find each tenant's level anew."""
         gone = max(TURN // 2, now - self._at) / SECOND if self._at else TURN / SECOND
         self._at = now
@@ -150,7 +150,7 @@
             recent = [amount for amount, at in self.rates.values() if now - at < SECOND]
             self._usual = sorted(recent)[len(recent) // 2] if recent else 1.0
         wants = {tenant: sum(demand.mean) for tenant, demand in self.demands.items()}
-        shares = max_min(wants, self.room) if self.room != math.inf else wants
+        shares = max_min(wants, self.limit) if self.limit != math.inf else wants
         for tenant, demand in self.demands.items():
             demand.level, demand.part = self._cut(demand.mean, shares[tenant])
 
--- a/threadhill/overload/budgets.py
+++ b/threadhill/overload/budgets.py
@@ -38,7 +38,7 @@
     at: int
 
 
-class Budgets:
+class RetryBudgets:
     """All purses. `first` pays in; `retry` takes one from each of the three, or tells which of them is empty."""
 
     def __init__(self) -> None:
@@ -62,11 +62,11 @@
         keys = {Level.CLIENT: client, Level.TENANT: tenant, Level.FLEET: ""}
         return {level: self._purse(level, keys[level], now) for level in Level}
 
-    def first(self, client: str, tenant: str, now: int) -> None:
+    def deposit(self, client: str, tenant: str, now: int) -> None:
         for level, purse in self._all(client, tenant, now).items():
             purse.tokens = min(TERMS[level].most, purse.tokens + TERMS[level].share)
 
-    def retry(self, client: str, tenant: str, now: int) -> Level | None:
+    def withdraw(self, client: str, tenant: str, now: int) -> Level | None:
         """None: paid for. Else the first level, from the client's outwards, that has not got one."""
         purses = self._all(client, tenant, now)
         empty = next((level for level, purse in purses.items() if purse.tokens < 1), None)
--- a/threadhill/overload/capacity.py
+++ b/threadhill/overload/capacity.py
@@ -22,60 +22,60 @@
 
 
 @dataclass(slots=True)
-class Signs:
+class UpstreamLoad:
     """What the module knows of the fleet: how slow its library is, how full the link in."""
 
-    library: float = 1.0
-    link: float = 0.0
+    origin_slowdown: float = 1.0
+    link_utilization: float = 0.0
 
 
-class Capacity:
+class CapacityEstimator:
     """`reached` and `ended` add up; `turn` sets `room`."""
 
     def __init__(self) -> None:
-        self.room = math.inf
+        self.limit = math.inf
         self.sent = self.good = self.held = 0.0  # work of this turn
-        self.sent_mean = self.good_mean = self.best = 0.0  # work a second
+        self.admitted_rate = self.goodput = self.best = 0.0  # work a second
         self.asks = 0
         self.each = 0.0  # work of one ask, on the mean
         self._at = 0
         self._free = 0.0
 
-    def reached(self, work: float) -> None:
+    def record_admitted(self, work: float) -> None:
         self.sent += work
         self.asks += 1
 
-    def ended(self, work: float, good: bool) -> None:
+    def record_finished(self, work: float, good: bool) -> None:
         if good:
             self.good += work
 
-    def held_off(self, work: float) -> None:
+    def record_shed(self, work: float) -> None:
         self.held += work
 
-    def turn(self, now: int, strained: bool, signs: Signs) -> None:
+    def update(self, now: int, strained: bool, upstream: UpstreamLoad) -> None:
         """Fold a turn. `strained`: the detector says that it is not a normal time."""
         gone = max(0.05, (now - self._at) / SECOND) if self._at else 0.1
         self._at = now
         weight = -math.expm1(-gone / WINDOW)
-        self.sent_mean += weight * (self.sent / gone - self.sent_mean)
-        self.good_mean += weight * (self.good / gone - self.good_mean)
-        self.best = max(self.good_mean, self.best * (1 - FORGET * gone))
+        self.admitted_rate += weight * (self.sent / gone - self.admitted_rate)
+        self.goodput += weight * (self.good / gone - self.goodput)
+        self.best = max(self.goodput, self.best * (1 - FORGET * gone))
         if self.asks:
             each, self.asks = self.sent / self.asks, 0
             self.each += weight * (each - self.each) if self.each else each
         held, self.sent, self.good, self.held = self.held, 0.0, 0.0, 0.0
-        bad = 1 - self.good_mean / self.sent_mean if self.sent_mean > 1e-6 else 0.0
-        if self.room == math.inf:
+        bad = 1 - self.goodput / self.admitted_rate if self.admitted_rate > 1e-6 else 0.0
+        if self.limit == math.inf:
             if strained and bad > BAD:
-                self.room = max(LEAST, OVER * self.best)
+                self.limit = max(LEAST, OVER * self.best)
                 self._free = 0.0
             return
         if bad > BAD:
             # A little at a time: what ends now was let in a while ago.
-            self.room = max(LEAST, OVER * self.best, self.room * (1 - 0.5 * gone))
+            self.limit = max(LEAST, OVER * self.best, self.limit * (1 - 0.5 * gone))
         elif bad < WELL and held:
-            slow = signs.library > SLOW or signs.link > 1
-            self.room *= 1 + (GROW_SLOW if slow else GROW) * gone
+            slow = upstream.origin_slowdown > SLOW or upstream.link_utilization > 1
+            self.limit *= 1 + (GROW_SLOW if slow else GROW) * gone
         self._free = 0.0 if held or bad > BAD else self._free + gone
         if self._free >= FREE and not strained:
-            self.room = math.inf
+            self.limit = math.inf
--- a/threadhill/overload/control.py
+++ b/threadhill/overload/control.py
@@ -1,4 +1,4 @@
-"""The core's `OverloadControl`: hears of each request and how it ends, holds off under strain what there is no room
+"""The core's `OverloadControl` port: hears of each request and how it ends, holds off under strain what there is no room
 for, and plans when those who are refused, here or by the module, are to come back.
 
 In normal times it only counts: every request reaches the module, and what the module refuses is told the module's own
@@ -14,15 +14,15 @@
 
 from threadhill.core.ports import ClientRequest, FinalStatus
 from threadhill.decision import interface as api
-from threadhill.overload.admission import Gate, Rank
-from threadhill.overload.budgets import Budgets
-from threadhill.overload.capacity import OVER, Capacity, Signs
+from threadhill.overload.admission import AdmissionController, Priority
+from threadhill.overload.budgets import RetryBudgets
+from threadhill.overload.capacity import OVER, CapacityEstimator, UpstreamLoad
 from threadhill.overload.comeback import Planner, Return
 from threadhill.overload.detector import ALL, Change, Detector, Event, State, Watch
 from threadhill.overload.sketch import Unserved
 
 SECOND = 1_000_000
-TURN = 100_000  # microseconds between two turns
+TICK_INTERVAL = 100_000  # microseconds between two turns
 TOLD = 2_048  # refusals of which is kept why
 TOKENS = 4_096  # keys of purchases seen lately
 TOKEN_LIFE = 10 * SECOND
@@ -93,7 +93,7 @@
     planned: int = 0
 
 
-class Control:
+class OverloadController:
     """Plugs into `Engine.guard`."""
 
     def __init__(
@@ -104,12 +104,17 @@
         config: OverloadConfig,
         seed: int,
         log: Callable[[str], None],
-        signs: Callable[[], Signs] = Signs,
+        upstream_load: Callable[[], UpstreamLoad] = UpstreamLoad,
         links: Callable[[], int] = lambda: 0,
     ) -> None:
         self.classes, self.flow, self.config, self.log = classes, flow, config, log
-        self.signs, self.links = signs, links
-        self.detector, self.budgets, self.gate, self.capacity = Detector(), Budgets(), Gate(), Capacity()
+        self.upstream_load, self.links = upstream_load, links
+        self.detector, self.budgets, self.admission, self.capacity = (
+            Detector(),
+            RetryBudgets(),
+            AdmissionController(),
+            CapacityEstimator(),
+        )
         self.planner = Planner(config.horizon or horizon or SECOND // 2, seed)
         self.unserved = Unserved(seed.to_bytes(16, "little", signed=False)[:16])
         self.tokens: OrderedDict[str, int] = OrderedDict()
@@ -141,9 +146,9 @@
         tenant, client = ask.tenant or "", ask.client or front
         work = self._work(ask)
         why = ""
-        if self._all.state is not State.NORMAL or self.gate.room != math.inf:
+        if self._all.state is not State.NORMAL or self.admission.limit != math.inf:
             if retry is None:  # in normal times nobody pays and nobody is charged: a storm begins with half-full purses
-                self.budgets.first(client, tenant, now)
+                self.budgets.deposit(client, tenant, now)
             why = self._held_off(ask, cls, retry is not None, back, client, tenant, work, now)
         if not why:
             aim = (
@@ -152,11 +157,11 @@
                 else ask.time_left
             )
             self.open[handle] = Open(now, ask, front, work, aim, watches)
-            self.capacity.reached(work)
+            self.capacity.record_admitted(work)
             return None
         for watch in watches:
             watch.counts[Event.DAMPED] += 1
-        self.capacity.held_off(work)
+        self.capacity.record_shed(work)
         self.counts.held[why] = self.counts.held.get(why, 0) + 1
         if back is Return.KEPT:
             self.counts.refused_again += 1
@@ -186,10 +191,10 @@
             watch.counts[event] += 1
             if late:
                 watch.counts[Event.LATE] += 1
-        self.capacity.ended(one.work, final is FinalStatus.SERVED and not late)
+        self.capacity.record_finished(one.work, final is FinalStatus.SERVED and not late)
         if final is FinalStatus.SERVED:
             if ask.part or self._in_parts(ask.class_name):
-                self.gate.claims.note(ask.client or one.front, ask.object, ask.part, now)
+                self.admission.claims.note(ask.client or one.front, ask.object, ask.part, now)
         elif ask.idempotency_key is None:
             self.unserved.add(self._key(ask), now)
 
@@ -199,21 +204,21 @@
         if one is not None:
             self.unserved.add(self._key(one.ask), now)
 
-    def turn(self, now: int) -> None:
+    def tick(self, now: int) -> None:
         """Ten times a second: fold, judge, and find the room anew."""
         links = self.links()
         self._all.counts[Event.NEW_LINK] += links - self._links
         self._links = links
-        for change in self.detector.turn(now):
+        for change in self.detector.update(now):
             if change.key == ALL and change.new is State.NORMAL:
-                self.budgets = Budgets()
+                self.budgets = RetryBudgets()
             self.changes = [*self.changes[-63:], change]
             if change.key == ALL or change.key[0] == "tenant":
                 self.log(change.told())
         strained = self._all.state is not State.NORMAL
-        self.capacity.turn(now, strained, self.signs())
-        self.gate.room = self.capacity.room if self.config.admission else math.inf
-        self.gate.turn(now)
+        self.capacity.update(now, strained, self.upstream_load())
+        self.admission.limit = self.capacity.limit if self.config.admission else math.inf
+        self.admission.update(now)
         self.planner.room = self._return_room()
 
     # --- how it comes to that
@@ -271,34 +276,34 @@
         keyed = ask.idempotency_key is not None or cls is not None and cls.retry_safety is not api.RetrySafety.SAFE
         promised = back is Return.KEPT
         if retry and not keyed and not promised and self.config.retry_budgets:
-            empty = self.budgets.retry(client, tenant, now)
+            empty = self.budgets.withdraw(client, tenant, now)
             if empty is not None:
                 return f"retry budget of the {empty.value}"
         if keyed:
-            rank = Rank.KEYED
+            rank = Priority.KEYED
         elif promised:
-            rank = Rank.PROMISED
+            rank = Priority.PROMISED
         elif back is Return.EARLY:
-            rank = Rank.EARLY
-        elif self.gate.claims.holds(client, ask.object, ask.part, now):
-            rank = Rank.LISTENER
+            rank = Priority.EARLY
+        elif self.admission.claims.holds(client, ask.object, ask.part, now):
+            rank = Priority.LISTENER
         else:
-            rank = Rank.AGAIN if retry else Rank.FIRST
+            rank = Priority.AGAIN if retry else Priority.FIRST
         worth = cls.value if cls is not None else 1.0
-        level = self.gate.level(rank, worth, work, client, now)
-        if self.gate.lets_in(tenant, level, work):
+        level = self.admission.level(rank, worth, work, client, now)
+        if self.admission.admit(tenant, level, work):
             # The module is told too: the last part of each server's room is for those that go first, and for tenants
             # that ask for no more than their share.
-            ask.inflight_share = 1.0 if rank <= Rank.LISTENER or self.gate.within(tenant) else SHARE
+            ask.inflight_share = 1.0 if rank <= Priority.LISTENER or self.admission.within(tenant) else SHARE
             return ""
         return f"no room for {rank.name.lower().replace('_', ' ')} asks"
 
     def _return_room(self) -> float:
         """Returns a second that there will be room for: a part of what is let through, which they are given before
         newcomers are."""
-        if self.capacity.room == math.inf:
+        if self.capacity.limit == math.inf:
             return max(LEAST_ROOM, self._all.figures.first)
-        return max(LEAST_ROOM, RETURNS * self.capacity.room / OVER / max(self.capacity.each, 1e-4))
+        return max(LEAST_ROOM, RETURNS * self.capacity.limit / OVER / max(self.capacity.each, 1e-4))
 
     def _refuse(self, ask: ClientRequest, key: str, front: str, why: str, early: bool, retry: bool, now: int) -> int:
         """When it is to come back: planned, and none later than the client waits at all."""
@@ -320,7 +325,7 @@
 
     def status(self, now: int) -> dict[str, object]:
         """The states and the limits that bind now."""
-        room = self.capacity.room
+        room = self.capacity.limit
         return {
             "state": self._all.state.value,
             "since_ms": (now - self._all.since) // 1_000 if self._all.since else None,
@@ -340,8 +345,8 @@
                 if (kind, name) != ALL
             ],
             "room": None if room == math.inf else round(room, 3),
-            "let_through": round(self.capacity.sent_mean, 3),
-            "served_in_time": round(self.capacity.good_mean, 3),
+            "let_through": round(self.capacity.admitted_rate, 3),
+            "served_in_time": round(self.capacity.goodput, 3),
             "held_off": dict(self.counts.held),
             "budgets": self.budgets.left(),
             "come_back": {
@@ -355,6 +360,6 @@
             "changes": [change.told() for change in self.changes[-8:]],
         }
 
-    def why(self, rid: str) -> dict[str, object] | None:
+    def explain(self, rid: str) -> dict[str, object] | None:
         told = self.told.get(rid)
         return told.document() if told is not None else None
--- a/threadhill/overload/detector.py
+++ b/threadhill/overload/detector.py
@@ -165,7 +165,7 @@
                 del self.watches[oldest]
         return watch
 
-    def turn(self, now: int) -> list[Change]:
+    def update(self, now: int) -> list[Change]:
         """Fold what was counted since the last turn, and judge."""
         changes = []
         for key, watch in list(self.watches.items()):
--- a/threadhill/overload/metrics.py
+++ b/threadhill/overload/metrics.py
@@ -64,7 +64,9 @@
         )
 
 
-def page(stats: Stats, status: Callable[[int], dict[str, Any]], clock: Callable[[], int]) -> Callable[[], bytes]:
+def page_renderer(
+    stats: Stats, status: Callable[[int], dict[str, Any]], clock: Callable[[], int]
+) -> Callable[[], bytes]:
     """A call that makes the page."""
     registry = CollectorRegistry()
     registry.register(Collector(stats, status, clock))  # type: ignore[arg-type]
--- a/threadhill/recovery/adopt.py
+++ b/threadhill/recovery/adopt.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class ProxyView:
     """One proxy's world, as it said."""
 
     proxy: str
@@ -82,7 +82,7 @@
         }
 
 
-def take(held: dict[str, Held], raw: Any) -> Held:
+def add_part(held: dict[str, ProxyView], raw: Any) -> ProxyView:
     """One part of what a proxy holds, added to what it said before. Raises Malformed where it can't be read."""
     raw = mapping(raw, "what a proxy holds")
     told = mapping(raw.get("holds"), "holds")
@@ -98,7 +98,7 @@
     }
     one = held.get(name)
     if one is None or one.pos != pos or one.of != of or part in one.parts:
-        one = held[name] = Held(name, pos, text(told.get("zone"), "zone"), of=of)
+        one = held[name] = ProxyView(name, pos, text(told.get("zone"), "zone"), of=of)
     if len(one.members) + len(members) > MEMBERS:
         raise Malformed(f"{name} holds over {MEMBERS} servers")
     one.members |= {member["id"]: member for member in members}
@@ -126,7 +126,7 @@
 
 
 def propose(
-    held: Iterable[Held], records: Mapping[str, Mapping[str, Any]], known_pos: int, seen: int, snapshot: str = ""
+    held: Iterable[ProxyView], records: Mapping[str, Mapping[str, Any]], known_pos: int, seen: int, snapshot: str = ""
 ) -> Proposal:
     """The proposal: `records` of the newest snapshot by id (kind, name, attrs, phase, since), `known_pos` its last
     number, `seen` the greatest number that any proxy named, whether or not it said what it holds."""
@@ -163,7 +163,7 @@
     return Proposal(tuple(sorted(findings, key=lambda f: f.id)), pos, tuple(sorted(o.proxy for o in worlds)), snapshot)
 
 
-def _server(name: str, worlds: list[Held], records: Mapping[str, Any]) -> Finding | None:
+def _server(name: str, worlds: list[ProxyView], records: Mapping[str, Any]) -> Finding | None:
     """What is to be thought of one server that somebody holds."""
     first = next(member for one in worlds if (member := one.members.get(name)) is not None)
     worlds = [
@@ -223,7 +223,7 @@
     return {"kind": kind, "name": member["id"], "attrs": attrs, "phase": phase, "since": member["up_since_ms"]}
 
 
-def _tenants(newest: list[Held], records: Mapping[str, Mapping[str, Any]]) -> list[Finding]:
+def _tenants(newest: list[ProxyView], records: Mapping[str, Mapping[str, Any]]) -> list[Finding]:
     """Tenants as those with the greatest number hold them."""
     found = []
     for name in sorted({name for one in newest for name in one.tenants}):
--- a/threadhill/recovery/ages.py
+++ b/threadhill/recovery/ages.py
@@ -7,7 +7,7 @@
 HOUR, DAY = 3_600, 86_400
 
 
-def to_drop(times: Iterable[int], now: int, newest: int = 10, hours: int = 24, days: int = 30) -> list[int]:
+def expired_snapshots(times: Iterable[int], now: int, newest: int = 10, hours: int = 24, days: int = 30) -> list[int]:
     """Of snapshots taken at these times, those that are not kept any more. What is in the future is kept: a clock that
     was set back must not delete anything."""
     ordered = sorted(set(times), reverse=True)
--- a/threadhill/recovery/numbers.py
+++ b/threadhill/recovery/numbers.py
@@ -18,29 +18,29 @@
 KEPT = 10_000  # servers remembered as drained or gone
 
 
-class Verdict(Enum):
+class NumberCheck(Enum):
     SAME = "same"
     AHEAD = "ahead"  # events are missing here
     BACK = "back"  # an older or another store
     FAR = "far"  # another service's
 
 
-def judge(applied: int, last: int) -> Verdict:
+def compare_numbers(applied: int, last: int) -> NumberCheck:
     """What the service's last number says beside the last one applied here."""
     if last < applied:
-        return Verdict.BACK
+        return NumberCheck.BACK
     if last - applied > FAR and applied:
-        return Verdict.FAR
-    return Verdict.SAME if last == applied else Verdict.AHEAD
+        return NumberCheck.FAR
+    return NumberCheck.SAME if last == applied else NumberCheck.AHEAD
 
 
-class Memory:
+class DepartedServers:
     """What drained or went here, in the bound of a table; and whether an older world is being told."""
 
     def __init__(self) -> None:
         self.out: dict[int, int] = {}  # server -> its start, as told when it drained or went
         self.older = False
-        self.before = 0  # the number that must be passed for it to be the world that goes on
+        self.resume_at = 0  # the number that must be passed for it to be the world that goes on
         self.kept_out: dict[int, api.Entry] = {}  # servers that the older world names as serving, as it does
 
     def note(self, entries: Iterable[api.Entry]) -> None:
@@ -53,15 +53,15 @@
 
     def went_back(self, before: int) -> None:
         """An older world is told, or one that is not known to be newer; this number was applied here before."""
-        self.older, self.before = True, max(self.before, before)
+        self.older, self.resume_at = True, max(self.resume_at, before)
 
     def reached(self, applied: int) -> tuple[api.Entry, ...]:
         """All is applied up to this number. Where that passes what was applied before, it is the world that goes on:
         the servers that were kept out come back, as it tells them."""
-        if not self.older or applied < self.before:
+        if not self.older or applied < self.resume_at:
             return ()
         back, self.kept_out = tuple(self.kept_out.values()), {}
-        self.older, self.before = False, 0
+        self.older, self.resume_at = False, 0
         self.note(back)
         return back
 
--- a/threadhill/recovery/phases.py
+++ b/threadhill/recovery/phases.py
@@ -28,7 +28,7 @@
     FULL = "full"
 
 
-class Blind(Enum):
+class UntrustedNewsPolicy(Enum):
     """What is done once news has been unconfirmed for longer than it is trusted."""
 
     REFUSE = "refuse"  # the rules win: nothing is sent to what may have drained
@@ -36,16 +36,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Policy:
+class PhasePolicy:
     """How long unconfirmed news is trusted, and what stands in for purges that may be missing."""
 
     trust: int = TOLD
     slack: int = 500_000  # microseconds that the rules leave a purge: what is told later than that is not owed yet
-    blind: Blind = Blind.REFUSE
+    blind: UntrustedNewsPolicy = UntrustedNewsPolicy.REFUSE
 
 
 @dataclass(frozen=True, slots=True)
-class Allows:
+class Permissions:
     """What a phase allows at one moment."""
 
     send: bool  # requests, retries and fills to servers of the list
@@ -63,10 +63,10 @@
     lasted: int  # microseconds in the phase before
 
 
-class Phases:
+class PhaseTracker:
     """One instance's. `news_at`: when what it starts with was true, None where that is not known."""
 
-    def __init__(self, policy: Policy, now: int, news_at: int | None = None) -> None:
+    def __init__(self, policy: PhasePolicy, now: int, news_at: int | None = None) -> None:
         self.policy = policy
         self.phase, self.since, self.cause = Phase.BLANK, now, "start"
         self.news_at = news_at  # until then all news is here
@@ -159,20 +159,20 @@
         """Whether what is known can't miss anything that counts as told."""
         return self.news_at is not None and now - self.news_at <= self.policy.trust
 
-    def allows(self, now: int) -> Allows:
+    def allows(self, now: int) -> Permissions:
         if self.phase is Phase.BLANK:
-            return Allows(False)
+            return Permissions(False)
         missing = now - self.news_at if self.news_at is not None else self.policy.trust + 1
         if missing <= min(self.silent, self.policy.slack) or (
             missing <= self.silent and self.phase is not Phase.CATCHING_UP
         ):
-            return Allows(True, learn=self.phase is not Phase.FULL)
-        send = self.trusted(now) or self.policy.blind is Blind.SERVE
-        return Allows(send, max(1, self.policy.slack))
+            return Permissions(True, learn=self.phase is not Phase.FULL)
+        send = self.trusted(now) or self.policy.blind is UntrustedNewsPolicy.SERVE
+        return Permissions(send, max(1, self.policy.slack))
 
 
 @dataclass(slots=True)
-class FleetPhases:
+class FleetPhaseSummary:
     """What all instances report of themselves, summed: when the fleet is down, and when it is back."""
 
     back_share: float = 0.95
@@ -180,7 +180,7 @@
     back_at: int | None = None
     by_phase: dict[str, int] = field(default_factory=dict)
 
-    def look(self, now: int, phases: list[str | None], silent: int) -> str | None:
+    def update(self, now: int, phases: list[str | None], silent: int) -> str | None:
         """Phases of the live ones (None: it doesn't say, and counts as full) and how many are silent; a line where the
         fleet went down or came back. Times in any one unit."""
         known = [phase or Phase.FULL.value for phase in phases]
--- a/threadhill/recovery/proxy.py
+++ b/threadhill/recovery/proxy.py
@@ -12,8 +12,8 @@
 from threadhill.decision import interface as api
 from threadhill.ownership.feeds import Fence
 from threadhill.recovery import learned, saved
-from threadhill.recovery.numbers import Memory, Verdict, judge
-from threadhill.recovery.phases import Allows, Blind, Phase, Phases, Policy
+from threadhill.recovery.numbers import DepartedServers, NumberCheck, compare_numbers
+from threadhill.recovery.phases import Permissions, Phase, PhasePolicy, PhaseTracker, UntrustedNewsPolicy
 from threadhill.recovery.statefile import StateFile
 from threadhill.settings import Malformed, mapping, required_integer
 
@@ -30,7 +30,7 @@
 
     pos: int  # the last number applied
 
-    def anew(self) -> None:
+    def reconnect(self) -> None:
         """Leave the connection for a new one."""
         ...
 
@@ -44,7 +44,7 @@
     """What the operator's file says. Times in microseconds."""
 
     trust: int = 7_000_000
-    blind: Blind = Blind.REFUSE
+    blind: UntrustedNewsPolicy = UntrustedNewsPolicy.REFUSE
     state: Path | None = None  # the folder of the state file; None: nothing is kept
     every: int = 5_000_000
     learn: bool = True
@@ -66,10 +66,10 @@
         self.engine, self.config, self.log, self.journal = engine, config, log, journal
         settings = engine.router.settings
         self.random = random.Random(seed ^ 0x5EED)
-        self.phases = Phases(
-            Policy(config.trust, settings.purge_grace or 500_000, config.blind), engine.clock.now(), known_at
+        self.phases = PhaseTracker(
+            PhasePolicy(config.trust, settings.purge_grace or 500_000, config.blind), engine.clock.now(), known_at
         )
-        self.memory, self.fence = Memory(), Fence()
+        self.departed, self.fence = DepartedServers(), Fence()
         self.file = StateFile(config.state, name, saved.installation(settings, name), log) if config.state else None
         self._oldest = 0
         self._until = 0  # until when all may be sent without another look: each request asks three times
@@ -79,7 +79,7 @@
         engine.on_attempt_outcome = self.ended
         engine.deadlines.add(engine.clock.now() + TURN, self._turn)
         if self.file is not None:
-            engine.deadlines.add(engine.clock.now() + config.every, self._keep)
+            engine.deadlines.add(engine.clock.now() + config.every, self._periodic_save)
 
     # --- the engine's gate
 
@@ -100,7 +100,7 @@
         before = self._oldest
         return self._allowed(now).send and (not self._oldest or self._oldest == before)  # else it decides anew
 
-    def _allowed(self, now: int) -> Allows:
+    def _allowed(self, now: int) -> Permissions:
         self._slept(now)
         allows = self.phases.allows(now)
         if allows.oldest != self._oldest:
@@ -140,14 +140,14 @@
 
     # --- the journal's side
 
-    def first_dial(self, instances: int) -> int:
+    def first_dial_delay(self, instances: int) -> int:
         """How long to wait before the first dial, by the seed: what all restart at once must not dial at once."""
         return int(self.random.random() * min(DIALS_MOST, instances * PER_DIAL))
 
     def screen(self, entries: tuple[api.Entry, ...]) -> tuple[api.Entry, ...]:
         """List entries as they are to be applied; what drains is remembered."""
-        told = self.memory.screen(entries)
-        self.memory.note(told)
+        told = self.departed.screen(entries)
+        self.departed.note(told)
         return told
 
     def connected(self) -> None:
@@ -155,45 +155,45 @@
         self._left = False
         self.phases.connected(self.engine.clock.now())
 
-    def listed(self) -> None:
+    def list_applied(self) -> None:
         """A list was applied."""
         fleet = self.engine.router.fleet
         self.phases.listed(self.engine.clock.now(), frozenset(s.entry.server for s in fleet.caches))
 
-    def older(self, applied: int, last: int) -> bool:
+    def is_rollback(self, applied: int, last: int) -> bool:
         """The service told its last number; whether it is an older or another world's, to be asked for whole."""
-        return self.heard(applied, last) in (Verdict.BACK, Verdict.FAR)
+        return self.heard(applied, last) in (NumberCheck.BACK, NumberCheck.FAR)
 
-    def heard(self, applied: int, last: int) -> Verdict:
+    def heard(self, applied: int, last: int) -> NumberCheck:
         """The service told its last number."""
-        verdict = judge(applied, last)
-        if verdict in (Verdict.BACK, Verdict.FAR):
-            self.memory.went_back(applied)
-            self.engine.stats.count("journal", "numbers " + ("went back" if verdict is Verdict.BACK else "jumped"))
+        verdict = compare_numbers(applied, last)
+        if verdict in (NumberCheck.BACK, NumberCheck.FAR):
+            self.departed.went_back(applied)
+            self.engine.stats.count("journal", "numbers " + ("went back" if verdict is NumberCheck.BACK else "jumped"))
             self.log(
                 f"journal: its last number is {last} and {applied} was applied here: an older or another service; "
-                f"all of it is asked for, and {len(self.memory.out)} servers that drained or went stay out until "
+                f"all of it is asked for, and {len(self.departed.out)} servers that drained or went stay out until "
                 "they are told as started anew"
             )
             self.phases.behind(self.engine.clock.now(), f"numbers from {applied} to {last}")
             self._until = 0
             return verdict
-        if verdict is Verdict.SAME:
-            back = self.memory.reached(applied)
+        if verdict is NumberCheck.SAME:
+            back = self.departed.reached(applied)
             if back:
                 self.engine.list_changed(api.ListNews(api.ListKind.CHANGES, back))
-                self.listed()
-            if self.memory.kept_out and self.phases.phase is Phase.CATCHING_UP:
+                self.list_applied()
+            if self.departed.kept_out and self.phases.phase is Phase.CATCHING_UP:
                 self.log(
-                    f"journal: {len(self.memory.kept_out)} servers stay out that this older list names: "
-                    f"{', '.join(f's-{n:08x}' for n in sorted(self.memory.kept_out)[:8])}"
+                    f"journal: {len(self.departed.kept_out)} servers stay out that this older list names: "
+                    f"{', '.join(f's-{n:08x}' for n in sorted(self.departed.kept_out)[:8])}"
                 )
         self.phases.heard(self.engine.clock.now(), applied, last)
         if self.phases.phase is Phase.CATCHING_UP:
             self._until = 0
         return verdict
 
-    def applied(self, purge_age: int | None) -> None:
+    def event_applied(self, purge_age: int | None) -> None:
         """An event was applied; `purge_age`: of a purge, how long ago it was. One that is new shows that what waited is
         here: while events come all the time, the service tells no number."""
         live = purge_age is not None and purge_age < self.phases.policy.slack
@@ -212,7 +212,7 @@
             told["learned"] = learned.gather(self.engine.router, self.engine.clock.now(), *LEARNED_TOLD)
         return told
 
-    def taught(self, raw: Any) -> None:
+    def import_learned(self, raw: Any) -> None:
         """What running proxies learned, over the feed. Only one that is not warm takes it, and once."""
         try:
             raw = mapping(raw, "what was learned")
@@ -229,7 +229,7 @@
 
     # --- the disk's
 
-    def restore(self, pos: int) -> None:
+    def restore_state(self, pos: int) -> None:
         """After the first list: what an earlier process of this proxy knew."""
         kept = self.file.read(self.engine.clock.unix_now()) if self.file is not None else None
         if kept is None:
@@ -238,7 +238,7 @@
         cordons = [
             name for name in kept.cordons if self.engine.cordon(self.journal.number(name), name, allow_unlisted=True)
         ]
-        taken, older = saved.restore(kept, self.engine.router, self.memory, pos, now)
+        taken, older = saved.restore(kept, self.engine.router, self.departed, pos, now)
         self._primed = taken > 0
         self.fence.admits(kept.term)
         if older:  # the configuration is of before what this proxy was told already
@@ -247,29 +247,29 @@
                 e
                 for e in self.engine.cordons.entries.values()
                 if e.state is api.State.READY
-                and e.server in self.memory.out
-                and e.reported_start <= self.memory.out[e.server]
+                and e.server in self.departed.out
+                and e.reported_start <= self.departed.out[e.server]
             ]
             if stale:
-                self.engine.list_changed(api.ListNews(api.ListKind.CHANGES, self.memory.screen(tuple(stale))))
+                self.engine.list_changed(api.ListNews(api.ListKind.CHANGES, self.departed.screen(tuple(stale))))
         late = f"; it knows number {kept.pos}, the configuration {pos}: nothing is sent before the journal is heard"
         self.log(
             f"state: {self.file.path}: {(unix - kept.at) / 1e6:.1f} s old: {taken} servers, {len(kept.purges)} "
             f"purges, {len(kept.out)} that drained, {len(cordons)} cordons{late if older else ''}"
         )
 
-    def _keep(self) -> None:
-        self.keep()
-        self.engine.deadlines.add(self.engine.clock.now() + self.config.every, self._keep)
+    def _periodic_save(self) -> None:
+        self.save_state()
+        self.engine.deadlines.add(self.engine.clock.now() + self.config.every, self._periodic_save)
 
-    def keep(self) -> None:
+    def save_state(self) -> None:
         """Write the state file now, unless what is known is less than what it holds."""
         if self.file is None or self.phases.phase in (Phase.BLANK, Phase.CATCHING_UP):
             return
         cordons = sorted(self.engine.cordons.cordoned.values())
         unix = self.engine.clock.unix_now()
         body = saved.content(
-            self.engine.router, self.memory, self.journal.pos, cordons, self.engine.clock.now(), self.fence.term, unix
+            self.engine.router, self.departed, self.journal.pos, cordons, self.engine.clock.now(), self.fence.term, unix
         )
         try:
             done = self.file.write(saved.pack(body, self.file.whose, unix))
--- a/threadhill/recovery/saved.py
+++ b/threadhill/recovery/saved.py
@@ -20,7 +20,7 @@
 from threadhill.decision.choice import Router
 from threadhill.decision.freshness import PurgeRecord
 from threadhill.recovery import learned
-from threadhill.recovery.numbers import Memory
+from threadhill.recovery.numbers import DepartedServers
 from threadhill.settings import Malformed, integer, mapping, required_integer, sequence
 
 VERSION = 1
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Saved:
+class SavedState:
     """One file's content."""
 
     at: int  # Unix microseconds
@@ -50,7 +50,13 @@
 
 
 def content(
-    router: Router, memory: Memory, pos: int, cordons: list[str], now: int, term: int = 0, unix: int | None = None
+    router: Router,
+    departed: DepartedServers,
+    pos: int,
+    cordons: list[str],
+    now: int,
+    term: int = 0,
+    unix: int | None = None,
 ) -> dict[str, Any]:
     """What is to be kept now: `now` in local time, `unix` the Unix time of the file; absent: the same."""
     unix = now if unix is None else unix
@@ -58,7 +64,7 @@
     return {
         "pos": pos,
         "learned": learned.gather(router, now),
-        "out": list(memory.out.items()),
+        "out": list(departed.out.items()),
         "purges": purges,
         "cordons": cordons[:NAMES],
         "term": term,
@@ -75,7 +81,7 @@
     return whole
 
 
-def unpack(raw: bytes, whose: str, now: int) -> Saved:
+def unpack(raw: bytes, whose: str, now: int) -> SavedState:
     """What a file holds. Malformed says in a line what is wrong with it; then nothing of it counts."""
     if len(raw) > MOST:
         raise Malformed(f"it has over {MOST} bytes")
@@ -108,7 +114,7 @@
             for key, when in sequence(raw.get("purges"), "purges")
             if isinstance(key, str | int)
         ]
-        return Saved(
+        return SavedState(
             at,
             required_integer(raw.get("pos"), "pos"),
             learned.check(raw.get("learned")),
@@ -121,14 +127,14 @@
         raise Malformed(f"its content can't be read: {error}") from None
 
 
-def restore(saved: Saved, router: Router, memory: Memory, pos: int, now: int) -> tuple[int, bool]:
+def restore(saved: SavedState, router: Router, departed: DepartedServers, pos: int, now: int) -> tuple[int, bool]:
     """Let a router that has its first list start from a file. How many servers it was taken for, and whether the file
     knows later news than what the proxy was started with (`pos`): that is an older world until the journal is heard."""
     older = saved.pos > pos
     ready = {n for n, s in router.fleet.servers.items() if s.entry.state is api.State.READY}
-    memory.out.update({n: since for n, since in saved.out.items() if older or n not in ready})
+    departed.out.update({n: since for n, since in saved.out.items() if older or n not in ready})
     if older:
-        memory.went_back(saved.pos)
+        departed.went_back(saved.pos)
     for key, at in saved.purges:
         # How long the file lay only wall clocks tell, which may have been stepped: a purge is as old as it was then.
         age = max(0, saved.at - at)
--- a/threadhill/recovery/statefile.py
+++ b/threadhill/recovery/statefile.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from threadhill.recovery.saved import MOST, Saved, unpack
+from threadhill.recovery.saved import MOST, SavedState, unpack
 from threadhill.settings import Malformed
 
 
@@ -20,7 +20,7 @@
         self.path, self.whose, self.log = folder / f"{safe}.state", whose, log
         self.failing = False
 
-    def read(self, now: int) -> Saved | None:
+    def read(self, now: int) -> SavedState | None:
         """What it holds at this Unix microsecond; None where there is none or it is of no use."""
         try:
             with self.path.open("rb") as file:
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -35,7 +35,7 @@
     from threadhill.dns.front import DnsConfig, DnsFront
     from threadhill.dns.signing import Signer
     from threadhill.operators import AdminConfig, OperatorConfig
-    from threadhill.overload.control import Control, OverloadConfig
+    from threadhill.overload.control import OverloadConfig, OverloadController
     from threadhill.recovery.proxy import Recovery, RecoveryConfig
 
 SHUTDOWN_GRACE = 700_000  # microseconds after SIGTERM in which new requests are still accepted
@@ -77,8 +77,8 @@
         self.front.updates_pending = self.journal.lines_pending
         self.finished = asyncio.Event()
         self.dns: DnsFront | None = None
-        self.overload_control: Control | None = None
-        self.node_overload_controls: dict[str, Control] = {}  # by node of the DNS views
+        self.overload_control: OverloadController | None = None
+        self.node_overload_controls: dict[str, OverloadController] = {}  # by node of the DNS views
         self.recovery: Recovery | None = None
         self._stopping_since = 0  # local time of SIGTERM; 0: none yet
         self._reload_retry: tuple[int, int] | None = None  # deadline of the next attempt to read the configuration
@@ -125,7 +125,7 @@
                 self._enable_recovery(self.operator.recovery)
         self.journal.catch_up(*self.config.known_events)
         if self.recovery is not None:
-            self.recovery.restore(self.journal.pos)
+            self.recovery.restore_state(self.journal.pos)
         self.journal.follow(self.config.journal, self.config.journals)
         if self.config.management is not None:  # first: cordons must be known before any request
             await self._serve_management(self.config.management)
@@ -144,7 +144,7 @@
         await self.finished.wait()
         self.front.listener.stop_accepting()
         if self.recovery is not None:
-            self.recovery.keep()
+            self.recovery.save_state()
         self.log_report()
 
     def _enable_recovery(self, config: RecoveryConfig) -> None:
@@ -159,47 +159,47 @@
 
     def _enable_overload_control(self, config: OverloadConfig) -> None:
         """Enable overload control for every front, as all requests go through the core."""
-        from threadhill.overload.accept import Pace
+        from threadhill.overload.accept import AcceptPacer
 
         control = self.overload_control = self._create_overload_control(
             config, self.engine, lambda: self.stats.counts["client", "opened"]
         )
-        pace, fleet = Pace(self.clock.now()), self.engine.router.fleet
-        self.front.listener.accept_delay = lambda: pace.take(
+        pace, fleet = AcceptPacer(self.clock.now()), self.engine.router.fleet
+        self.front.listener.accept_delay = lambda: pace.acquire(
             self.clock.now(), control.detector.all.state, len(fleet.caches)
         )
         self.front.drain_spread = config.leave
 
     def _create_overload_control(
         self, config: OverloadConfig, engine: Engine, links: Callable[[], int] = lambda: 0, node: str = ""
-    ) -> Control:
+    ) -> OverloadController:
         """Overload control of one engine: each node has its own servers, capacity and overload state."""
-        from threadhill.overload.capacity import Signs
-        from threadhill.overload.control import TURN, Control
+        from threadhill.overload.capacity import UpstreamLoad
+        from threadhill.overload.control import TICK_INTERVAL, OverloadController
 
         settings, router = self.config.settings, engine.router
 
-        def current_signs() -> Signs:
+        def current_upstream_load() -> UpstreamLoad:
             origin = router.fleet.origin
             return Signs(origin.latency_ratio[0] if origin is not None else 1.0, router.link_load)
 
-        control = Control(
+        control = OverloadController(
             settings.classes,
             settings.client_kb_per_s,
             settings.max_retry_after,
             config,
             self.config.seed,
             lambda text: log(f"node {node}: {text}" if node else text),
-            current_signs,
+            current_upstream_load,
             links,
         )
         engine.overload_control = control
 
-        def turn() -> None:
-            control.turn(self.clock.now())
-            self.deadlines.add(self.clock.now() + TURN, turn)
+        def tick() -> None:
+            control.tick(self.clock.now())
+            self.deadlines.add(self.clock.now() + TICK_INTERVAL, tick)
 
-        turn()
+        tick()
         return control
 
     async def _serve_dns(self, config: DnsConfig) -> None:
@@ -313,7 +313,7 @@
 
     def _explain(self) -> Explain:
         from threadhill.admin.explain import Explain
-        from threadhill.overload.metrics import page
+        from threadhill.overload.metrics import page_renderer
 
         control = self.overload_control
 
@@ -328,7 +328,7 @@
                 (reason for one in (control, *self.node_overload_controls.values()) if (reason := one.why(rid))), None
             )
 
-        return Explain(status, why, page(self.stats, control.status, self.clock.now))
+        return Explain(status, why, page_renderer(self.stats, control.status, self.clock.now))
 
     async def _serve_management(self, where: tuple[str, int]) -> None:
         import tempfile  # loads many modules, so it is imported only when needed
--- a/threadhill/standin/swarm.py
+++ b/threadhill/standin/swarm.py
@@ -20,7 +20,7 @@
 
 import orjson
 
-from threadhill.knowledge.merge import Merged
+from threadhill.knowledge.merge import ReportAggregator
 from threadhill.standin.ask import Client
 from threadhill.standin.links import Relay
 from threadhill.standin.servers import Fleet, Server, body_of
@@ -91,8 +91,8 @@
 class JournalService:
     """The journal service: numbered events to whoever asks for those behind a number."""
 
-    def __init__(self, merged: Merged | None = None) -> None:
-        self.merged = merged  # where proxies say what they know: it tells them what all say
+    def __init__(self, aggregator: ReportAggregator | None = None) -> None:
+        self.aggregator = aggregator  # where proxies say what they know: it tells them what all say
         self.hint_bytes = 0
         self.events: list[bytes] = []
         self.members: dict[str, dict[str, Any]] = {}
@@ -112,7 +112,7 @@
         names, beats, reading, first = list[str](), 0, None, True  # the number at once behind what was asked for
         with suppress(ConnectionError, asyncio.IncompleteReadError, ValueError, IndexError, asyncio.CancelledError):
             last = int((await reader.readline()).split()[1])
-            if self.merged is not None:
+            if self.aggregator is not None:
                 reading = asyncio.ensure_future(self._reports(reader, names))
             while not writer.is_closing() and not (reading is not None and reading.done()):
                 fresh = self.events[last:]
@@ -135,12 +135,12 @@
         with suppress(ConnectionError, ValueError):
             while line := await reader.readline():
                 raw = orjson.loads(line)
-                if "knows" in raw and self.merged.report(raw["proxy"], raw["knows"], int(time.time() * 1e3)):
+                if "knows" in raw and self.aggregator.add_report(raw["proxy"], raw["knows"], int(time.time() * 1e3)):
                     names[:] = [raw["proxy"]]
 
     def _hint(self, names: list[str]) -> bytes:
-        told = self.merged is not None and names
-        hint = self.merged.hint(names[0], int(time.time() * 1e3)) if told else None
+        told = self.aggregator is not None and names
+        hint = self.aggregator.hint(names[0], int(time.time() * 1e3)) if told else None
         line = orjson.dumps({"hint": hint}) + b"\n" if hint is not None else b""
         self.hint_bytes += len(line)
         return line
@@ -202,7 +202,7 @@
     ) -> None:
         self.folder, self.host, self.settings, self.root, self.hints = folder, host, settings, root, hints
         self.operator = operator or ("[knowledge]\nshare = true\n" if hints else "")  # the proxies' file
-        self.fleet, self.journal = Fleet(), JournalService(Merged() if hints else None)
+        self.fleet, self.journal = Fleet(), JournalService(ReportAggregator() if hints else None)
         self.links: dict[str, Relay] = {}  # before the server, or "journal", of that name
         self.proxies: dict[str, Proxy] = {}
 
