--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -16,8 +16,8 @@
 from threadhill.decision import interface as api
 from threadhill.overload import budgets, comeback, sketch
 from threadhill.overload.accept import AcceptPacer
-from threadhill.overload.admission import SPREADS, SUBS, AdmissionController, Claims, Priority, max_min
-from threadhill.overload.budgets import TERMS, Level, RetryBudgets
+from threadhill.overload.admission import CLIENT_LEVELS, VALUE_LEVELS, AdmissionController, Claims, Priority, max_min
+from threadhill.overload.budgets import POLICIES, RetryBudgets, Scope
 from threadhill.overload.capacity import CapacityEstimator, UpstreamLoad
 from threadhill.overload.comeback import SLOT, Planner, Return
 from threadhill.overload.control import OverloadConfig, OverloadController
@@ -149,17 +149,19 @@
             gate.level(Priority.FIRST, 1.0, 0.05, client, now)
         now += 100 * MS
         gate.update(now)
-    hog, usual = (gate.level(Priority.FIRST, 1.0, 0.05, client, now) // SPREADS % SUBS for client in ("hog", "a"))
-    assert hog == SUBS - 1 > usual
+    hog, usual = (
+        gate.level(Priority.FIRST, 1.0, 0.05, client, now) // CLIENT_LEVELS % VALUE_LEVELS for client in ("hog", "a")
+    )
+    assert hog == VALUE_LEVELS - 1 > usual
 
 
 def test_a_listener_has_a_claim_on_the_next_part_for_a_while() -> None:
     claims = Claims()
-    claims.note("c", "o", 3, 0)
+    claims.record("c", "o", 3, 0)
     assert claims.holds("c", "o", 4, SECOND) and not claims.holds("c", "o", 3, SECOND)
     assert not claims.holds("d", "o", 4, SECOND) and not claims.holds("c", "o", 4, 6 * SECOND)
     for n in range(20_000):
-        claims.note("c", f"o{n}", 0, 0)
+        claims.record("c", f"o{n}", 0, 0)
     assert len(claims.served) <= 8_192
 
 
@@ -209,21 +211,21 @@
         now += gone
         if first:
             book.deposit(client, tenant, now)
-            paid += TERMS[Level.FLEET].share
+            paid += POLICIES[Scope.FLEET].per_first_try
         else:
-            before = {level: {k: p.tokens for k, p in purses.items()} for level, purses in book.purses.items()}
+            before = {level: {k: p.tokens for k, p in purses.items()} for level, purses in book.buckets.items()}
             empty = book.withdraw(client, tenant, now)
             spent += empty is None
             if empty is not None:  # none of the three was charged
                 assert all(
                     p.tokens >= before[level].get(k, 0) - 1e-9
-                    for level, purses in book.purses.items()
+                    for level, purses in book.buckets.items()
                     for k, p in purses.items()
                 )
-        for level, purses in book.purses.items():
-            assert all(-1e-9 <= purse.tokens <= TERMS[level].most + 1e-9 for purse in purses.values())
-    fleet = TERMS[Level.FLEET]
-    assert spent <= fleet.most / 2 + paid + fleet.floor * now / SECOND + 1e-6
+        for level, purses in book.buckets.items():
+            assert all(-1e-9 <= purse.tokens <= POLICIES[level].capacity + 1e-9 for purse in purses.values())
+    fleet = POLICIES[Scope.FLEET]
+    assert spent <= fleet.capacity / 2 + paid + fleet.refill_rate * now / SECOND + 1e-6
 
 
 def test_a_budget_is_as_deep_as_first_tries_made_it_at_every_level() -> None:
@@ -231,13 +233,13 @@
     for n in range(200):
         book.deposit(f"c{n % 50}", "t", n * 10 * MS)
     now = 2 * SECOND
-    assert [book.withdraw("c1", "t", now) for _ in range(6)][-1] is Level.CLIENT
+    assert [book.withdraw("c1", "t", now) for _ in range(6)][-1] is Scope.CLIENT
     told = [book.withdraw(f"c{n}", "t", now) for n in range(2, 50) for _ in range(2)]
-    assert Level.TENANT in told and sum(one is None for one in told) <= TERMS[Level.TENANT].most
+    assert Scope.TENANT in told and sum(one is None for one in told) <= POLICIES[Scope.TENANT].capacity
     assert book.withdraw("other", "quiet", now) is None  # another tenant's purse is its own
-    for n in range(3 * budgets.KEYS[Level.CLIENT]):
+    for n in range(3 * budgets.MAX_BUCKETS[Scope.CLIENT]):
         book.deposit(f"x{n}", "t", now)
-    assert len(book.purses[Level.CLIENT]) == budgets.KEYS[Level.CLIENT]
+    assert len(book.buckets[Scope.CLIENT]) == budgets.MAX_BUCKETS[Scope.CLIENT]
 
 
 # --- when they come back
--- a/threadhill/overload/__init__.py
+++ b/threadhill/overload/__init__.py
@@ -1,3 +1,4 @@
-"""Overload control: sees retry storms, bounds what reaches the decision module, tells clients when to return.
+"""Overload control: detects retry storms, limits what reaches the decision module, and tells refused clients when to
+retry.
 
-Decisions without I/O; plugs into the core's `OverloadControl` port. Off unless the operator's file turns it on."""
+Decides without I/O and implements the core's `OverloadControl` port. Off unless the operator's file enables it."""
--- a/threadhill/overload/budgets.py
+++ b/threadhill/overload/budgets.py
@@ -1,6 +1,6 @@
-"""Retry budgets at three levels: the client's, its tenant's and the fleet's, as this proxy sees it. First tries pay in
-a share, a retry takes one from each or none. What nobody pays into grows slowly by itself, so that a quiet client may
-always try again now and then."""
+"""Retry budgets in three scopes: the client, its tenant, and the fleet as this proxy sees it. Each first try deposits a
+fraction of a token in every scope; a retry withdraws one token from each, or from none. Every budget also refills
+slowly over time, so that a quiet client may always retry now and then."""
 
 from __future__ import annotations
 
@@ -11,75 +11,83 @@
 SECOND = 1_000_000
 
 
-class Level(Enum):
+class Scope(Enum):
     CLIENT = "client"
     TENANT = "tenant"
     FLEET = "fleet"
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """Of one level: what each first try pays in, what grows by itself each second, and the most that is kept."""
+class BudgetPolicy:
+    """Of one scope: tokens that each first try deposits, tokens that are added each second, and the most that is
+    kept."""
 
-    share: float
-    floor: float
-    most: float
+    per_first_try: float
+    refill_rate: float
+    capacity: float
 
 
-# A client may retry half of what it asks first; all of them together a fifth: retries that follow a fault of a few
-# seconds are let through, and a storm in which each is tried three times is not.
-TERMS = {Level.CLIENT: Terms(0.5, 0.2, 4.0), Level.TENANT: Terms(0.2, 1.0, 40.0), Level.FLEET: Terms(0.2, 2.0, 80.0)}
-KEYS = {Level.CLIENT: 4_096, Level.TENANT: 1_024, Level.FLEET: 1}  # purses kept; the least recently used goes first
+# A client may retry half as often as it sends first tries, all clients together a fifth as often. This admits the
+# retries that follow a fault of a few seconds, but not a storm in which every request is tried three times.
+POLICIES = {
+    Scope.CLIENT: BudgetPolicy(0.5, 0.2, 4.0),
+    Scope.TENANT: BudgetPolicy(0.2, 1.0, 40.0),
+    Scope.FLEET: BudgetPolicy(0.2, 2.0, 80.0),
+}
+MAX_BUCKETS = {Scope.CLIENT: 4_096, Scope.TENANT: 1_024, Scope.FLEET: 1}  # the least recently used is evicted first
 
 
 @dataclass(slots=True)
-class Purse:
+class TokenBucket:
     tokens: float
-    at: int
+    updated_at: int
 
 
 class RetryBudgets:
-    """All purses. `first` pays in; `retry` takes one from each of the three, or tells which of them is empty."""
+    """The buckets of all scopes."""
 
     def __init__(self) -> None:
-        self.purses: dict[Level, OrderedDict[str, Purse]] = {level: OrderedDict() for level in Level}
-
-    def _purse(self, level: Level, key: str, now: int) -> Purse:
-        terms, purses = TERMS[level], self.purses[level]
-        purse = purses.get(key)
-        if purse is None:
-            # A purse that was dropped begins again at half: neither a way to riches nor to none.
-            purse = purses[key] = Purse(terms.most / 2, now)
-            while len(purses) > KEYS[level]:
-                purses.popitem(last=False)
-            return purse
-        purses.move_to_end(key)
-        purse.tokens = min(terms.most, purse.tokens + terms.floor * max(0, now - purse.at) / SECOND)
-        purse.at = max(purse.at, now)
-        return purse
-
-    def _all(self, client: str, tenant: str, now: int) -> dict[Level, Purse]:
-        keys = {Level.CLIENT: client, Level.TENANT: tenant, Level.FLEET: ""}
-        return {level: self._purse(level, keys[level], now) for level in Level}
+        self.buckets: dict[Scope, OrderedDict[str, TokenBucket]] = {scope: OrderedDict() for scope in Scope}
+
+    def _bucket(self, scope: Scope, key: str, now: int) -> TokenBucket:
+        policy, buckets = POLICIES[scope], self.buckets[scope]
+        bucket = buckets.get(key)
+        if bucket is None:
+            # A bucket that was evicted starts again half full, so that eviction neither helps nor starves a client.
+            bucket = buckets[key] = TokenBucket(policy.capacity / 2, now)
+            while len(buckets) > MAX_BUCKETS[scope]:
+                buckets.popitem(last=False)
+            return bucket
+        buckets.move_to_end(key)
+        bucket.tokens = min(
+            policy.capacity, bucket.tokens + policy.refill_rate * max(0, now - bucket.updated_at) / SECOND
+        )
+        bucket.updated_at = max(bucket.updated_at, now)
+        return bucket
+
+    def _all(self, client: str, tenant: str, now: int) -> dict[Scope, TokenBucket]:
+        keys = {Scope.CLIENT: client, Scope.TENANT: tenant, Scope.FLEET: ""}
+        return {scope: self._bucket(scope, keys[scope], now) for scope in Scope}
 
     def deposit(self, client: str, tenant: str, now: int) -> None:
-        for level, purse in self._all(client, tenant, now).items():
-            purse.tokens = min(TERMS[level].most, purse.tokens + TERMS[level].share)
-
-    def withdraw(self, client: str, tenant: str, now: int) -> Level | None:
-        """None: paid for. Else the first level, from the client's outwards, that has not got one."""
-        purses = self._all(client, tenant, now)
-        empty = next((level for level, purse in purses.items() if purse.tokens < 1), None)
+        """Credits a first try to all three scopes."""
+        for scope, bucket in self._all(client, tenant, now).items():
+            bucket.tokens = min(POLICIES[scope].capacity, bucket.tokens + POLICIES[scope].per_first_try)
+
+    def withdraw(self, client: str, tenant: str, now: int) -> Scope | None:
+        """Pays for a retry. None if it is paid for, else the first scope, from the client outwards, without a token."""
+        buckets = self._all(client, tenant, now)
+        empty = next((scope for scope, bucket in buckets.items() if bucket.tokens < 1), None)
         if empty is None:
-            for purse in purses.values():
-                purse.tokens -= 1
+            for bucket in buckets.values():
+                bucket.tokens -= 1
         return empty
 
-    def left(self) -> dict[str, float]:
-        """Of the fleet's and the poorest tenant's, for who looks."""
-        fleet = next(iter(self.purses[Level.FLEET].values()), None)
-        tenants = [purse.tokens for purse in self.purses[Level.TENANT].values()]
+    def remaining(self) -> dict[str, float]:
+        """Tokens left to the fleet and to the tenant with the fewest, for the status document."""
+        fleet = next(iter(self.buckets[Scope.FLEET].values()), None)
+        tenants = [bucket.tokens for bucket in self.buckets[Scope.TENANT].values()]
         return {
-            "fleet": round(fleet.tokens, 1) if fleet else TERMS[Level.FLEET].most / 2,
-            "poorest_tenant": round(min(tenants), 1) if tenants else TERMS[Level.TENANT].most / 2,
+            "fleet": round(fleet.tokens, 1) if fleet else POLICIES[Scope.FLEET].capacity / 2,
+            "poorest_tenant": round(min(tenants), 1) if tenants else POLICIES[Scope.TENANT].capacity / 2,
         }
--- a/threadhill/overload/control.py
+++ b/threadhill/overload/control.py
@@ -1,4 +1,4 @@
-"""The core's `OverloadControl` port: hears of each request and how it ends, holds off under strain what there is no room
+"""The core's `OverloadController` port: hears of each request and how it ends, holds off under strain what there is no room
 for, and plans when those who are refused, here or by the module, are to come back.
 
 In normal times it only counts: every request reaches the module, and what the module refuses is told the module's own
@@ -16,7 +16,7 @@
 from threadhill.decision import interface as api
 from threadhill.overload.admission import AdmissionController, Priority
 from threadhill.overload.budgets import RetryBudgets
-from threadhill.overload.capacity import OVER, CapacityEstimator, UpstreamLoad
+from threadhill.overload.capacity import OVERCOMMIT, CapacityEstimator, UpstreamLoad
 from threadhill.overload.comeback import Planner, Return
 from threadhill.overload.detector import ALL, Change, Detector, Event, State, Watch
 from threadhill.overload.sketch import Unserved
@@ -194,7 +194,7 @@
         self.capacity.record_finished(one.work, final is FinalStatus.SERVED and not late)
         if final is FinalStatus.SERVED:
             if ask.part or self._in_parts(ask.class_name):
-                self.admission.claims.note(ask.client or one.front, ask.object, ask.part, now)
+                self.admission.claims.record(ask.client or one.front, ask.object, ask.part, now)
         elif ask.idempotency_key is None:
             self.unserved.add(self._key(ask), now)
 
@@ -294,7 +294,7 @@
         if self.admission.admit(tenant, level, work):
             # The module is told too: the last part of each server's room is for those that go first, and for tenants
             # that ask for no more than their share.
-            ask.inflight_share = 1.0 if rank <= Priority.LISTENER or self.admission.within(tenant) else SHARE
+            ask.inflight_share = 1.0 if rank <= Priority.LISTENER or self.admission.within_share(tenant) else SHARE
             return ""
         return f"no room for {rank.name.lower().replace('_', ' ')} asks"
 
@@ -303,7 +303,7 @@
         newcomers are."""
         if self.capacity.limit == math.inf:
             return max(LEAST_ROOM, self._all.figures.first)
-        return max(LEAST_ROOM, RETURNS * self.capacity.limit / OVER / max(self.capacity.each, 1e-4))
+        return max(LEAST_ROOM, RETURNS * self.capacity.limit / OVERCOMMIT / max(self.capacity.mean_work, 1e-4))
 
     def _refuse(self, ask: ClientRequest, key: str, front: str, why: str, early: bool, retry: bool, now: int) -> int:
         """When it is to come back: planned, and none later than the client waits at all."""
@@ -348,7 +348,7 @@
             "let_through": round(self.capacity.admitted_rate, 3),
             "served_in_time": round(self.capacity.goodput, 3),
             "held_off": dict(self.counts.held),
-            "budgets": self.budgets.left(),
+            "budgets": self.budgets.remaining(),
             "come_back": {
                 "waiting": self.planner.waiting(now),
                 "room_per_s": round(self.planner.room, 1),
