--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -19,10 +19,10 @@
 from threadhill.overload.admission import CLIENT_LEVELS, VALUE_LEVELS, AdmissionController, Claims, Priority, max_min
 from threadhill.overload.budgets import POLICIES, RetryBudgets, Scope
 from threadhill.overload.capacity import CapacityEstimator, UpstreamLoad
-from threadhill.overload.comeback import SLOT, Planner, Return
+from threadhill.overload.comeback import SLOT, Return, ReturnScheduler
 from threadhill.overload.control import OverloadConfig, OverloadController
 from threadhill.overload.detector import Detector, Event, State
-from threadhill.overload.sketch import Unserved
+from threadhill.overload.sketch import UnservedSketch
 from threadhill.stats import Stats
 
 MS, SECOND = 1_000, 1_000_000
@@ -32,22 +32,22 @@
 
 
 def test_an_ask_that_comes_again_is_known_and_others_are_hardly_ever_taken_for_it() -> None:
-    seen, now = Unserved(b"secret"), 10 * SECOND
-    for n in range(sketch.FILL):  # as full as it may be
+    seen, now = UnservedSketch(b"secret"), 10 * SECOND
+    for n in range(sketch.MAX_ENTRIES):  # as full as it may be
         seen.add(f"lost {n}", now)
     wrong = sum(seen.take(f"other {n}", now) for n in range(20_000))
     assert wrong / 20_000 < 0.05
-    seen = Unserved(b"secret")
+    seen = UnservedSketch(b"secret")
     for n in range(500):
         seen.add(f"lost {n}", now)
     assert sum(seen.take(f"other {n}", now) for n in range(20_000)) / 20_000 < 0.001
     assert sum(seen.take(f"lost {n}", now + SECOND) for n in range(500)) >= 480  # a wrong one takes a right one's place
     assert sum(seen.take(f"lost {n}", now + SECOND) for n in range(500)) <= 10  # each is used up
     seen.add("old", now)
-    assert not seen.take("old", now + 3 * sketch.SPAN)
-    for n in range(3 * sketch.FILL):
-        seen.add(f"x{n}", now + 9 * sketch.SPAN)
-    assert seen.held <= sketch.FILL and seen.full >= 2 * sketch.FILL
+    assert not seen.take("old", now + 3 * sketch.GENERATION)
+    for n in range(3 * sketch.MAX_ENTRIES):
+        seen.add(f"x{n}", now + 9 * sketch.GENERATION)
+    assert seen.entries <= sketch.MAX_ENTRIES and seen.rejected >= 2 * sketch.MAX_ENTRIES
 
 
 def play(detector: Detector, seconds: float, first: int, again: int, bad: float, now: int) -> tuple[int, list]:
@@ -73,7 +73,7 @@
     assert [c.new for c in changes] == [State.STRAINED]
     now, more = play(detector, 4, 100, 150, 0.6, now)
     assert [c.new for c in more] == [State.STORM]
-    assert "factor" in more[0].told() and "strained -> storm" in more[0].told()
+    assert "factor" in more[0].describe() and "strained -> storm" in more[0].describe()
     now, more = play(detector, 3, 100, 150, 0.2, now)  # better, not well: it stays
     assert not more
     now, more = play(detector, 4, 100, 30, 0.03, now)
@@ -251,34 +251,34 @@
     st.floats(0, 400),
 )
 def test_promised_room_is_never_over_booked(steps: list[tuple[int, int, bool]], room: float) -> None:
-    planner, now = Planner(2 * SECOND, 7), SECOND
-    planner.room = room
+    scheduler, now = ReturnScheduler(2 * SECOND, 7), SECOND
+    scheduler.rate = room
     for n, (gone, most, returns) in enumerate(steps):
         now += gone
-        wait = planner.book(f"k{n}", now, most)
-        assert 0 < wait <= max(1_000, min(most, planner.horizon))
+        wait = scheduler.book(f"k{n}", now, most)
+        assert 0 < wait <= max(1_000, min(most, scheduler.horizon))
         if returns:
-            planner.returned(f"k{n // 2}", now)
-        assert all(count <= planner.places(slot) for slot, count in planner.booked.items())
-    assert len(planner.promises) <= comeback.KEYS
+            scheduler.returned(f"k{n // 2}", now)
+        assert all(count <= scheduler.slot_capacity(slot) for slot, count in scheduler.booked.items())
+    assert len(scheduler.promises) <= comeback.MAX_PROMISES
 
 
 def test_a_wave_that_is_told_to_return_comes_as_fast_as_there_is_room() -> None:
-    planner = Planner(5 * SECOND, 3)
-    planner.room = 100.0
-    waits = sorted(planner.book(f"k{n}", SECOND, 5 * SECOND) for n in range(300))
+    scheduler = ReturnScheduler(5 * SECOND, 3)
+    scheduler.rate = 100.0
+    waits = sorted(scheduler.book(f"k{n}", SECOND, 5 * SECOND) for n in range(300))
     assert 2.8 * SECOND < waits[-1] < 3.3 * SECOND
     for begin in range(3):  # a hundred in each second, evenly
         assert 85 <= sum(begin * SECOND <= wait < (begin + 1) * SECOND for wait in waits) <= 115
-    assert planner.unplaced == 0
-    assert [planner.book(f"m{n}", SECOND, 500 * MS) <= 500 * MS for n in range(9)] == [True] * 9  # none past its wait
-    due = SECOND + planner.book("kept", SECOND, 5 * SECOND)
-    assert planner.returned("kept", due) is Return.KEPT and planner.returned("kept", due) is Return.NONE
-    planner.book("hasty", SECOND, 5 * SECOND)
-    held = sum(planner.booked.values())
-    assert planner.returned("hasty", SECOND + SLOT) is Return.EARLY and sum(planner.booked.values()) == held - 1
-    planner.book("tardy", SECOND, 5 * SECOND)
-    assert planner.returned("tardy", 60 * SECOND) is Return.LATE
+    assert scheduler.unplaced == 0
+    assert [scheduler.book(f"m{n}", SECOND, 500 * MS) <= 500 * MS for n in range(9)] == [True] * 9  # none past its wait
+    due = SECOND + scheduler.book("kept", SECOND, 5 * SECOND)
+    assert scheduler.returned("kept", due) is Return.KEPT and scheduler.returned("kept", due) is Return.NONE
+    scheduler.book("hasty", SECOND, 5 * SECOND)
+    held = sum(scheduler.booked.values())
+    assert scheduler.returned("hasty", SECOND + SLOT) is Return.EARLY and sum(scheduler.booked.values()) == held - 1
+    scheduler.book("tardy", SECOND, 5 * SECOND)
+    assert scheduler.returned("tardy", 60 * SECOND) is Return.LATE
 
 
 def test_connections_are_taken_in_steps_after_a_start_and_in_a_storm() -> None:
@@ -422,7 +422,7 @@
             control.detector.all.state = State.NORMAL
     engine.fail_all()
     assert set(front.answers) | left == set(range(1, ref + 1))
-    assert all(len(answers) == 1 for answers in front.answers.values()) and not control.open
+    assert all(len(answers) == 1 for answers in front.answers.values()) and not control.open_requests
     assert not set(front.answers) & left
 
 
--- a/threadhill/overload/control.py
+++ b/threadhill/overload/control.py
@@ -1,8 +1,9 @@
-"""The core's `OverloadController` port: hears of each request and how it ends, holds off under strain what there is no room
-for, and plans when those who are refused, here or by the module, are to come back.
+"""The core's `OverloadControl` port: observes each request and its end, holds off what exceeds the capacity under overload, and
+schedules when clients that are refused, here or by the module, are to come back.
 
 In normal times it only counts: every request reaches the module, and what the module refuses is told the module's own
-time. What the module decides stays its own; this decides how much reaches it, whose goes first, and when to return.
+come-back time. It does not change the module's decisions, only how much reaches the module, in which order, and when
+refused clients return.
 """
 
 from __future__ import annotations
@@ -17,49 +18,49 @@
 from threadhill.overload.admission import AdmissionController, Priority
 from threadhill.overload.budgets import RetryBudgets
 from threadhill.overload.capacity import OVERCOMMIT, CapacityEstimator, UpstreamLoad
-from threadhill.overload.comeback import Planner, Return
-from threadhill.overload.detector import ALL, Change, Detector, Event, State, Watch
-from threadhill.overload.sketch import Unserved
+from threadhill.overload.comeback import Return, ReturnScheduler
+from threadhill.overload.detector import ALL, Change, Detector, Event, Monitor, State
+from threadhill.overload.sketch import UnservedSketch
 
 SECOND = 1_000_000
-TICK_INTERVAL = 100_000  # microseconds between two turns
-TOLD = 2_048  # refusals of which is kept why
-TOKENS = 4_096  # keys of purchases seen lately
+TICK_INTERVAL = 100_000  # microseconds between two calls of `tick`
+MAX_REFUSALS = 2_048  # refusals whose reasons are kept
+MAX_TOKENS = 4_096  # idempotency keys seen recently
 TOKEN_LIFE = 10 * SECOND
-USUAL = 50_000  # microseconds of work of an ask whose size is not told
-LEAST_ROOM = 2.0  # returns a second that are planned for at the least
-LEAVE = 5_000  # microseconds before its client gives up by which a come-back time lies at the latest
-SERVICE = 200_000  # microseconds that are left to one that is promised room, to be served in
-SHARE = 0.75  # of a server's room that others than those that go first may fill, under strain
-RETURNS = 0.5  # part of what can be served that is kept for those who come back as told
+DEFAULT_WORK = 50_000  # microseconds of work of a request whose size is unknown
+MIN_RETURN_RATE = 2.0  # returns a second that are always scheduled for
+GIVE_UP_MARGIN = 5_000  # microseconds that a come-back time lies before the client gives up, at least
+SERVICE_TIME = 200_000  # microseconds left to a client with a promise in which it can still be served
+LOW_PRIORITY_SHARE = 0.75  # share of a server's capacity that low-priority requests may fill under overload
+RETURN_SHARE = 0.5  # share of the goodput that is reserved for clients that come back as told
 
 
 @dataclass(frozen=True, slots=True)
 class OverloadConfig:
-    """What the operator's file says."""
+    """The `overload` table of the operator's file."""
 
     retry_budgets: bool = True
     admission: bool = True
     comebacks: bool = True
-    horizon: int = 0  # microseconds ahead that returns are planned; 0: as far as the site lets clients be told
-    leave: int = 0  # microseconds over which clients are let go of at the end; 0: all at once
+    horizon: int = 0  # microseconds ahead for which returns are scheduled; 0: the longest come-back time of the site
+    disconnect_spread: int = 0  # microseconds over which clients are disconnected at shutdown; 0: all at once
 
 
 @dataclass(slots=True)
-class Open:
-    """A request that went to the module."""
+class OpenRequest:
+    """A request that the module has not answered yet."""
 
-    at: int
+    arrived_at: int
     ask: ClientRequest
     front: str
     work: float
-    aim: int
-    watches: list[Watch]
+    latency_target: int
+    monitors: list[Monitor]
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """Why one request was refused, for who asks."""
+class Refusal:
+    """Why one request was refused, for the operator."""
 
     at: int
     cls: str
@@ -85,151 +86,154 @@
 
 @dataclass(slots=True)
 class Counts:
-    """What was held off, by the reason; and how those came back who were told when."""
+    """Requests held off, by reason, and how clients came back that had been told a time."""
 
     held: dict[str, int] = field(default_factory=dict)
     returns: dict[str, int] = field(default_factory=dict)
-    refused_again: int = 0  # of those who came as told
+    refused_again: int = 0  # of those that came back on time
     planned: int = 0
 
 
 class OverloadController:
-    """Plugs into `Engine.guard`."""
+    """Implements `Engine.overload_control`."""
 
     def __init__(
         self,
         classes: Mapping[str, api.RequestClass],
-        flow: float,
+        client_kb_per_s: float,
         horizon: int,
         config: OverloadConfig,
         seed: int,
         log: Callable[[str], None],
         upstream_load: Callable[[], UpstreamLoad] = UpstreamLoad,
-        links: Callable[[], int] = lambda: 0,
+        connections_opened: Callable[[], int] = lambda: 0,
     ) -> None:
-        self.classes, self.flow, self.config, self.log = classes, flow, config, log
-        self.upstream_load, self.links = upstream_load, links
+        self.classes, self.client_kb_per_s, self.config, self.log = classes, client_kb_per_s, config, log
+        self.upstream_load, self.connections_opened = upstream_load, connections_opened
         self.detector, self.budgets, self.admission, self.capacity = (
             Detector(),
             RetryBudgets(),
             AdmissionController(),
             CapacityEstimator(),
         )
-        self.planner = Planner(config.horizon or horizon or SECOND // 2, seed)
-        self.unserved = Unserved(seed.to_bytes(16, "little", signed=False)[:16])
+        self.scheduler = ReturnScheduler(config.horizon or horizon or SECOND // 2, seed)
+        self.unserved = UnservedSketch(seed.to_bytes(16, "little", signed=False)[:16])
         self.tokens: OrderedDict[str, int] = OrderedDict()
-        self.open: dict[int, Open] = {}
-        self.told: OrderedDict[str, Told] = OrderedDict()
+        self.open_requests: dict[int, OpenRequest] = {}
+        self.refusals: OrderedDict[str, Refusal] = OrderedDict()
         self.counts = Counts()
-        self.changes: list[Change] = []  # the last of them
-        self._links = links()
+        self.changes: list[Change] = []  # the last 64
+        self._last_opened = connections_opened()
         self._asks = 0.0
         self._all = self.detector.all
 
-    # --- what the core calls
+    # --- the OverloadControl port
 
     def admit(self, handle: int, ask: ClientRequest, front: str, now: int) -> int | None:
-        """None: to the module with it. Else it is refused at once, to come back after so many microseconds."""
+        """None: the request goes to the module. Otherwise it is refused, to come back after so many microseconds."""
         cls = self.classes.get(ask.class_name)
-        key = self._key(ask)
-        retry = self._retry(ask, key, now)
-        own = self._own(ask, key)
-        back = self.planner.returned(own, now) if self.planner.promises else Return.NONE
+        key = self._retry_key(ask)
+        retry = self._classify_retry(ask, key, now)
+        promise_key = self._promise_key(ask, key)
+        back = self.scheduler.returned(promise_key, now) if self.scheduler.promises else Return.NONE
         event = Event.FIRST if retry is None else retry
-        watches = self._watches(ask, front)
-        for watch in watches:
-            watch.counts[event] += 1
+        monitors = self._monitors(ask, front)
+        for monitor in monitors:
+            monitor.counts[event] += 1
             if back is Return.EARLY:
-                watch.counts[Event.EARLY] += 1
+                monitor.counts[Event.EARLY] += 1
         if back is not Return.NONE:
             self.counts.returns[back.value] = self.counts.returns.get(back.value, 0) + 1
         tenant, client = ask.tenant or "", ask.client or front
         work = self._work(ask)
         why = ""
         if self._all.state is not State.NORMAL or self.admission.limit != math.inf:
-            if retry is None:  # in normal times nobody pays and nobody is charged: a storm begins with half-full purses
+            if retry is None:  # normally nothing is credited or charged: a storm starts with half-full buckets
                 self.budgets.deposit(client, tenant, now)
-            why = self._held_off(ask, cls, retry is not None, back, client, tenant, work, now)
+            why = self._reason_to_hold(ask, cls, retry is not None, back, client, tenant, work, now)
         if not why:
-            aim = (
+            latency_target = (
                 int(cls.latency_target + cls.latency_target_stretch * work * SECOND)
                 if cls is not None and cls.latency_target
                 else ask.time_left
             )
-            self.open[handle] = Open(now, ask, front, work, aim, watches)
+            self.open_requests[handle] = OpenRequest(now, ask, front, work, latency_target, monitors)
             self.capacity.record_admitted(work)
             return None
-        for watch in watches:
-            watch.counts[Event.DAMPED] += 1
+        for monitor in monitors:
+            monitor.counts[Event.SHED] += 1
         self.capacity.record_shed(work)
         self.counts.held[why] = self.counts.held.get(why, 0) + 1
         if back is Return.KEPT:
             self.counts.refused_again += 1
-        return self._refuse(ask, own, front, why, back is Return.EARLY, retry is not None, now)
+        return self._schedule_return(ask, promise_key, front, why, back is Return.EARLY, retry is not None, now)
 
     def request_refused(self, handle: int, come_back: int, now: int) -> int:
-        """The module refuses this request, with its own time to return: the time that is told."""
-        one = self.open.get(handle)
-        if one is None or not come_back or not self.config.comebacks or self._all.state is State.NORMAL:
+        """The module refuses this request, and tells the client to come back after `come_back`; returns the
+        time that the client is told instead."""
+        request = self.open_requests.get(handle)
+        if request is None or not come_back or not self.config.comebacks or self._all.state is State.NORMAL:
             return come_back
-        own = self._own(one.ask, self._key(one.ask))
-        return self._refuse(one.ask, own, one.front, "the module had no room", False, False, now)
+        promise_key = self._promise_key(request.ask, self._retry_key(request.ask))
+        return self._schedule_return(
+            request.ask, promise_key, request.front, "the module had no room", False, False, now
+        )
 
     def request_finished(self, handle: int, final: FinalStatus, now: int) -> None:
-        """The one final answer of a request that went to the module; `gone` where its client left before."""
-        one = self.open.pop(handle, None)
-        if one is None:
+        """The request got its final answer from the module."""
+        request = self.open_requests.pop(handle, None)
+        if request is None:
             return
-        ask = one.ask
-        late = final is FinalStatus.SERVED and now - one.at > one.aim
+        ask = request.ask
+        late = final is FinalStatus.SERVED and now - request.arrived_at > request.latency_target
         event = {
             FinalStatus.SERVED: Event.SERVED,
             FinalStatus.REFUSED: Event.REFUSED,
             FinalStatus.FAILED: Event.FAILED,
         }[final]
-        for watch in one.watches:
-            watch.counts[event] += 1
+        for monitor in request.monitors:
+            monitor.counts[event] += 1
             if late:
-                watch.counts[Event.LATE] += 1
-        self.capacity.record_finished(one.work, final is FinalStatus.SERVED and not late)
+                monitor.counts[Event.LATE] += 1
+        self.capacity.record_finished(request.work, final is FinalStatus.SERVED and not late)
         if final is FinalStatus.SERVED:
             if ask.part or self._in_parts(ask.class_name):
-                self.admission.claims.record(ask.client or one.front, ask.object, ask.part, now)
+                self.admission.claims.record(ask.client or request.front, ask.object, ask.part, now)
         elif ask.idempotency_key is None:
-            self.unserved.add(self._key(ask), now)
+            self.unserved.add(self._retry_key(ask), now)
 
     def client_gone(self, handle: int, now: int) -> None:
-        """The client of a request stopped waiting: it will come again, or not."""
-        one = self.open.pop(handle, None)
-        if one is not None:
-            self.unserved.add(self._key(one.ask), now)
+        """The client stopped waiting; it may retry."""
+        request = self.open_requests.pop(handle, None)
+        if request is not None:
+            self.unserved.add(self._retry_key(request.ask), now)
 
     def tick(self, now: int) -> None:
-        """Ten times a second: fold, judge, and find the room anew."""
-        links = self.links()
-        self._all.counts[Event.NEW_LINK] += links - self._links
-        self._links = links
+        """Called ten times a second: updates the states and recomputes the limits."""
+        opened = self.connections_opened()
+        self._all.counts[Event.NEW_CONNECTION] += opened - self._last_opened
+        self._last_opened = opened
         for change in self.detector.update(now):
             if change.key == ALL and change.new is State.NORMAL:
                 self.budgets = RetryBudgets()
             self.changes = [*self.changes[-63:], change]
             if change.key == ALL or change.key[0] == "tenant":
-                self.log(change.told())
+                self.log(change.describe())
         strained = self._all.state is not State.NORMAL
         self.capacity.update(now, strained, self.upstream_load())
         self.admission.limit = self.capacity.limit if self.config.admission else math.inf
         self.admission.update(now)
-        self.planner.room = self._return_room()
+        self.scheduler.rate = self._return_rate()
 
-    # --- how it comes to that
+    # --- decisions
 
-    def _key(self, ask: ClientRequest) -> str:
-        """What a request that comes again has in common with the first one, from whatever connection."""
+    def _retry_key(self, ask: ClientRequest) -> str:
+        """Identifies a retry with its first try, across connections."""
         return ask.idempotency_key or f"{ask.class_name} {ask.object} {ask.part} {ask.tenant or ''}"
 
     @staticmethod
-    def _own(ask: ClientRequest, key: str) -> str:
-        """A promise is one client's: by the object alone anybody who asks for a popular one would use it up."""
+    def _promise_key(ask: ClientRequest, key: str) -> str:
+        """Includes the client: otherwise anyone requesting a popular object would use up the promise."""
         return ask.idempotency_key or f"{ask.client} {key}"
 
     def _in_parts(self, cls: str) -> bool:
@@ -237,31 +241,33 @@
         return found is not None and found.in_parts
 
     def _work(self, ask: ClientRequest) -> float:
-        """Seconds of sending."""
-        return (ask.size / self.flow if ask.size and self.flow else USUAL / SECOND) * ask.weight
-
-    def _watches(self, ask: ClientRequest, front: str) -> list[Watch]:
-        watch = self.detector.watch
-        watches = [self._all, watch("class", ask.class_name), watch("front", front)]
+        """Seconds that sending the answer takes."""
+        return (
+            ask.size / self.client_kb_per_s if ask.size and self.client_kb_per_s else DEFAULT_WORK / SECOND
+        ) * ask.weight
+
+    def _monitors(self, ask: ClientRequest, front: str) -> list[Monitor]:
+        monitor = self.detector.monitor
+        monitors = [self._all, monitor("class", ask.class_name), monitor("front", front)]
         if ask.tenant:
-            watches.append(watch("tenant", ask.tenant))
-        return watches
+            monitors.append(monitor("tenant", ask.tenant))
+        return monitors
 
-    def _retry(self, ask: ClientRequest, key: str, now: int) -> Event | None:
-        """Whether this is a retry, and what says so."""
-        guessed = ask.idempotency_key is None and self.unserved.take(key, now)
+    def _classify_retry(self, ask: ClientRequest, key: str, now: int) -> Event | None:
+        """The kind of retry that this is; None for a first try."""
+        inferred = ask.idempotency_key is None and self.unserved.take(key, now)
         if ask.idempotency_key is not None:
             last = self.tokens.pop(ask.idempotency_key, None)
             self.tokens[ask.idempotency_key] = now
-            if len(self.tokens) > TOKENS:
+            if len(self.tokens) > MAX_TOKENS:
                 self.tokens.popitem(last=False)
             if last is not None and now - last <= TOKEN_LIFE:
                 return Event.TOKEN
         if ask.repeat:
             return Event.MARKED
-        return Event.GUESSED if guessed else None
+        return Event.INFERRED if inferred else None
 
-    def _held_off(
+    def _reason_to_hold(
         self,
         ask: ClientRequest,
         cls: api.RequestClass | None,
@@ -272,7 +278,7 @@
         work: float,
         now: int,
     ) -> str:
-        """Why this one must wait; "" where it need not."""
+        """Why this request must wait; "" if it is admitted."""
         keyed = ask.idempotency_key is not None or cls is not None and cls.retry_safety is not api.RetrySafety.SAFE
         promised = back is Return.KEPT
         if retry and not keyed and not promised and self.config.retry_budgets:
@@ -280,52 +286,59 @@
             if empty is not None:
                 return f"retry budget of the {empty.value}"
         if keyed:
-            rank = Priority.KEYED
+            priority = Priority.KEYED
         elif promised:
-            rank = Priority.PROMISED
+            priority = Priority.PROMISED
         elif back is Return.EARLY:
-            rank = Priority.EARLY
+            priority = Priority.EARLY
         elif self.admission.claims.holds(client, ask.object, ask.part, now):
-            rank = Priority.LISTENER
+            priority = Priority.LISTENER
         else:
-            rank = Priority.AGAIN if retry else Priority.FIRST
+            priority = Priority.AGAIN if retry else Priority.FIRST
         worth = cls.value if cls is not None else 1.0
-        level = self.admission.level(rank, worth, work, client, now)
+        level = self.admission.level(priority, worth, work, client, now)
         if self.admission.admit(tenant, level, work):
-            # The module is told too: the last part of each server's room is for those that go first, and for tenants
-            # that ask for no more than their share.
-            ask.inflight_share = 1.0 if rank <= Priority.LISTENER or self.admission.within_share(tenant) else SHARE
+            # The module applies this per server: the rest of each server's capacity is for high priorities, and for
+            # tenants that stay within their share.
+            ask.inflight_share = (
+                1.0 if priority <= Priority.LISTENER or self.admission.within_share(tenant) else LOW_PRIORITY_SHARE
+            )
             return ""
-        return f"no room for {rank.name.lower().replace('_', ' ')} asks"
+        return f"no room for {priority.name.lower().replace('_', ' ')} asks"
 
-    def _return_room(self) -> float:
-        """Returns a second that there will be room for: a part of what is let through, which they are given before
-        newcomers are."""
+    def _return_rate(self) -> float:
+        """Returns a second to schedule for: a share of the admitted work, reserved for them ahead of new requests."""
         if self.capacity.limit == math.inf:
-            return max(LEAST_ROOM, self._all.figures.first)
-        return max(LEAST_ROOM, RETURNS * self.capacity.limit / OVERCOMMIT / max(self.capacity.mean_work, 1e-4))
+            return max(MIN_RETURN_RATE, self._all.figures.first)
+        return max(
+            MIN_RETURN_RATE, RETURN_SHARE * self.capacity.limit / OVERCOMMIT / max(self.capacity.mean_work, 1e-4)
+        )
 
-    def _refuse(self, ask: ClientRequest, key: str, front: str, why: str, early: bool, retry: bool, now: int) -> int:
-        """When it is to come back: planned, and none later than the client waits at all."""
-        most = min(self.planner.horizon, max(20_000, ask.time_left - LEAVE))
+    def _schedule_return(
+        self, ask: ClientRequest, key: str, front: str, why: str, early: bool, retry: bool, now: int
+    ) -> int:
+        """Records the refusal; returns when the client is to come back, before it would give up."""
+        most = min(self.scheduler.horizon, max(20_000, ask.time_left - GIVE_UP_MARGIN))
         if self.config.comebacks:
-            useful = min(most, ask.time_left - min(ask.time_left // 2, SERVICE))  # later it could not be served in time
-            wait = self.planner.book(key, now, useful, self.planner.put_back(useful) if early else 0, most)
+            useful = min(
+                most, ask.time_left - min(ask.time_left // 2, SERVICE_TIME)
+            )  # a later return could not be served in time
+            wait = self.scheduler.book(key, now, useful, self.scheduler.early_penalty(useful) if early else 0, most)
             self.counts.planned += 1
         else:
             wait = most
-        self.told[ask.request_id or f"dns-{len(self.told)}"] = Told(
+        self.refusals[ask.request_id or f"dns-{len(self.refusals)}"] = Refusal(
             now, ask.class_name, ask.tenant or "", front, why, self._all.state.value, wait, retry
         )
-        while len(self.told) > TOLD:
-            self.told.popitem(last=False)
+        while len(self.refusals) > MAX_REFUSALS:
+            self.refusals.popitem(last=False)
         return wait
 
-    # --- for who asks
+    # --- status
 
     def status(self, now: int) -> dict[str, object]:
-        """The states and the limits that bind now."""
-        room = self.capacity.limit
+        """The current states and limits."""
+        limit = self.capacity.limit
         return {
             "state": self._all.state.value,
             "since_ms": (now - self._all.since) // 1_000 if self._all.since else None,
@@ -337,29 +350,29 @@
                 {
                     "kind": kind,
                     "name": name,
-                    "state": watch.state.value,
-                    "factor": round(watch.figures.factor, 2),
-                    "bad": round(watch.figures.bad, 3),
+                    "state": monitor.state.value,
+                    "factor": round(monitor.figures.factor, 2),
+                    "bad": round(monitor.figures.bad, 3),
                 }
-                for (kind, name), watch in self.detector.watches.items()
+                for (kind, name), monitor in self.detector.monitors.items()
                 if (kind, name) != ALL
             ],
-            "room": None if room == math.inf else round(room, 3),
+            "room": None if limit == math.inf else round(limit, 3),
             "let_through": round(self.capacity.admitted_rate, 3),
             "served_in_time": round(self.capacity.goodput, 3),
             "held_off": dict(self.counts.held),
             "budgets": self.budgets.remaining(),
             "come_back": {
-                "waiting": self.planner.waiting(now),
-                "room_per_s": round(self.planner.room, 1),
+                "waiting": self.scheduler.waiting(now),
+                "room_per_s": round(self.scheduler.rate, 1),
                 "planned": self.counts.planned,
-                "unplaced": self.planner.unplaced,
+                "unplaced": self.scheduler.unplaced,
                 "returns": dict(self.counts.returns),
                 "refused_again": self.counts.refused_again,
             },
-            "changes": [change.told() for change in self.changes[-8:]],
+            "changes": [change.describe() for change in self.changes[-8:]],
         }
 
     def explain(self, rid: str) -> dict[str, object] | None:
-        told = self.told.get(rid)
-        return told.document() if told is not None else None
+        refusal = self.refusals.get(rid)
+        return refusal.document() if refusal is not None else None
--- a/threadhill/overload/detector.py
+++ b/threadhill/overload/detector.py
@@ -1,5 +1,6 @@
-"""Sees a retry storm: first tries and retries apart, how requests end, and from these a state for each class, tenant,
-front and all together. Events only add to counters; a turn ten times a second folds them into means and judges."""
+"""Detects retry storms: counts first tries, retries and outcomes, and derives a state for each class, tenant and front,
+and for all requests together. Events only increment counters; an update ten times a second folds them into means and
+decides the states."""
 
 from __future__ import annotations
 
@@ -9,33 +10,33 @@
 from enum import Enum, IntEnum
 
 SECOND = 1_000_000
-TURN = 100_000  # microseconds between two judgements
-FAST, SLOW = 1.0, 5.0  # seconds of the two means: now, and against what it is compared
-KEYS = 512  # tenants, classes and fronts watched; the one heard least lately goes first
-FEWEST = 5.0  # asks a second under which nothing is said of a key: a few retries are no storm
+UPDATE_INTERVAL = 100_000  # microseconds between two updates
+FAST, SLOW = 1.0, 5.0  # seconds, time constants of the two means: the current rate, and what it is compared with
+MAX_KEYS = 512  # tenants, classes and fronts monitored; the oldest is evicted first
+MIN_RATE = 5.0  # requests a second below which a key is not judged: a few retries are no storm
 
-# The states' bounds. Each state is left by other figures than it was entered by, and not before it has lasted.
-STRAIN_FACTOR, STRAIN_BAD = 1.25, 0.08  # asks over first tries, and part that ends unserved or late
+# Thresholds of the states. Each state is left at other values than it is entered at, and only after its minimum time.
+STRAIN_FACTOR, STRAIN_BAD = 1.25, 0.08  # requests per first try, and share that ends unserved or late
 STORM_FACTOR, STORM_BAD = 1.6, 0.25
 CALM_FACTOR, CALM_BAD = 1.12, 0.04
-EASED_BAD = 0.10  # part that ends badly under which a storm is over: retries alone fade after that
-HOLD = {"normal": 0.3, "strained": 1.0, "storm": 1.0, "recovering": 2.0}  # seconds that a state lasts at the least
+EASED_BAD = 0.10  # share of bad ends below which a storm is over: the remaining retries fade by themselves
+MIN_DURATION = {"normal": 0.3, "strained": 1.0, "storm": 1.0, "recovering": 2.0}  # seconds that a state lasts at least
 
 
 class Event(IntEnum):
     """What is counted."""
 
     FIRST = 0
-    MARKED = 1  # a retry, as its mark says
-    TOKEN = 2  # as its key says, which came before
-    GUESSED = 3  # as a like ask says that ended unserved lately
-    EARLY = 4  # of these, those that came before they were told to
+    MARKED = 1  # a retry that the client marked as one
+    TOKEN = 2  # a retry: its idempotency key was seen before
+    INFERRED = 3  # a retry: a similar request ended unserved recently
+    EARLY = 4  # of all these, those that came before the time they were told
     SERVED = 5
-    LATE = 6  # served, but after the wanted time
+    LATE = 6  # served, but after the latency target
     REFUSED = 7  # by the module
     FAILED = 8
-    DAMPED = 9  # refused here, before the module
-    NEW_LINK = 10  # a connection was opened
+    SHED = 9  # refused by overload control, before the module
+    NEW_CONNECTION = 10
     COUNT = 11
 
 
@@ -48,22 +49,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What a key's state is judged by."""
+    """What a key's state is decided by. The names are keys of the status document."""
 
-    first: float = 0.0  # a second
-    again: float = 0.0
-    ended: float = 0.0
-    bad: float = 0.0  # part of what ended
-    trend: float = 1.0  # asks now over asks lately
+    first: float = 0.0  # first tries a second
+    again: float = 0.0  # retries a second
+    ended: float = 0.0  # requests a second
+    bad: float = 0.0  # share of the ended ones
+    trend: float = 1.0  # current request rate over the recent one
     early: float = 0.0
     links: float = 0.0
 
     @property
     def factor(self) -> float:
-        """How many asks each first try has become."""
+        """Requests per first try."""
         return (self.first + self.again) / max(self.first, 0.2)
 
-    def told(self) -> str:
+    def describe(self) -> str:
         return (
             f"{self.first:.1f} first tries and {self.again:.1f} retries a second (factor {self.factor:.2f}), trend "
             f"{self.trend:.2f}, {100 * self.bad:.0f}% of {self.ended:.1f} ends bad, {self.early:.1f} early, "
@@ -72,43 +73,44 @@
 
 
 @dataclass(slots=True)
-class Watch:
-    """One key's counters, means and state."""
+class Monitor:
+    """Counters, means and state of one key."""
 
     counts: list[int] = field(default_factory=lambda: [0] * Event.COUNT)
-    fast: list[float] = field(default_factory=lambda: [0.0] * Event.COUNT)  # a second
+    fast: list[float] = field(default_factory=lambda: [0.0] * Event.COUNT)  # events a second
     slow: list[float] = field(default_factory=lambda: [0.0] * Event.COUNT)
-    at: int = 0
+    updated_at: int = 0
     state: State = State.NORMAL
     since: int = 0
     figures: Figures = Figures()
 
-    def fold(self, now: int) -> None:
-        gone = max(1, now - self.at) / SECOND
-        self.at = now
-        fast, slow = -math.expm1(-gone / FAST), -math.expm1(-gone / SLOW)
+    def update(self, now: int) -> None:
+        """Folds the counters into the means."""
+        elapsed = max(1, now - self.updated_at) / SECOND
+        self.updated_at = now
+        fast, slow = -math.expm1(-elapsed / FAST), -math.expm1(-elapsed / SLOW)
         for i, count in enumerate(self.counts):
-            rate = count / gone
+            rate = count / elapsed
             self.fast[i] += fast * (rate - self.fast[i])
             self.slow[i] += slow * (rate - self.slow[i])
             self.counts[i] = 0
         f = self.fast
-        again = f[Event.MARKED] + f[Event.TOKEN] + f[Event.GUESSED]
-        ended = sum(f[Event.SERVED : Event.DAMPED + 1])  # LATE is beside SERVED, not of it
-        asks, before = sum(f[:4]), sum(self.slow[:4])
+        again = f[Event.MARKED] + f[Event.TOKEN] + f[Event.INFERRED]
+        ended = sum(f[Event.SERVED : Event.SHED + 1])  # a late request counts as SERVED and as LATE
+        requests, before = sum(f[:4]), sum(self.slow[:4])
         self.figures = Figures(
             f[Event.FIRST],
             again,
             ended,
             (ended - f[Event.SERVED]) / ended if ended > 0.1 else 0.0,
-            asks / before if before > 0.1 else 1.0,
+            requests / before if before > 0.1 else 1.0,
             f[Event.EARLY],
-            f[Event.NEW_LINK],
+            f[Event.NEW_CONNECTION],
         )
 
-    def judge(self, now: int) -> State | None:
-        """The state that it is in from now on, where that is another."""
-        if now - self.since < HOLD[self.state.value] * SECOND:
+    def change_state(self, now: int) -> State | None:
+        """Decides the state; returns the new one if it changed."""
+        if now - self.since < MIN_DURATION[self.state.value] * SECOND:
             return None
         new = self._next()
         if new is self.state:
@@ -118,7 +120,7 @@
 
     def _next(self) -> State:
         f, now = self.figures, self.state
-        few = f.first + f.again < FEWEST
+        few = f.first + f.again < MIN_RATE
         if now is State.NORMAL:
             strained = not few and (f.factor >= STRAIN_FACTOR and f.bad >= CALM_BAD or f.bad >= STRAIN_BAD)
             return State.STRAINED if strained else now
@@ -132,52 +134,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A key came into another state, and the figures that it was for."""
+    """A key's change of state, and the figures that caused it."""
 
     key: tuple[str, str]
     old: State
     new: State
     figures: Figures
 
-    def told(self) -> str:
+    def describe(self) -> str:
         name = " ".join(part for part in self.key if part)
-        return f"overload: {name}: {self.old.value} -> {self.new.value}: {self.figures.told()}"
+        return f"overload: {name}: {self.old.value} -> {self.new.value}: {self.figures.describe()}"
 
 
 ALL = ("all", "")
 
 
 class Detector:
-    """The watches by key: ("all", ""), ("class", name), ("tenant", name), ("front", name)."""
+    """The monitors by key: ("all", ""), ("class", name), ("tenant", name), ("front", name)."""
 
     def __init__(self) -> None:
-        self.watches: OrderedDict[tuple[str, str], Watch] = OrderedDict({ALL: Watch()})
-        self.all = self.watches[ALL]
+        self.monitors: OrderedDict[tuple[str, str], Monitor] = OrderedDict({ALL: Monitor()})
+        self.all = self.monitors[ALL]
 
-    def watch(self, kind: str, name: str) -> Watch:
-        """The watch of a key, made where there is none."""
+    def monitor(self, kind: str, name: str) -> Monitor:
+        """The monitor of a key, created if there is none."""
         key = kind, name
-        watch = self.watches.get(key)
-        if watch is None:
-            watch = self.watches[key] = Watch(at=self.all.at)
-            if len(self.watches) > KEYS:
-                oldest = next(k for k in self.watches if k != ALL)
-                del self.watches[oldest]
-        return watch
+        monitor = self.monitors.get(key)
+        if monitor is None:
+            monitor = self.monitors[key] = Monitor(updated_at=self.all.updated_at)
+            if len(self.monitors) > MAX_KEYS:
+                oldest = next(k for k in self.monitors if k != ALL)
+                del self.monitors[oldest]
+        return monitor
 
     def update(self, now: int) -> list[Change]:
-        """Fold what was counted since the last turn, and judge."""
+        """Folds what was counted since the last update, and decides the states."""
         changes = []
-        for key, watch in list(self.watches.items()):
-            old = watch.state
-            watch.fold(now)
-            new = watch.judge(now)
+        for key, monitor in list(self.monitors.items()):
+            old = monitor.state
+            monitor.update(now)
+            new = monitor.change_state(now)
             if new is not None:
-                changes.append(Change(key, old, new, watch.figures))
-            if key != ALL and old is State.NORMAL and watch.figures.first + watch.figures.again < 0.01:
-                del self.watches[key]  # nothing of it for a while
+                changes.append(Change(key, old, new, monitor.figures))
+            if key != ALL and old is State.NORMAL and monitor.figures.first + monitor.figures.again < 0.01:
+                del self.monitors[key]  # no requests for a while
         return changes
 
     def state(self, kind: str, name: str) -> State:
-        watch = self.watches.get((kind, name))
-        return watch.state if watch is not None else State.NORMAL
+        monitor = self.monitors.get((kind, name))
+        return monitor.state if monitor is not None else State.NORMAL
--- a/threadhill/overload/metrics.py
+++ b/threadhill/overload/metrics.py
@@ -1,4 +1,4 @@
-"""What overload control and the core count, for Prometheus: made when it is asked for."""
+"""Prometheus metrics of the core and of overload control, collected on request."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Collector:
-    """Reads the running figures."""
+    """Reads the current counters and the status document."""
 
     def __init__(self, stats: Stats, status: Callable[[int], dict[str, Any]], clock: Callable[[], int]) -> None:
         self.stats, self.status, self.clock = stats, status, clock
@@ -37,8 +37,8 @@
             yield family
         now = self.status(self.clock())
         state = GaugeMetricFamily("threadhill_overload_state", "1 for the state that it is in", labels=["state"])
-        for one in State:
-            state.add_metric([one.value], float(now["state"] == one.value))
+        for member in State:
+            state.add_metric([member.value], float(now["state"] == member.value))
         yield state
         for name, value in now["figures"].items():
             yield GaugeMetricFamily(f"threadhill_overload_{name}", f"{name} of all requests, lately", value=value)
@@ -67,7 +67,7 @@
 def page_renderer(
     stats: Stats, status: Callable[[int], dict[str, Any]], clock: Callable[[], int]
 ) -> Callable[[], bytes]:
-    """A call that makes the page."""
+    """Returns a function that renders the metrics page."""
     registry = CollectorRegistry()
     registry.register(Collector(stats, status, clock))  # type: ignore[arg-type]
     return lambda: generate_latest(registry)
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -168,7 +168,7 @@
         self.front.listener.accept_delay = lambda: pace.acquire(
             self.clock.now(), control.detector.all.state, len(fleet.caches)
         )
-        self.front.drain_spread = config.leave
+        self.front.drain_spread = config.disconnect_spread
 
     def _create_overload_control(
         self, config: OverloadConfig, engine: Engine, links: Callable[[], int] = lambda: 0, node: str = ""
