--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -26,7 +26,7 @@
 from threadhill.recovery import adopt, learned, saved
 from threadhill.recovery.ages import DAY, HOUR, expired_snapshots
 from threadhill.recovery.numbers import DepartedServers, NumberCheck, compare_numbers
-from threadhill.recovery.phases import SEEN_ANSWERS, TOLD, FleetPhaseSummary, Phase, PhasePolicy, PhaseTracker
+from threadhill.recovery.phases import DELIVERY_TIME, MIN_ANSWERS, FleetPhaseSummary, Phase, PhasePolicy, PhaseTracker
 from threadhill.recovery.statefile import StateFile
 from threadhill.settings import Malformed
 from threadhill.standin.links import Change, Relay, play
@@ -40,30 +40,37 @@
 
 
 def test_a_start_goes_through_all_phases_by_what_is_seen() -> None:
-    phases = PhaseTracker(PhasePolicy(), 0, news_at=0)
-    assert not phases.allows(0).send
-    phases.listed(10, frozenset({1, 2, 3, 4}))
-    assert phases.phase is Phase.CATCHING_UP and phases.allows(10).send and not phases.allows(10).oldest
-    assert phases.allows(SECOND) == phases.allows(TOLD) and phases.allows(SECOND).oldest == 500 * MS
-    assert not phases.allows(TOLD + 1).send  # the rules win: what drained meanwhile counts as told
-    phases.heard(8 * SECOND, 6, 6)
+    phases = PhaseTracker(PhasePolicy(), 0, confirmed_at=0)
+    assert not phases.permissions(0).send
+    phases.list_changed(10, frozenset({1, 2, 3, 4}))
+    assert phases.phase is Phase.CATCHING_UP and phases.permissions(10).send and not phases.permissions(10).max_copy_age
+    assert (
+        phases.permissions(SECOND) == phases.permissions(DELIVERY_TIME)
+        and phases.permissions(SECOND).max_copy_age == 500 * MS
+    )
+    assert not phases.permissions(DELIVERY_TIME + 1).send  # the rules win: what drained meanwhile counts as told
+    phases.number_received(8 * SECOND, 6, 6)
     assert phases.phase is Phase.CATCHING_UP  # nobody looked for seconds: that may be as old as the connection
     phases.connected(8 * SECOND)
-    phases.heard(8 * SECOND, 5, 6)
+    phases.number_received(8 * SECOND, 5, 6)
     assert phases.phase is Phase.CATCHING_UP
-    phases.heard(8 * SECOND, 6, 6)
-    assert phases.phase is Phase.WARMING and phases.allows(8 * SECOND).send and not phases.allows(8 * SECOND).oldest
-    for _ in range(SEEN_ANSWERS):
-        phases.answered(8 * SECOND, 1, True)
+    phases.number_received(8 * SECOND, 6, 6)
+    assert (
+        phases.phase is Phase.WARMING
+        and phases.permissions(8 * SECOND).send
+        and not phases.permissions(8 * SECOND).max_copy_age
+    )
+    for _ in range(MIN_ANSWERS):
+        phases.attempt_ended(8 * SECOND, 1, True)
     assert phases.phase is Phase.WARMING  # one cache of four is not enough
-    phases.answered(8 * SECOND, 2, False)  # nor need one serve: it is known now
+    phases.attempt_ended(8 * SECOND, 2, False)  # nor need one serve: it is known now
     assert phases.phase is Phase.FULL
     for n in range(81, 111):
-        phases.turn(n * SECOND // 10)
-    assert phases.phase is Phase.CATCHING_UP and phases.allows(11 * SECOND).oldest == 500 * MS
-    phases.heard(12 * SECOND, 6, 6)
-    assert phases.phase is Phase.FULL and not phases.deaf  # what it learned it did not forget
-    assert [change.now for change in phases.changes] == [*ORDER[1:], Phase.CATCHING_UP, Phase.FULL]
+        phases.tick(n * SECOND // 10)
+    assert phases.phase is Phase.CATCHING_UP and phases.permissions(11 * SECOND).max_copy_age == 500 * MS
+    phases.number_received(12 * SECOND, 6, 6)
+    assert phases.phase is Phase.FULL and not phases.awaiting_reconnect  # what it learned it did not forget
+    assert [change.new for change in phases.changes] == [*ORDER[1:], Phase.CATCHING_UP, Phase.FULL]
     assert all(change.cause for change in phases.changes)
 
 
@@ -77,30 +84,30 @@
     now, phases, news = 0, PhaseTracker(PhasePolicy(), 0, 0 if known else None), 0 if known else None
     for kind, wait in events:
         now += wait
-        phases.turn(now)
+        phases.tick(now)
         match kind:
             case "list" | "empty":
-                phases.listed(now, frozenset({1, 2, 3} if kind == "list" else ()))
+                phases.list_changed(now, frozenset({1, 2, 3} if kind == "list" else ()))
             case "heard":
-                phases.heard(now, 7, 7)
-                news = news if phases.deaf else now
+                phases.number_received(now, 7, 7)
+                news = news if phases.awaiting_reconnect else now
             case "connected":
                 phases.connected(now)
             case "behind" | "back":
-                phases.heard(now, 7, 9 if kind == "behind" else 3)
+                phases.number_received(now, 7, 9 if kind == "behind" else 3)
             case "answer" | "fail":
-                phases.answered(now, 1, kind == "answer")
-        allows = phases.allows(now)
+                phases.attempt_ended(now, 1, kind == "answer")
+        allows = phases.permissions(now)
         if allows.send:  # nothing goes out on news that may miss what counts as told, or from nothing at all
-            assert phases.phase is not Phase.BLANK and news is not None and now - news <= TOLD
+            assert phases.phase is not Phase.BLANK and news is not None and now - news <= DELIVERY_TIME
         if allows.send and now - news > 2 * SECOND:
-            assert 0 < allows.oldest <= 500 * MS  # and no copy from before a purge that may be missing
-    phases.listed(now, frozenset({1, 2, 3}))  # whatever came, it comes back
+            assert 0 < allows.max_copy_age <= 500 * MS  # and no copy from before a purge that may be missing
+    phases.list_changed(now, frozenset({1, 2, 3}))  # whatever came, it comes back
     phases.connected(now)
-    phases.heard(now, 7, 7)
-    for _ in range(10 * SEEN_ANSWERS):
-        phases.answered(now, 1, True)
-    assert phases.phase is Phase.FULL and phases.allows(now).send and not phases.allows(now).oldest
+    phases.number_received(now, 7, 7)
+    for _ in range(10 * MIN_ANSWERS):
+        phases.attempt_ended(now, 1, True)
+    assert phases.phase is Phase.FULL and phases.permissions(now).send and not phases.permissions(now).max_copy_age
 
 
 def test_a_fleet_is_back_when_all_but_a_twentieth_are_in_full_service_and_says_it_once() -> None:
@@ -108,7 +115,7 @@
     assert fleet.update(0, ["full"] * 20, 0) is None
     assert "not in full service" in fleet.update(1, ["full"] * 6 + ["warming"] * 2, 12)
     assert fleet.update(2, ["full"] * 18 + ["warming"] * 2, 0) is None
-    assert "back" in fleet.update(3, ["full"] * 19 + ["catching up"], 0) and fleet.back_at == 3
+    assert "back" in fleet.update(3, ["full"] * 19 + ["catching up"], 0) and fleet.recovered_at == 3
     assert fleet.update(4, ["full"] * 20, 0) is None
 
 
@@ -122,12 +129,12 @@
 
 def test_an_older_world_puts_nothing_back_that_drained_until_its_numbers_pass() -> None:
     departed = DepartedServers()
-    departed.note([cache(1), api.Entry(2, State.DRAINING, reported_start=5), api.Entry(3, State.GONE)])
-    departed.went_back(57)
+    departed.record([cache(1), api.Entry(2, State.DRAINING, reported_start=5), api.Entry(3, State.GONE)])
+    departed.begin_rollback(57)
     again, anew = cache(2, reported_start=5), cache(3, reported_start=9)
     states = [entry.state for entry in departed.screen((cache(1), again, anew))]
     assert states == [State.READY, State.DRAINING, State.READY]  # the third was started anew
-    assert departed.reached(56) == () and departed.older
+    assert departed.reached(56) == () and departed.rolled_back
     assert departed.reached(57) == (again,) and departed.screen((again,)) == (again,)
 
 
@@ -215,7 +222,7 @@
 
 def body() -> dict[str, Any]:
     script, departed = warmed(), DepartedServers()
-    departed.note([api.Entry(9, State.DRAINING, reported_start=4)])
+    departed.record([api.Entry(9, State.DRAINING, reported_start=4)])
     script.handle(api.Purge("o1", 3, 0))
     return saved.content(script.router, departed, 57, ["s-00000007"], script.now)
 
@@ -262,12 +269,12 @@
     kept = saved.unpack(saved.pack(body(), "w", 1000 * SECOND), "w", 5000 * SECOND)
     fresh, departed = Script(), DepartedServers()
     taken, older = saved.restore(kept, fresh.router, departed, 50, kept.at + saved.OLDEST + SECOND)
-    assert (taken, older) == (0, True) and departed.older and departed.out[9] == 4
+    assert (taken, older) == (0, True) and departed.rolled_back and departed.starts[9] == 4
     # As young as when it was saved: how long the file lay only wall clocks tell, which may have been stepped.
     now, age = kept.at + saved.OLDEST + SECOND, max(0, kept.at - kept.purges[0][1])
     assert fresh.router.freshness.records["o1"].at == now - age and not fresh.router.usual_took.samples
     departed = DepartedServers()
-    assert not saved.restore(kept, Script().router, departed, 57, kept.at)[1] and not departed.older
+    assert not saved.restore(kept, Script().router, departed, 57, kept.at)[1] and not departed.rolled_back
 
 
 # --- snapshots, the way back
--- a/threadhill/control/server.py
+++ b/threadhill/control/server.py
@@ -311,7 +311,7 @@
             **self.adoption.status(),
             "phases": phases.by_phase,
             "down_for_ms": now - phases.down_since if phases.down_since is not None else None,
-            "back_for_ms": now - phases.back_at if phases.back_at is not None else None,
+            "back_for_ms": now - phases.recovered_at if phases.recovered_at is not None else None,
         }
 
     # --- configuration files
--- a/threadhill/operators.py
+++ b/threadhill/operators.py
@@ -96,7 +96,7 @@
     table = optional_table(raw, "recovery", {"trust_ms", "blind", "state_folder", "every_ms", "learn"})
     if table is None:
         return None
-    from threadhill.recovery.phases import UntrustedNewsPolicy
+    from threadhill.recovery.phases import StaleListPolicy
     from threadhill.recovery.proxy import RecoveryConfig
 
     blind, learn = table.get("blind", StaleListPolicy.REFUSE.value), table.get("learn", True)
@@ -112,7 +112,7 @@
     folder = text(table["state_folder"], "recovery.state_folder") if "state_folder" in table else ""
     return RecoveryConfig(
         times["trust_ms"] * 1_000,
-        UntrustedNewsPolicy(blind),
+        StaleListPolicy(blind),
         base / folder if folder else None,
         times["every_ms"] * 1_000,
         learn,
--- a/threadhill/overload/control.py
+++ b/threadhill/overload/control.py
@@ -1,4 +1,4 @@
-"""The core's `OverloadControl` port: observes each request and its end, holds off what exceeds the capacity under overload, and
+"""The core's `OverloadController` port: observes each request and its end, holds off what exceeds the capacity under overload, and
 schedules when clients that are refused, here or by the module, are to come back.
 
 In normal times it only counts: every request reaches the module, and what the module refuses is told the module's own
@@ -127,7 +127,7 @@
         self._asks = 0.0
         self._all = self.detector.all
 
-    # --- the OverloadControl port
+    # --- the OverloadController port
 
     def admit(self, handle: int, ask: ClientRequest, front: str, now: int) -> int | None:
         """None: the request goes to the module. Otherwise it is refused, to come back after so many microseconds."""
--- a/threadhill/recovery/phases.py
+++ b/threadhill/recovery/phases.py
@@ -1,11 +1,11 @@
-"""The phases of one instance: what it may serve, ask for and trust after a start, a stop or a cut. Free of I/O.
+"""The phases of one proxy: what it may send and trust after a start, a stall or a loss of connection. Free of I/O.
 
-    blank ----------> catching up ----------> warming ----------> full
-    nothing known     news may be missing     all news is here    enough was seen of the caches
-                          ^------------------------+-----------------+     the journal went silent, or it was stopped
+    blank ----------> catching up ----------> warming -------------> full
+    nothing known     events may be missing   events are complete    enough is known of the caches
+                          ^------------------------+-----------------+     the journal is silent, or the process stalled
 
-Times are the router's microseconds. A phase ends by what was seen: a list, the journal's last number, answers. Time
-alone ends one thing only, the trust in news that nobody confirms.
+Times are the router's microseconds. A phase ends on an observation: a list, the journal's last number, answers. Time
+alone ends only one thing, the trust in a list that the journal does not confirm.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-TOLD = 7_000_000  # microseconds after which all that the journal service has counts as told (PROTOCOL)
-SILENT = 2_000_000  # without a line, which come every second, before news counts as missing
-STOPPED = 1_500_000  # without a look, which come ten times a second: what this process holds may be old
-SEEN_SHARE = 0.5  # part of the ready caches that must have been seen, answering or failing, to be warm
-SEEN_ANSWERS = 30  # answers, too: a first estimate of each class
-ANSWERS_ENOUGH = 300  # answers that are enough by themselves: some caches may never be asked
+DELIVERY_TIME = 7_000_000  # microseconds after which every event of the journal counts as delivered (PROTOCOL)
+SILENCE_LIMIT = 2_000_000  # microseconds without a line from the journal, which sends one a second
+STALL_LIMIT = 1_500_000  # microseconds between two checks, made ten a second: the process stalled
+MIN_SEEN_SHARE = 0.5  # share of the ready caches that must have been seen before the phase is full
+MIN_ANSWERS = 30  # answers that are needed as well: a first estimate of each class
+SUFFICIENT_ANSWERS = 300  # answers that suffice by themselves: some caches may never be asked
 
 
 class Phase(Enum):
@@ -28,169 +28,174 @@
     FULL = "full"
 
 
-class UntrustedNewsPolicy(Enum):
-    """What is done once news has been unconfirmed for longer than it is trusted."""
+class StaleListPolicy(Enum):
+    """What happens once the list has been unconfirmed for longer than it is trusted."""
 
-    REFUSE = "refuse"  # the rules win: nothing is sent to what may have drained
-    SERVE = "serve"  # service wins: from what is known, with the bound on age
+    REFUSE = "refuse"  # safety first: nothing is sent to servers that may have drained
+    SERVE = "serve"  # availability first: the last known list is used, with a bound on the age of copies
 
 
 @dataclass(frozen=True, slots=True)
 class PhasePolicy:
-    """How long unconfirmed news is trusted, and what stands in for purges that may be missing."""
+    """How long an unconfirmed list is trusted, and the bound on copy age that replaces purges that may be missing."""
 
-    trust: int = TOLD
-    slack: int = 500_000  # microseconds that the rules leave a purge: what is told later than that is not owed yet
-    blind: UntrustedNewsPolicy = UntrustedNewsPolicy.REFUSE
+    trust_time: int = DELIVERY_TIME
+    purge_slack: int = 500_000  # microseconds that the rules allow a purge to take; a younger one need not be applied
+    when_stale: StaleListPolicy = StaleListPolicy.REFUSE
 
 
 @dataclass(frozen=True, slots=True)
 class Permissions:
-    """What a phase allows at one moment."""
+    """What is allowed at one moment."""
 
     send: bool  # requests, retries and fills to servers of the list
-    oldest: int = 0  # microseconds: no older copy will do; 0: as the classes have it
-    learn: bool = True  # what others say they learned is news here
+    max_copy_age: int = 0  # microseconds; 0: as the request class says
+    learn: bool = True  # whether what other proxies learned is useful
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One step from phase to phase, for the log."""
+    """A change of phase, for the log."""
 
-    was: Phase
-    now: Phase
+    old: Phase
+    new: Phase
     cause: str
-    lasted: int  # microseconds in the phase before
+    duration: int  # microseconds in the old phase
 
 
 class PhaseTracker:
-    """One instance's. `news_at`: when what it starts with was true, None where that is not known."""
+    """The phase of one proxy. `confirmed_at`: when the list it starts with was current; None if unknown."""
 
-    def __init__(self, policy: PhasePolicy, now: int, news_at: int | None = None) -> None:
+    def __init__(self, policy: PhasePolicy, now: int, confirmed_at: int | None = None) -> None:
         self.policy = policy
         self.phase, self.since, self.cause = Phase.BLANK, now, "start"
-        self.news_at = news_at  # until then all news is here
+        self.confirmed_at = confirmed_at  # all events up to this time are applied
         self.ready: frozenset[int] = frozenset()  # caches that the list names ready
         self.seen: set[int] = set()
         self.answers = 0
-        self.silent = min(SILENT, policy.trust)
-        self.deaf = False  # it was stopped, and what it hears is from before that
-        self.warm = False  # it was full once, and what it learned is kept
-        self.changes: list[Change] = []  # not yet taken by whoever logs them
+        self.silence_limit = min(SILENCE_LIMIT, policy.trust_time)
+        self.awaiting_reconnect = False  # the process stalled: what its open connections deliver may be outdated
+        self.warmed_up = False  # the phase was full before, and what was learned is kept
+        self.changes: list[Change] = []  # not logged yet
         self._now = now
 
-    def _go(self, phase: Phase, cause: str) -> None:
+    def _enter(self, phase: Phase, cause: str) -> None:
         if phase is not self.phase:
             self.changes.append(Change(self.phase, phase, cause, self._now - self.since))
             self.phase, self.since, self.cause = phase, self._now, cause
 
-    def _time(self, now: int) -> None:
-        """Whatever is seen is seen now. Where nobody looked for long this process was stopped: what it hears on the
-        connections that it has is as old as that, so it counts only once there is a new one."""
-        slept, self._now = now - self._now, max(self._now, now)
-        if slept > STOPPED:
-            self.deaf = True
+    def _advance_clock(self, now: int) -> None:
+        """Takes the time of an observation. A long gap means that the process stalled: what its open connections
+        deliver may be that old, so it counts only after a reconnect."""
+        stalled_for, self._now = now - self._now, max(self._now, now)
+        if stalled_for > STALL_LIMIT:
+            self.awaiting_reconnect = True
             if self.phase is not Phase.BLANK:
-                self._go(Phase.CATCHING_UP, f"this process was stopped for {slept / 1e6:.1f} s")
+                self._enter(Phase.CATCHING_UP, f"this process was stopped for {stalled_for / 1e6:.1f} s")
 
-    # --- what is seen
+    # --- observations
 
     def connected(self, now: int) -> None:
-        """A new connection to the journal is up."""
-        self._time(now)
-        self.deaf = False
+        """A new connection to the journal is established."""
+        self._advance_clock(now)
+        self.awaiting_reconnect = False
 
-    def listed(self, now: int, ready: frozenset[int]) -> None:
-        """The list changed. One that is empty is a list too, once the journal has confirmed it."""
-        self._time(now)
+    def list_changed(self, now: int, ready: frozenset[int]) -> None:
+        """The list changed. An empty list counts too, once the journal has confirmed it."""
+        self._advance_clock(now)
         self.ready = ready
         self.seen &= ready
         if self.phase is Phase.BLANK and ready:
-            self._go(Phase.CATCHING_UP, f"a list of {len(ready)} caches")
-        self._settle()
+            self._enter(Phase.CATCHING_UP, f"a list of {len(ready)} caches")
+        self._check_warm()
 
-    def heard(self, now: int, applied: int, last: int) -> None:
-        """The journal told its last number, and `applied` is the last one here: all news until now, or not."""
-        self._time(now)
-        if self.deaf:
+    def number_received(self, now: int, applied: int, last: int) -> None:
+        """The journal sent its last number; `applied` is the last one applied here."""
+        self._advance_clock(now)
+        if self.awaiting_reconnect:
             return
         if last > applied:
-            self.behind(now, f"number {last} is told, {applied} applied")
+            self.fell_behind(now, f"the last number is {last}, {applied} is applied")
             return
         if last < applied:
-            self.behind(now, f"numbers went back from {applied} to {last}")
+            self.fell_behind(now, f"numbers went back from {applied} to {last}")
             return
-        self.news_at = self._now
+        self.confirmed_at = self._now
         if self.phase in (Phase.BLANK, Phase.CATCHING_UP):
-            self._go(Phase.FULL if self.warm else Phase.WARMING, f"caught up with number {last}")
-            self._settle()
+            self._enter(Phase.FULL if self.warmed_up else Phase.WARMING, f"caught up with number {last}")
+            self._check_warm()
 
-    def behind(self, now: int, cause: str) -> None:
-        """News is known to be missing."""
-        self._time(now)
+    def fell_behind(self, now: int, cause: str) -> None:
+        """Events are known to be missing."""
+        self._advance_clock(now)
         if self.phase is not Phase.BLANK:
-            self._go(Phase.CATCHING_UP, cause)
+            self._enter(Phase.CATCHING_UP, cause)
 
-    def answered(self, now: int, server: int, served: bool) -> None:
-        """An attempt there ended, one way or the other: something is known of it."""
-        self._time(now)
+    def attempt_ended(self, now: int, server: int, served: bool) -> None:
+        """An attempt at this server ended, served or not: the server counts as seen."""
+        self._advance_clock(now)
         self.answers += served
         if server in self.ready:
             self.seen.add(server)
-        self._settle()
-
-    def turn(self, now: int) -> None:
-        """Time passes. Silence of the journal makes news doubtful."""
-        self._time(now)
-        if self.phase in (Phase.WARMING, Phase.FULL) and self._now - (self.news_at or 0) > self.silent:
-            self._go(Phase.CATCHING_UP, f"no news for {(self._now - (self.news_at or 0)) / 1e6:.1f} s")
-
-    def _settle(self) -> None:
+        self._check_warm()
+
+    def tick(self, now: int) -> None:
+        """Time passes. If the journal is silent, events may be missing."""
+        self._advance_clock(now)
+        if self.phase in (Phase.WARMING, Phase.FULL) and self._now - (self.confirmed_at or 0) > self.silence_limit:
+            self._enter(
+                Phase.CATCHING_UP,
+                f"the journal has been silent for {(self._now - (self.confirmed_at or 0)) / 1e6:.1f} s",
+            )
+
+    def _check_warm(self) -> None:
         if self.phase is not Phase.WARMING:
             return
-        enough = self.answers >= SEEN_ANSWERS and len(self.seen) >= SEEN_SHARE * len(self.ready)
-        if enough or self.answers >= ANSWERS_ENOUGH:
-            self.warm = True
-            self._go(Phase.FULL, f"{self.answers} answers, {len(self.seen)} of {len(self.ready)} caches seen")
+        enough = self.answers >= MIN_ANSWERS and len(self.seen) >= MIN_SEEN_SHARE * len(self.ready)
+        if enough or self.answers >= SUFFICIENT_ANSWERS:
+            self.warmed_up = True
+            self._enter(Phase.FULL, f"{self.answers} answers, {len(self.seen)} of {len(self.ready)} caches seen")
 
-    # --- what is allowed
+    # --- permissions
 
-    def trusted(self, now: int) -> bool:
-        """Whether what is known can't miss anything that counts as told."""
-        return self.news_at is not None and now - self.news_at <= self.policy.trust
+    def is_trusted(self, now: int) -> bool:
+        """Whether the list is recent enough to include every event that counts as delivered."""
+        return self.confirmed_at is not None and now - self.confirmed_at <= self.policy.trust_time
 
-    def allows(self, now: int) -> Permissions:
+    def permissions(self, now: int) -> Permissions:
         if self.phase is Phase.BLANK:
             return Permissions(False)
-        missing = now - self.news_at if self.news_at is not None else self.policy.trust + 1
-        if missing <= min(self.silent, self.policy.slack) or (
-            missing <= self.silent and self.phase is not Phase.CATCHING_UP
+        missing = now - self.confirmed_at if self.confirmed_at is not None else self.policy.trust_time + 1
+        if missing <= min(self.silence_limit, self.policy.purge_slack) or (
+            missing <= self.silence_limit and self.phase is not Phase.CATCHING_UP
         ):
             return Permissions(True, learn=self.phase is not Phase.FULL)
-        send = self.trusted(now) or self.policy.blind is UntrustedNewsPolicy.SERVE
-        return Permissions(send, max(1, self.policy.slack))
+        send = self.is_trusted(now) or self.policy.when_stale is StaleListPolicy.SERVE
+        return Permissions(send, max(1, self.policy.purge_slack))
 
 
 @dataclass(slots=True)
 class FleetPhaseSummary:
-    """What all instances report of themselves, summed: when the fleet is down, and when it is back."""
+    """The reported phases of all proxies: whether the fleet is in full service, and since when."""
 
-    back_share: float = 0.95
+    recovered_share: float = 0.95
     down_since: int | None = None
-    back_at: int | None = None
+    recovered_at: int | None = None
     by_phase: dict[str, int] = field(default_factory=dict)
 
     def update(self, now: int, phases: list[str | None], silent: int) -> str | None:
-        """Phases of the live ones (None: it doesn't say, and counts as full) and how many are silent; a line where the
-        fleet went down or came back. Times in any one unit."""
+        """`phases` of the live proxies (None: not reported, counts as full) and the number of silent ones. Returns a
+        line for the log if the fleet went down or came back. Times may be in any unit."""
         known = [phase or Phase.FULL.value for phase in phases]
         self.by_phase = {phase.value: known.count(phase.value) for phase in Phase}
-        of = len(known) + silent
-        share = self.by_phase[Phase.FULL.value] / of if of else 1.0
-        if share < self.back_share and self.down_since is None:
-            self.down_since, self.back_at = now, None
-            return f"the fleet is not in full service: {self.by_phase[Phase.FULL.value]} of {of} proxies are"
-        if share >= self.back_share and self.down_since is not None and of:
-            took, self.down_since, self.back_at = now - self.down_since, None, now
-            return f"the fleet is back: {self.by_phase[Phase.FULL.value]} of {of} proxies in full service after {took}"
+        count = len(known) + silent
+        share = self.by_phase[Phase.FULL.value] / count if count else 1.0
+        if share < self.recovered_share and self.down_since is None:
+            self.down_since, self.recovered_at = now, None
+            return f"the fleet is not in full service: {self.by_phase[Phase.FULL.value]} of {count} proxies are"
+        if share >= self.recovered_share and self.down_since is not None and count:
+            took, self.down_since, self.recovered_at = now - self.down_since, None, now
+            return (
+                f"the fleet is back: {self.by_phase[Phase.FULL.value]} of {count} proxies in full service after {took}"
+            )
         return None
--- a/threadhill/recovery/proxy.py
+++ b/threadhill/recovery/proxy.py
@@ -13,7 +13,7 @@
 from threadhill.ownership.feeds import Fence
 from threadhill.recovery import learned, saved
 from threadhill.recovery.numbers import DepartedServers, NumberCheck, compare_numbers
-from threadhill.recovery.phases import Permissions, Phase, PhasePolicy, PhaseTracker, UntrustedNewsPolicy
+from threadhill.recovery.phases import Permissions, Phase, PhasePolicy, PhaseTracker, StaleListPolicy
 from threadhill.recovery.statefile import StateFile
 from threadhill.settings import Malformed, mapping, required_integer
 
@@ -44,7 +44,7 @@
     """What the operator's file says. Times in microseconds."""
 
     trust: int = 7_000_000
-    blind: UntrustedNewsPolicy = UntrustedNewsPolicy.REFUSE
+    blind: StaleListPolicy = StaleListPolicy.REFUSE
     state: Path | None = None  # the folder of the state file; None: nothing is kept
     every: int = 5_000_000
     learn: bool = True
@@ -102,23 +102,23 @@
 
     def _allowed(self, now: int) -> Permissions:
         self._slept(now)
-        allows = self.phases.allows(now)
-        if allows.oldest != self._oldest:
-            self._oldest = allows.oldest
-            self.engine.purges_uncertain(allows.oldest)
-        free = allows.send and not allows.oldest and self.phases.phase is not Phase.CATCHING_UP
+        allows = self.phases.permissions(now)
+        if allows.max_copy_age != self._oldest:
+            self._oldest = allows.max_copy_age
+            self.engine.purges_uncertain(allows.max_copy_age)
+        free = allows.send and not allows.max_copy_age and self.phases.phase is not Phase.CATCHING_UP
         self._until = now + 2 * TURN if free else 0
         return allows
 
     def ended(self, server: int, served: bool) -> None:
         if self.phases.phase is Phase.WARMING:
-            self.phases.answered(self.engine.clock.now(), server, served)
+            self.phases.attempt_ended(self.engine.clock.now(), server, served)
 
     # --- time
 
     def _slept(self, now: int) -> None:
-        self.phases.turn(now)
-        if self.phases.deaf and not self._left:
+        self.phases.tick(now)
+        if self.phases.awaiting_reconnect and not self._left:
             self._left = True
             self.engine.stats.count("recovery", "was stopped")
             # What waits on the old connection is as old as the sleep: only a new connection brings current events.
@@ -132,9 +132,10 @@
 
     def _tell(self) -> None:
         for change in self.phases.changes:
-            self.engine.stats.count("phase", change.now.value)
+            self.engine.stats.count("phase", change.new.value)
             self.log(
-                f"phase: {change.was.value} -> {change.now.value} after {change.lasted / 1e6:.2f} s: " f"{change.cause}"
+                f"phase: {change.old.value} -> {change.new.value} after {change.duration / 1e6:.2f} s: "
+                f"{change.cause}"
             )
         self.phases.changes.clear()
 
@@ -147,7 +148,7 @@
     def screen(self, entries: tuple[api.Entry, ...]) -> tuple[api.Entry, ...]:
         """List entries as they are to be applied; what drains is remembered."""
         told = self.departed.screen(entries)
-        self.departed.note(told)
+        self.departed.record(told)
         return told
 
     def connected(self) -> None:
@@ -158,7 +159,7 @@
     def list_applied(self) -> None:
         """A list was applied."""
         fleet = self.engine.router.fleet
-        self.phases.listed(self.engine.clock.now(), frozenset(s.entry.server for s in fleet.caches))
+        self.phases.list_changed(self.engine.clock.now(), frozenset(s.entry.server for s in fleet.caches))
 
     def is_rollback(self, applied: int, last: int) -> bool:
         """The service told its last number; whether it is an older or another world's, to be asked for whole."""
@@ -168,14 +169,14 @@
         """The service told its last number."""
         verdict = compare_numbers(applied, last)
         if verdict in (NumberCheck.BACK, NumberCheck.FAR):
-            self.departed.went_back(applied)
+            self.departed.begin_rollback(applied)
             self.engine.stats.count("journal", "numbers " + ("went back" if verdict is NumberCheck.BACK else "jumped"))
             self.log(
                 f"journal: its last number is {last} and {applied} was applied here: an older or another service; "
-                f"all of it is asked for, and {len(self.departed.out)} servers that drained or went stay out until "
+                f"all of it is asked for, and {len(self.departed.starts)} servers that drained or went stay out until "
                 "they are told as started anew"
             )
-            self.phases.behind(self.engine.clock.now(), f"numbers from {applied} to {last}")
+            self.phases.fell_behind(self.engine.clock.now(), f"numbers from {applied} to {last}")
             self._until = 0
             return verdict
         if verdict is NumberCheck.SAME:
@@ -183,12 +184,12 @@
             if back:
                 self.engine.list_changed(api.ListNews(api.ListKind.CHANGES, back))
                 self.list_applied()
-            if self.departed.kept_out and self.phases.phase is Phase.CATCHING_UP:
+            if self.departed.withheld and self.phases.phase is Phase.CATCHING_UP:
                 self.log(
-                    f"journal: {len(self.departed.kept_out)} servers stay out that this older list names: "
-                    f"{', '.join(f's-{n:08x}' for n in sorted(self.departed.kept_out)[:8])}"
+                    f"journal: {len(self.departed.withheld)} servers stay out that this older list names: "
+                    f"{', '.join(f's-{n:08x}' for n in sorted(self.departed.withheld)[:8])}"
                 )
-        self.phases.heard(self.engine.clock.now(), applied, last)
+        self.phases.number_received(self.engine.clock.now(), applied, last)
         if self.phases.phase is Phase.CATCHING_UP:
             self._until = 0
         return verdict
@@ -196,7 +197,7 @@
     def event_applied(self, purge_age: int | None) -> None:
         """An event was applied; `purge_age`: of a purge, how long ago it was. One that is new shows that what waited is
         here: while events come all the time, the service tells no number."""
-        live = purge_age is not None and purge_age < self.phases.policy.slack
+        live = purge_age is not None and purge_age < self.phases.policy.purge_slack
         if live or self.phases.phase in (Phase.WARMING, Phase.FULL):
             self.heard(self.journal.pos, self.journal.pos)
 
@@ -242,13 +243,13 @@
         self._primed = taken > 0
         self.fence.admits(kept.term)
         if older:  # the configuration is of before what this proxy was told already
-            self.phases.news_at = None
+            self.phases.confirmed_at = None
             stale = [
                 e
                 for e in self.engine.cordons.entries.values()
                 if e.state is api.State.READY
-                and e.server in self.departed.out
-                and e.reported_start <= self.departed.out[e.server]
+                and e.server in self.departed.starts
+                and e.reported_start <= self.departed.starts[e.server]
             ]
             if stale:
                 self.engine.list_changed(api.ListNews(api.ListKind.CHANGES, self.departed.screen(tuple(stale))))
--- a/threadhill/recovery/saved.py
+++ b/threadhill/recovery/saved.py
@@ -64,7 +64,7 @@
     return {
         "pos": pos,
         "learned": learned.gather(router, now),
-        "out": list(departed.out.items()),
+        "out": list(departed.starts.items()),
         "purges": purges,
         "cordons": cordons[:NAMES],
         "term": term,
@@ -132,9 +132,9 @@
     knows later news than what the proxy was started with (`pos`): that is an older world until the journal is heard."""
     older = saved.pos > pos
     ready = {n for n, s in router.fleet.servers.items() if s.entry.state is api.State.READY}
-    departed.out.update({n: since for n, since in saved.out.items() if older or n not in ready})
+    departed.starts.update({n: since for n, since in saved.out.items() if older or n not in ready})
     if older:
-        departed.went_back(saved.pos)
+        departed.begin_rollback(saved.pos)
     for key, at in saved.purges:
         # How long the file lay only wall clocks tell, which may have been stepped: a purge is as old as it was then.
         age = max(0, saved.at - at)
