--- a/threadhill/overload/control.py
+++ b/threadhill/overload/control.py
@@ -1,5 +1,5 @@
-"""The core's `OverloadController` port: observes each request and its end, holds off what exceeds the capacity under overload, and
-schedules when clients that are refused, here or by the module, are to come back.
+"""The core's `OverloadControl` port: observes each request and its end, holds off what exceeds the capacity under
+overload, and schedules when clients that are refused, here or by the module, are to come back.
 
 In normal times it only counts: every request reaches the module, and what the module refuses is told the module's own
 come-back time. It does not change the module's decisions, only how much reaches the module, in which order, and when
@@ -51,7 +51,7 @@
     """A request that the module has not answered yet."""
 
     arrived_at: int
-    ask: ClientRequest
+    request: ClientRequest
     front: str
     work: float
     latency_target: int
@@ -68,7 +68,7 @@
     front: str
     why: str
     state: str
-    come_back: int
+    retry_after: int
     retry: bool
 
     def document(self) -> dict[str, object]:
@@ -79,7 +79,7 @@
             "front": self.front,
             "why": self.why,
             "state": self.state,
-            "come_back_ms": self.come_back // 1_000,
+            "come_back_ms": self.retry_after // 1_000,
             "retry": self.retry,
         }
 
@@ -127,37 +127,37 @@
         self._asks = 0.0
         self._all = self.detector.all
 
-    # --- the OverloadController port
+    # --- the OverloadControl port
 
-    def admit(self, handle: int, ask: ClientRequest, front: str, now: int) -> int | None:
+    def admit(self, handle: int, request: ClientRequest, front: str, now: int) -> int | None:
         """None: the request goes to the module. Otherwise it is refused, to come back after so many microseconds."""
-        cls = self.classes.get(ask.class_name)
-        key = self._retry_key(ask)
-        retry = self._classify_retry(ask, key, now)
-        promise_key = self._promise_key(ask, key)
+        cls = self.classes.get(request.class_name)
+        key = self._retry_key(request)
+        retry = self._classify_retry(request, key, now)
+        promise_key = self._promise_key(request, key)
         back = self.scheduler.returned(promise_key, now) if self.scheduler.promises else Return.NONE
         event = Event.FIRST if retry is None else retry
-        monitors = self._monitors(ask, front)
+        monitors = self._monitors(request, front)
         for monitor in monitors:
             monitor.counts[event] += 1
             if back is Return.EARLY:
                 monitor.counts[Event.EARLY] += 1
         if back is not Return.NONE:
             self.counts.returns[back.value] = self.counts.returns.get(back.value, 0) + 1
-        tenant, client = ask.tenant or "", ask.client or front
-        work = self._work(ask)
+        tenant, client = request.tenant or "", request.client or front
+        work = self._work(request)
         why = ""
         if self._all.state is not State.NORMAL or self.admission.limit != math.inf:
             if retry is None:  # normally nothing is credited or charged: a storm starts with half-full buckets
                 self.budgets.deposit(client, tenant, now)
-            why = self._reason_to_hold(ask, cls, retry is not None, back, client, tenant, work, now)
+            why = self._reason_to_hold(request, cls, retry is not None, back, client, tenant, work, now)
         if not why:
             latency_target = (
                 int(cls.latency_target + cls.latency_target_stretch * work * SECOND)
                 if cls is not None and cls.latency_target
-                else ask.time_left
+                else request.time_left
             )
-            self.open_requests[handle] = OpenRequest(now, ask, front, work, latency_target, monitors)
+            self.open_requests[handle] = OpenRequest(now, request, front, work, latency_target, monitors)
             self.capacity.record_admitted(work)
             return None
         for monitor in monitors:
@@ -166,47 +166,47 @@
         self.counts.held[why] = self.counts.held.get(why, 0) + 1
         if back is Return.KEPT:
             self.counts.refused_again += 1
-        return self._schedule_return(ask, promise_key, front, why, back is Return.EARLY, retry is not None, now)
+        return self._schedule_return(request, promise_key, front, why, back is Return.EARLY, retry is not None, now)
 
-    def request_refused(self, handle: int, come_back: int, now: int) -> int:
-        """The module refuses this request, and tells the client to come back after `come_back`; returns the
+    def request_refused(self, handle: int, retry_after: int, now: int) -> int:
+        """The module refuses this request, and tells the client to come back after `retry_after`; returns the
         time that the client is told instead."""
-        request = self.open_requests.get(handle)
-        if request is None or not come_back or not self.config.comebacks or self._all.state is State.NORMAL:
-            return come_back
-        promise_key = self._promise_key(request.ask, self._retry_key(request.ask))
+        open_request = self.open_requests.get(handle)
+        if open_request is None or not retry_after or not self.config.comebacks or self._all.state is State.NORMAL:
+            return retry_after
+        promise_key = self._promise_key(open_request.request, self._retry_key(open_request.request))
         return self._schedule_return(
-            request.ask, promise_key, request.front, "the module had no room", False, False, now
+            open_request.request, promise_key, open_request.front, "the module had no room", False, False, now
         )
 
-    def request_finished(self, handle: int, final: FinalStatus, now: int) -> None:
+    def request_finished(self, handle: int, status: FinalStatus, now: int) -> None:
         """The request got its final answer from the module."""
-        request = self.open_requests.pop(handle, None)
-        if request is None:
+        open_request = self.open_requests.pop(handle, None)
+        if open_request is None:
             return
-        ask = request.ask
-        late = final is FinalStatus.SERVED and now - request.arrived_at > request.latency_target
+        request = open_request.request
+        late = status is FinalStatus.SERVED and now - open_request.arrived_at > open_request.latency_target
         event = {
             FinalStatus.SERVED: Event.SERVED,
             FinalStatus.REFUSED: Event.REFUSED,
             FinalStatus.FAILED: Event.FAILED,
-        }[final]
-        for monitor in request.monitors:
+        }[status]
+        for monitor in open_request.monitors:
             monitor.counts[event] += 1
             if late:
                 monitor.counts[Event.LATE] += 1
-        self.capacity.record_finished(request.work, final is FinalStatus.SERVED and not late)
-        if final is FinalStatus.SERVED:
-            if ask.part or self._in_parts(ask.class_name):
-                self.admission.claims.record(ask.client or request.front, ask.object, ask.part, now)
-        elif ask.idempotency_key is None:
-            self.unserved.add(self._retry_key(ask), now)
+        self.capacity.record_finished(open_request.work, status is FinalStatus.SERVED and not late)
+        if status is FinalStatus.SERVED:
+            if request.part or self._in_parts(request.class_name):
+                self.admission.claims.record(request.client or open_request.front, request.object, request.part, now)
+        elif request.idempotency_key is None:
+            self.unserved.add(self._retry_key(request), now)
 
     def client_gone(self, handle: int, now: int) -> None:
         """The client stopped waiting; it may retry."""
-        request = self.open_requests.pop(handle, None)
-        if request is not None:
-            self.unserved.add(self._retry_key(request.ask), now)
+        open_request = self.open_requests.pop(handle, None)
+        if open_request is not None:
+            self.unserved.add(self._retry_key(open_request.request), now)
 
     def tick(self, now: int) -> None:
         """Called ten times a second: updates the states and recomputes the limits."""
@@ -227,49 +227,49 @@
 
     # --- decisions
 
-    def _retry_key(self, ask: ClientRequest) -> str:
+    def _retry_key(self, request: ClientRequest) -> str:
         """Identifies a retry with its first try, across connections."""
-        return ask.idempotency_key or f"{ask.class_name} {ask.object} {ask.part} {ask.tenant or ''}"
+        return request.idempotency_key or f"{request.class_name} {request.object} {request.part} {request.tenant or ''}"
 
     @staticmethod
-    def _promise_key(ask: ClientRequest, key: str) -> str:
+    def _promise_key(request: ClientRequest, key: str) -> str:
         """Includes the client: otherwise anyone requesting a popular object would use up the promise."""
-        return ask.idempotency_key or f"{ask.client} {key}"
+        return request.idempotency_key or f"{request.client} {key}"
 
     def _in_parts(self, cls: str) -> bool:
         found = self.classes.get(cls)
         return found is not None and found.in_parts
 
-    def _work(self, ask: ClientRequest) -> float:
+    def _work(self, request: ClientRequest) -> float:
         """Seconds that sending the answer takes."""
         return (
-            ask.size / self.client_kb_per_s if ask.size and self.client_kb_per_s else DEFAULT_WORK / SECOND
-        ) * ask.weight
+            request.size / self.client_kb_per_s if request.size and self.client_kb_per_s else DEFAULT_WORK / SECOND
+        ) * request.weight
 
-    def _monitors(self, ask: ClientRequest, front: str) -> list[Monitor]:
+    def _monitors(self, request: ClientRequest, front: str) -> list[Monitor]:
         monitor = self.detector.monitor
-        monitors = [self._all, monitor("class", ask.class_name), monitor("front", front)]
-        if ask.tenant:
-            monitors.append(monitor("tenant", ask.tenant))
+        monitors = [self._all, monitor("class", request.class_name), monitor("front", front)]
+        if request.tenant:
+            monitors.append(monitor("tenant", request.tenant))
         return monitors
 
-    def _classify_retry(self, ask: ClientRequest, key: str, now: int) -> Event | None:
+    def _classify_retry(self, request: ClientRequest, key: str, now: int) -> Event | None:
         """The kind of retry that this is; None for a first try."""
-        inferred = ask.idempotency_key is None and self.unserved.take(key, now)
-        if ask.idempotency_key is not None:
-            last = self.tokens.pop(ask.idempotency_key, None)
-            self.tokens[ask.idempotency_key] = now
+        inferred = request.idempotency_key is None and self.unserved.take(key, now)
+        if request.idempotency_key is not None:
+            last = self.tokens.pop(request.idempotency_key, None)
+            self.tokens[request.idempotency_key] = now
             if len(self.tokens) > MAX_TOKENS:
                 self.tokens.popitem(last=False)
             if last is not None and now - last <= TOKEN_LIFE:
                 return Event.TOKEN
-        if ask.repeat:
+        if request.repeat:
             return Event.MARKED
         return Event.INFERRED if inferred else None
 
     def _reason_to_hold(
         self,
-        ask: ClientRequest,
+        request: ClientRequest,
         cls: api.RequestClass | None,
         retry: bool,
         back: Return,
@@ -279,7 +279,7 @@
         now: int,
     ) -> str:
         """Why this request must wait; "" if it is admitted."""
-        keyed = ask.idempotency_key is not None or cls is not None and cls.retry_safety is not api.RetrySafety.SAFE
+        keyed = request.idempotency_key is not None or cls is not None and cls.retry_safety is not api.RetrySafety.SAFE
         promised = back is Return.KEPT
         if retry and not keyed and not promised and self.config.retry_budgets:
             empty = self.budgets.withdraw(client, tenant, now)
@@ -291,7 +291,7 @@
             priority = Priority.PROMISED
         elif back is Return.EARLY:
             priority = Priority.EARLY
-        elif self.admission.claims.holds(client, ask.object, ask.part, now):
+        elif self.admission.claims.holds(client, request.object, request.part, now):
             priority = Priority.LISTENER
         else:
             priority = Priority.AGAIN if retry else Priority.FIRST
@@ -300,7 +300,7 @@
         if self.admission.admit(tenant, level, work):
             # The module applies this per server: the rest of each server's capacity is for high priorities, and for
             # tenants that stay within their share.
-            ask.inflight_share = (
+            request.inflight_share = (
                 1.0 if priority <= Priority.LISTENER or self.admission.within_share(tenant) else LOW_PRIORITY_SHARE
             )
             return ""
@@ -315,20 +315,20 @@
         )
 
     def _schedule_return(
-        self, ask: ClientRequest, key: str, front: str, why: str, early: bool, retry: bool, now: int
+        self, request: ClientRequest, key: str, front: str, why: str, early: bool, retry: bool, now: int
     ) -> int:
         """Records the refusal; returns when the client is to come back, before it would give up."""
-        most = min(self.scheduler.horizon, max(20_000, ask.time_left - GIVE_UP_MARGIN))
+        most = min(self.scheduler.horizon, max(20_000, request.time_left - GIVE_UP_MARGIN))
         if self.config.comebacks:
             useful = min(
-                most, ask.time_left - min(ask.time_left // 2, SERVICE_TIME)
+                most, request.time_left - min(request.time_left // 2, SERVICE_TIME)
             )  # a later return could not be served in time
             wait = self.scheduler.book(key, now, useful, self.scheduler.early_penalty(useful) if early else 0, most)
             self.counts.planned += 1
         else:
             wait = most
-        self.refusals[ask.request_id or f"dns-{len(self.refusals)}"] = Refusal(
-            now, ask.class_name, ask.tenant or "", front, why, self._all.state.value, wait, retry
+        self.refusals[request.request_id or f"dns-{len(self.refusals)}"] = Refusal(
+            now, request.class_name, request.tenant or "", front, why, self._all.state.value, wait, retry
         )
         while len(self.refusals) > MAX_REFUSALS:
             self.refusals.popitem(last=False)
