--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -154,7 +154,7 @@
     old = warmed()
     known = learned.check(orjson.loads(orjson.dumps(learned.gather(old.router, old.now))))
     assert known["servers"] and known["objects"] and known["work"] > 0
-    for age, share in ((0, 1.0), (learned.KEEPS // 2, 0.5), (learned.KEEPS, 0.0)):
+    for age, share in ((0, 1.0), (learned.ESTIMATE_LIFETIME // 2, 0.5), (learned.ESTIMATE_LIFETIME, 0.0)):
         fresh = Script()
         learned.prime(fresh.router, known, age, fresh.now)
         assert fresh.router.work.peak == pytest.approx(share * known["work"], rel=0.01)
@@ -235,7 +235,7 @@
     "another installation": (lambda raw: raw.replace(b"abcd1234", b"abcd1235"), "another"),
     "of the future": (lambda raw: raw.replace(b'"at":1000000', b'"at":9000000'), "future"),
     "not JSON": (lambda raw: b"\x00" * 50 + raw, "first line"),
-    "too long": (lambda raw: raw + b" " * saved.MOST, "over"),
+    "too long": (lambda raw: raw + b" " * saved.MAX_BYTES, "over"),
 }
 
 
@@ -268,13 +268,13 @@
 def test_drains_and_purges_in_a_file_are_never_aged_away_and_what_was_learned_is() -> None:
     kept = saved.unpack(saved.pack(body(), "w", 1000 * SECOND), "w", 5000 * SECOND)
     fresh, departed = Script(), DepartedServers()
-    taken, older = saved.restore(kept, fresh.router, departed, 50, kept.at + saved.OLDEST + SECOND)
+    taken, older = saved.restore(kept, fresh.router, departed, 50, kept.saved_at + saved.MAX_AGE + SECOND)
     assert (taken, older) == (0, True) and departed.rolled_back and departed.starts[9] == 4
     # As young as when it was saved: how long the file lay only wall clocks tell, which may have been stepped.
-    now, age = kept.at + saved.OLDEST + SECOND, max(0, kept.at - kept.purges[0][1])
+    now, age = kept.saved_at + saved.MAX_AGE + SECOND, max(0, kept.saved_at - kept.purges[0][1])
     assert fresh.router.freshness.records["o1"].at == now - age and not fresh.router.usual_took.samples
     departed = DepartedServers()
-    assert not saved.restore(kept, Script().router, departed, 57, kept.at)[1] and not departed.rolled_back
+    assert not saved.restore(kept, Script().router, departed, 57, kept.saved_at)[1] and not departed.rolled_back
 
 
 # --- snapshots, the way back
--- a/threadhill/recovery/ages.py
+++ b/threadhill/recovery/ages.py
@@ -1,4 +1,4 @@
-"""Which snapshots are kept: all of the last ones, then one an hour, then one a day. Free of I/O; times in seconds."""
+"""Retention of snapshots: the newest ones, then one an hour, then one a day. Free of I/O; times in seconds."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 def expired_snapshots(times: Iterable[int], now: int, newest: int = 10, hours: int = 24, days: int = 30) -> list[int]:
-    """Of snapshots taken at these times, those that are not kept any more. What is in the future is kept: a clock that
-    was set back must not delete anything."""
+    """Of snapshots taken at these times, those to delete. Times in the future are kept: a clock that was set back must
+    not delete anything."""
     ordered = sorted(set(times), reverse=True)
     keep = set(ordered[:newest])
     for span, count in ((HOUR, hours), (DAY, days)):
--- a/threadhill/recovery/proxy.py
+++ b/threadhill/recovery/proxy.py
@@ -1,4 +1,4 @@
-"""Where the phases of one proxy plug in: as a gate between core and servers, at the journal client, on the disk."""
+"""Recovery in one proxy: connects the phases to the engine, the journal client and the state file."""
 
 from __future__ import annotations
 
@@ -17,41 +17,41 @@
 from threadhill.recovery.statefile import StateFile
 from threadhill.settings import Malformed, mapping, required_integer
 
-TURN = 100_000  # microseconds between looks at the phases
-COME_BACK = 250_000  # microseconds for which a refused client is sent away while this proxy catches up, by chance half
-PER_DIAL = 5_000  # microseconds of spread of first dials to the journal a proxy: 20 a tenth of a second
-LEARNED_EVERY = 10  # reports from one that tells what was learned to the next
-LEARNED_TOLD = 100, 64  # servers and objects that one tells
-DIALS_MOST = 2_000_000  # and at most, however many there are
+CHECK_INTERVAL = 100_000  # microseconds between two checks of the phase
+MAX_RETRY_DELAY = 250_000  # microseconds that a client refused while catching up is told to wait: half to all of it
+DIAL_SPREAD = 5_000  # microseconds per proxy over which first dials to the journal spread: 20 in 0.1 s
+LEARNED_EVERY = 10  # what was learned is part of one report in so many
+LEARNED_LIMITS = 100, 64  # servers and objects in such a report
+MAX_DIAL_DELAY = 2_000_000  # microseconds, however many proxies there are
 
 
-class Service(Protocol):
-    """The journal client, as this sees it."""
+class JournalClient(Protocol):
+    """What recovery needs of the journal client."""
 
     pos: int  # the last number applied
 
     def reconnect(self) -> None:
-        """Leave the connection for a new one."""
+        """Drops the connection and opens a new one."""
         ...
 
     def number(self, name: str) -> int:
-        """A server's id as the module's number."""
+        """The decision module's number of a server id."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryConfig:
-    """What the operator's file says. Times in microseconds."""
+    """The `recovery` table of the operator's file. Times in microseconds."""
 
-    trust: int = 7_000_000
-    blind: StaleListPolicy = StaleListPolicy.REFUSE
-    state: Path | None = None  # the folder of the state file; None: nothing is kept
-    every: int = 5_000_000
+    trust_time: int = 7_000_000
+    when_stale: StaleListPolicy = StaleListPolicy.REFUSE
+    state_folder: Path | None = None  # None: no state file
+    save_interval: int = 5_000_000
     learn: bool = True
 
 
 class Recovery:
-    """One proxy's. As the engine's gate it says what may be sent; as the journal's, it hears of each line."""
+    """The recovery of one proxy: the engine asks it what may be sent, the journal client reports what it receives."""
 
     def __init__(
         self,
@@ -59,78 +59,85 @@
         config: RecoveryConfig,
         name: str,
         seed: int,
-        known_at: int | None,
+        confirmed_at: int | None,
         log: Callable[[str], None],
-        journal: Service,
+        journal: JournalClient,
     ) -> None:
         self.engine, self.config, self.log, self.journal = engine, config, log, journal
         settings = engine.router.settings
         self.random = random.Random(seed ^ 0x5EED)
         self.phases = PhaseTracker(
-            PhasePolicy(config.trust, settings.purge_grace or 500_000, config.blind), engine.clock.now(), known_at
+            PhasePolicy(config.trust_time, settings.purge_grace or 500_000, config.when_stale),
+            engine.clock.now(),
+            confirmed_at,
         )
         self.departed, self.fence = DepartedServers(), Fence()
-        self.file = StateFile(config.state, name, saved.installation(settings, name), log) if config.state else None
-        self._oldest = 0
-        self._until = 0  # until when all may be sent without another look: each request asks three times
-        self._primed = self._left = False  # it took what others learned; it left the journal after it was stopped
-        self._reports = self.random.randrange(LEARNED_EVERY)
+        self.file = (
+            StateFile(config.state_folder, name, saved.installation_of(settings, name), log)
+            if config.state_folder
+            else None
+        )
+        self._max_copy_age = 0
+        self._unrestricted_until = 0  # no checks are needed until then: each request would make three
+        self._has_learned = self._reconnecting = False  # learned state was imported; a new connection was asked for
+        self._report_count = self.random.randrange(LEARNED_EVERY)
         engine.recovery_gate = self
-        engine.on_attempt_outcome = self.ended
-        engine.deadlines.add(engine.clock.now() + TURN, self._turn)
+        engine.on_attempt_outcome = self.attempt_ended
+        engine.deadlines.add(engine.clock.now() + CHECK_INTERVAL, self._tick)
         if self.file is not None:
-            engine.deadlines.add(engine.clock.now() + config.every, self._periodic_save)
+            engine.deadlines.add(engine.clock.now() + config.save_interval, self._periodic_save)
 
-    # --- the engine's gate
+    # --- the RecoveryGate port
 
     def retry_after(self, now: int) -> int | None:
-        """None: requests go on. Else all are refused, to come back after so many microseconds."""
-        if now < self._until:
+        """None: requests go on. Otherwise all are refused, to come back after so many microseconds."""
+        if now < self._unrestricted_until:
             return None
-        allows = self._allowed(now)
-        if allows.send:
+        permissions = self._check(now)
+        if permissions.send:
             return None
         self.engine.stats.count("recovery", f"refused while {self.phases.phase.value}")
-        return int(COME_BACK * (1 - self.random.random() / 2)) * self.engine.router.settings.retry_after_allowed
+        return int(MAX_RETRY_DELAY * (1 - self.random.random() / 2)) * self.engine.router.set.retry_after_allowed
 
     def may_send(self, now: int) -> bool:
-        """Whether an attempt may be written now, as the module has just decided on it."""
-        if now < self._until:
+        """Whether an attempt that the module has just decided on may be written now."""
+        if now < self._unrestricted_until:
             return True
-        before = self._oldest
-        return self._allowed(now).send and (not self._oldest or self._oldest == before)  # else it decides anew
-
-    def _allowed(self, now: int) -> Permissions:
-        self._slept(now)
-        allows = self.phases.permissions(now)
-        if allows.max_copy_age != self._oldest:
-            self._oldest = allows.max_copy_age
-            self.engine.purges_uncertain(allows.max_copy_age)
-        free = allows.send and not allows.max_copy_age and self.phases.phase is not Phase.CATCHING_UP
-        self._until = now + 2 * TURN if free else 0
-        return allows
-
-    def ended(self, server: int, served: bool) -> None:
+        before = self._max_copy_age
+        return self._check(now).send and (
+            not self._max_copy_age or self._max_copy_age == before
+        )  # otherwise the module decides again
+
+    def _check(self, now: int) -> Permissions:
+        self._detect_stall(now)
+        permissions = self.phases.permissions(now)
+        if permissions.max_copy_age != self._max_copy_age:
+            self._max_copy_age = permissions.max_copy_age
+            self.engine.purges_uncertain(permissions.max_copy_age)
+        free = permissions.send and not permissions.max_copy_age and self.phases.phase is not Phase.CATCHING_UP
+        self._unrestricted_until = now + 2 * CHECK_INTERVAL if free else 0
+        return permissions
+
+    def attempt_ended(self, server: int, served: bool) -> None:
         if self.phases.phase is Phase.WARMING:
             self.phases.attempt_ended(self.engine.clock.now(), server, served)
 
     # --- time
 
-    def _slept(self, now: int) -> None:
+    def _detect_stall(self, now: int) -> None:
         self.phases.tick(now)
-        if self.phases.awaiting_reconnect and not self._left:
-            self._left = True
+        if self.phases.awaiting_reconnect and not self._reconnecting:
+            self._reconnecting = True
             self.engine.stats.count("recovery", "was stopped")
-            # What waits on the old connection is as old as the sleep: only a new connection brings current events.
-            self.journal.reconnect()
+            self.journal.reconnect()  # what waits on the old connection may be as old as the stall
 
-    def _turn(self) -> None:
+    def _tick(self) -> None:
         now = self.engine.clock.now()
-        self._allowed(now)
-        self._tell()
-        self.engine.deadlines.add(now + TURN, self._turn)
+        self._check(now)
+        self._log_changes()
+        self.engine.deadlines.add(now + CHECK_INTERVAL, self._tick)
 
-    def _tell(self) -> None:
+    def _log_changes(self) -> None:
         for change in self.phases.changes:
             self.engine.stats.count("phase", change.new.value)
             self.log(
@@ -139,21 +146,21 @@
             )
         self.phases.changes.clear()
 
-    # --- the journal's side
+    # --- the journal client
 
     def first_dial_delay(self, instances: int) -> int:
-        """How long to wait before the first dial, by the seed: what all restart at once must not dial at once."""
-        return int(self.random.random() * min(DIALS_MOST, instances * PER_DIAL))
+        """Microseconds before the first dial, from the seed: proxies that restart together must not dial together."""
+        return int(self.random.random() * min(MAX_DIAL_DELAY, instances * DIAL_SPREAD))
 
     def screen(self, entries: tuple[api.Entry, ...]) -> tuple[api.Entry, ...]:
-        """List entries as they are to be applied; what drains is remembered."""
-        told = self.departed.screen(entries)
-        self.departed.record(told)
-        return told
+        """The list entries as they are to be applied; servers that drain are remembered."""
+        screened = self.departed.screen(entries)
+        self.departed.record(screened)
+        return screened
 
     def connected(self) -> None:
-        """A new connection to the journal is up."""
-        self._left = False
+        """A new connection to the journal is established."""
+        self._reconnecting = False
         self.phases.connected(self.engine.clock.now())
 
     def list_applied(self) -> None:
@@ -162,59 +169,60 @@
         self.phases.list_changed(self.engine.clock.now(), frozenset(s.entry.server for s in fleet.caches))
 
     def is_rollback(self, applied: int, last: int) -> bool:
-        """The service told its last number; whether it is an older or another world's, to be asked for whole."""
-        return self.heard(applied, last) in (NumberCheck.BACK, NumberCheck.FAR)
-
-    def heard(self, applied: int, last: int) -> NumberCheck:
-        """The service told its last number."""
-        verdict = compare_numbers(applied, last)
-        if verdict in (NumberCheck.BACK, NumberCheck.FAR):
+        """The service sent its last number; whether it was rolled back or is another one, so that all of its events
+        must be requested."""
+        return self.number_received(applied, last) in (NumberCheck.BACK, NumberCheck.FAR)
+
+    def number_received(self, applied: int, last: int) -> NumberCheck:
+        """The service sent its last number."""
+        check = compare_numbers(applied, last)
+        if check in (NumberCheck.BACK, NumberCheck.FAR):
             self.departed.begin_rollback(applied)
-            self.engine.stats.count("journal", "numbers " + ("went back" if verdict is NumberCheck.BACK else "jumped"))
+            self.engine.stats.count("journal", "numbers " + ("went back" if check is NumberCheck.BACK else "jumped"))
             self.log(
                 f"journal: its last number is {last} and {applied} was applied here: an older or another service; "
-                f"all of it is asked for, and {len(self.departed.starts)} servers that drained or went stay out until "
-                "they are told as started anew"
+                f"all events are requested again, and {len(self.departed.starts)} servers that drained or were removed "
+                "stay out until they are reported with a newer start"
             )
             self.phases.fell_behind(self.engine.clock.now(), f"numbers from {applied} to {last}")
-            self._until = 0
-            return verdict
-        if verdict is NumberCheck.SAME:
-            back = self.departed.reached(applied)
-            if back:
-                self.engine.list_changed(api.ListNews(api.ListKind.CHANGES, back))
+            self._unrestricted_until = 0
+            return check
+        if check is NumberCheck.SAME:
+            restored = self.departed.reached(applied)
+            if restored:
+                self.engine.list_changed(api.ListNews(api.ListKind.CHANGES, restored))
                 self.list_applied()
             if self.departed.withheld and self.phases.phase is Phase.CATCHING_UP:
                 self.log(
-                    f"journal: {len(self.departed.withheld)} servers stay out that this older list names: "
+                    f"journal: {len(self.departed.withheld)} servers in this older list are kept out: "
                     f"{', '.join(f's-{n:08x}' for n in sorted(self.departed.withheld)[:8])}"
                 )
         self.phases.number_received(self.engine.clock.now(), applied, last)
         if self.phases.phase is Phase.CATCHING_UP:
-            self._until = 0
-        return verdict
+            self._unrestricted_until = 0
+        return check
 
     def event_applied(self, purge_age: int | None) -> None:
-        """An event was applied; `purge_age`: of a purge, how long ago it was. One that is new shows that what waited is
-        here: while events come all the time, the service tells no number."""
+        """An event was applied; `purge_age`: the age of a purge. A recent one shows that all waiting events are here:
+        while events come all the time, the service sends no number."""
         live = purge_age is not None and purge_age < self.phases.policy.purge_slack
         if live or self.phases.phase in (Phase.WARMING, Phase.FULL):
-            self.heard(self.journal.pos, self.journal.pos)
+            self.number_received(self.journal.pos, self.journal.pos)
 
     def report(self) -> dict[str, Any]:
-        """What the control plane is told of this proxy's phase, and of what it learned."""
-        told: dict[str, Any] = {
+        """The part of the report to the control plane on the phase, and on what was learned."""
+        report: dict[str, Any] = {
             "phase": self.phases.phase.value,
             "cause": self.phases.cause,
             "for_ms": (self.engine.clock.now() - self.phases.since) // 1_000,
         }
-        self._reports += 1
-        if self.config.learn and self.phases.phase is Phase.FULL and self._reports % LEARNED_EVERY == 0:
-            told["learned"] = learned.gather(self.engine.router, self.engine.clock.now(), *LEARNED_TOLD)
-        return told
+        self._report_count += 1
+        if self.config.learn and self.phases.phase is Phase.FULL and self._report_count % LEARNED_EVERY == 0:
+            report["learned"] = learned.gather(self.engine.router, self.engine.clock.now(), *LEARNED_LIMITS)
+        return report
 
     def import_learned(self, raw: Any) -> None:
-        """What running proxies learned, over the feed. Only one that is not warm takes it, and once."""
+        """Imports what running proxies learned. Only done once, and only before full service."""
         try:
             raw = mapping(raw, "what was learned")
             known, age = learned.check(raw.get("known")), required_integer(raw.get("age"), "its age") * 1_000
@@ -222,27 +230,29 @@
             self.engine.stats.count("malformed", "learned")
             self.log(f"journal: {error}")
             return
-        if self.config.learn and not self._primed and self.phases.phase is not Phase.FULL:
-            self._primed = True
-            taken = learned.prime(self.engine.router, known, age, self.engine.clock.now())
+        if self.config.learn and not self._has_learned and self.phases.phase is not Phase.FULL:
+            self._has_learned = True
+            imported = learned.prime(self.engine.router, known, age, self.engine.clock.now())
             self.engine.stats.count("recovery", "learned from others")
-            self.log(f"learned: {taken} servers and {len(known['objects'])} objects from others, {age / 1e6:.1f} s old")
+            self.log(
+                f"learned: {imported} servers and {len(known['objects'])} objects from others, {age / 1e6:.1f} s old"
+            )
 
-    # --- the disk's
+    # --- the state file
 
     def restore_state(self, pos: int) -> None:
-        """After the first list: what an earlier process of this proxy knew."""
-        kept = self.file.read(self.engine.clock.unix_now()) if self.file is not None else None
-        if kept is None:
+        """Called after the first list: restores what an earlier process of this proxy knew."""
+        state = self.file.read(self.engine.clock.unix_now()) if self.file is not None else None
+        if state is None:
             return
-        now, unix = self.engine.clock.now(), self.engine.clock.unix_now()
+        now, unix_now = self.engine.clock.now(), self.engine.clock.unix_now()
         cordons = [
-            name for name in kept.cordons if self.engine.cordon(self.journal.number(name), name, allow_unlisted=True)
+            name for name in state.cordons if self.engine.cordon(self.journal.number(name), name, allow_unlisted=True)
         ]
-        taken, older = saved.restore(kept, self.engine.router, self.departed, pos, now)
-        self._primed = taken > 0
-        self.fence.admits(kept.term)
-        if older:  # the configuration is of before what this proxy was told already
+        restored, newer = saved.restore(state, self.engine.router, self.departed, pos, now)
+        self._has_learned = restored > 0
+        self.fence.admits(state.term)
+        if newer:  # the configuration is older than what this proxy knew already
             self.phases.confirmed_at = None
             stale = [
                 e
@@ -253,28 +263,34 @@
             ]
             if stale:
                 self.engine.list_changed(api.ListNews(api.ListKind.CHANGES, self.departed.screen(tuple(stale))))
-        late = f"; it knows number {kept.pos}, the configuration {pos}: nothing is sent before the journal is heard"
+        note = f"; it knows number {state.pos}, the configuration {pos}: nothing is sent before the journal is heard"
         self.log(
-            f"state: {self.file.path}: {(unix - kept.at) / 1e6:.1f} s old: {taken} servers, {len(kept.purges)} "
-            f"purges, {len(kept.out)} that drained, {len(cordons)} cordons{late if older else ''}"
+            f"state: {self.file.path}: {(unix_now - state.saved_at) / 1e6:.1f} s old: {restored} servers, "
+            f"{len(state.purges)} purges, {len(state.departed)} that drained, {len(cordons)} cordons{note if newer else ''}"
         )
 
     def _periodic_save(self) -> None:
         self.save_state()
-        self.engine.deadlines.add(self.engine.clock.now() + self.config.every, self._periodic_save)
+        self.engine.deadlines.add(self.engine.clock.now() + self.config.save_interval, self._periodic_save)
 
     def save_state(self) -> None:
-        """Write the state file now, unless what is known is less than what it holds."""
+        """Writes the state file, unless less is known than what it holds."""
         if self.file is None or self.phases.phase in (Phase.BLANK, Phase.CATCHING_UP):
             return
         cordons = sorted(self.engine.cordons.cordoned.values())
-        unix = self.engine.clock.unix_now()
+        unix_now = self.engine.clock.unix_now()
         body = saved.content(
-            self.engine.router, self.departed, self.journal.pos, cordons, self.engine.clock.now(), self.fence.term, unix
+            self.engine.router,
+            self.departed,
+            self.journal.pos,
+            cordons,
+            self.engine.clock.now(),
+            self.fence.term,
+            unix_now,
         )
         try:
-            done = self.file.write(saved.pack(body, self.file.whose, unix))
+            written = self.file.write(saved.pack(body, self.file.installation, unix_now))
         except ValueError as error:
             self.log(f"state: {self.file.path}: not written: {error}")
-            done = False
-        self.engine.stats.count("state", "written" if done else "not written")
+            written = False
+        self.engine.stats.count("state", "written" if written else "not written")
--- a/threadhill/recovery/saved.py
+++ b/threadhill/recovery/saved.py
@@ -1,10 +1,11 @@
-"""What one proxy keeps beyond its own end: the document, its form on the disk, and what of it still holds. Free of I/O.
+"""The state that one proxy saves for its next process: the document, its file format, and how it is restored. Free of
+I/O.
 
-Three parts with different rights. What was learned is weighed by its age. What drained or went, what was purged and who
-is out by hand is never aged: it holds until newer news says else, or, of purges, until all caches have dropped the old
-copies. The number of the last event says whether what the proxy is started with is older than what it knew.
+It has three parts. What was learned is weighted by its age. Drained or removed servers, purges and cordons never expire
+by age: they hold until newer events say otherwise or, for purges, until all caches have dropped the old copies. The
+number of the last event tells whether the configuration that the proxy starts with is older than what it knew.
 
-A file is a line of JSON that says what it is (version, installation, time, length, checksum), and one with the content.
+A file is a line of JSON with the header (version, installation, time, length, checksum) and one with the content.
 """
 
 from __future__ import annotations
@@ -24,27 +25,27 @@
 from threadhill.settings import Malformed, integer, mapping, required_integer, sequence
 
 VERSION = 1
-MOST = 1 << 20  # bytes of a file
-OLDEST = 3_600_000_000  # microseconds after which a file holds nothing that is learned
-AHEAD = 5_000_000  # microseconds that its time may be in the future: clocks of one machine differ by less
-NAMES = 4_096
+MAX_BYTES = 1 << 20  # of a file
+MAX_AGE = 3_600_000_000  # microseconds after which what was learned is ignored
+MAX_CLOCK_SKEW = 5_000_000  # microseconds that the file may be in the future: clocks of one machine differ by less
+MAX_CORDONS = 4_096
 
 
 @dataclass(slots=True)
 class SavedState:
-    """One file's content."""
+    """The content of a file."""
 
-    at: int  # Unix microseconds
+    saved_at: int  # Unix microseconds
     pos: int
     learned: dict[str, Any]
-    out: dict[int, int] = field(default_factory=dict)  # servers that drained or went -> their starts
+    departed: dict[int, int] = field(default_factory=dict)  # servers that drained or were removed -> their starts
     purges: list[tuple[str | int, int]] = field(default_factory=list)  # object or group, Unix microseconds
     cordons: list[str] = field(default_factory=list)
-    term: int = 0  # the greatest of ownership that was told
+    term: int = 0  # the highest ownership term seen
 
 
-def installation(settings: api.Settings, name: str) -> str:
-    """What a file of this proxy belongs to: its own name, its place, the classes."""
+def installation_of(settings: api.Settings, name: str) -> str:
+    """Identifies the proxy that a file belongs to, by its name, zones and classes."""
     parts = (name, settings.zone, *settings.zones, *sorted(settings.classes))
     return f"{zlib.crc32(chr(0).join(parts).encode()):08x}"
 
@@ -56,56 +57,64 @@
     cordons: list[str],
     now: int,
     term: int = 0,
-    unix: int | None = None,
+    unix_now: int | None = None,
 ) -> dict[str, Any]:
-    """What is to be kept now: `now` in local time, `unix` the Unix time of the file; absent: the same."""
-    unix = now if unix is None else unix
-    purges = [[key, unix - (now - record.purged_at)] for key, record in router.freshness.active_purges(now).items()]
+    """The content to save. `now` is local time, `unix_now` the Unix time of the file; the same if absent."""
+    unix_now = now if unix_now is None else unix_now
+    purges = [[key, unix_now - (now - record.at)] for key, record in router.freshness.current(now).items()]
     return {
         "pos": pos,
         "learned": learned.gather(router, now),
         "out": list(departed.starts.items()),
         "purges": purges,
-        "cordons": cordons[:NAMES],
+        "cordons": cordons[:MAX_CORDONS],
         "term": term,
     }
 
 
-def pack(body: Mapping[str, Any], whose: str, at: int) -> bytes:
-    """A file's bytes; raises ValueError where they would be too many."""
+def pack(body: Mapping[str, Any], installation: str, at: int) -> bytes:
+    """The bytes of a file; raises ValueError if they are too many."""
     raw = orjson.dumps(body)
-    head = {"threadhill_state": VERSION, "installation": whose, "at": at, "size": len(raw), "crc": zlib.crc32(raw)}
-    whole = orjson.dumps(head) + b"\n" + raw + b"\n"
-    if len(whole) > MOST:
-        raise ValueError(f"it would have {len(whole)} bytes, {MOST} at most")
-    return whole
-
-
-def unpack(raw: bytes, whose: str, now: int) -> SavedState:
-    """What a file holds. Malformed says in a line what is wrong with it; then nothing of it counts."""
-    if len(raw) > MOST:
-        raise Malformed(f"it has over {MOST} bytes")
-    head, _, body = raw.partition(b"\n")
+    header = {
+        "threadhill_state": VERSION,
+        "installation": installation,
+        "at": at,
+        "size": len(raw),
+        "crc": zlib.crc32(raw),
+    }
+    packed = orjson.dumps(header) + b"\n" + raw + b"\n"
+    if len(packed) > MAX_BYTES:
+        raise ValueError(f"it would have {len(packed)} bytes, {MAX_BYTES} at most")
+    return packed
+
+
+def unpack(raw: bytes, installation: str, now: int) -> SavedState:
+    """The content of a file. Raises Malformed with a one-line reason; then none of it is used."""
+    if len(raw) > MAX_BYTES:
+        raise Malformed(f"it has over {MAX_BYTES} bytes")
+    first_line, _, body = raw.partition(b"\n")
     try:
-        told = mapping(orjson.loads(head), "its first line")
+        header = mapping(orjson.loads(first_line), "its first line")
     except ValueError:
-        raise Malformed("its first line is not one of this program's") from None
-    if told.get("threadhill_state") != VERSION:
-        raise Malformed(f"it is of version {str(told.get('threadhill_state'))[:20]}, this program reads {VERSION}")
-    if told.get("installation") != whose:
-        raise Malformed("it is another proxy's or another installation's")
+        raise Malformed("its first line is not a header of this program") from None
+    if header.get("threadhill_state") != VERSION:
+        raise Malformed(f"it is of version {str(header.get('threadhill_state'))[:20]}, this program reads {VERSION}")
+    if header.get("installation") != installation:
+        raise Malformed("it belongs to another proxy or another installation")
     body = body.removesuffix(b"\n")
-    if len(body) != told.get("size"):
-        raise Malformed(f"it is cut off: {len(body)} bytes of {told.get('size')}")
-    if zlib.crc32(body) != told.get("crc"):
-        raise Malformed("it is damaged: its checksum is another")
-    at = required_integer(told.get("at"), "its time")
-    if at > now + AHEAD:
-        raise Malformed(f"it is {(at - now) / 1e6:.0f} s in the future: the clock was set back, or it is of elsewhere")
+    if len(body) != header.get("size"):
+        raise Malformed(f"it is cut off: {len(body)} bytes of {header.get('size')}")
+    if zlib.crc32(body) != header.get("crc"):
+        raise Malformed("it is damaged: its checksum does not match")
+    at = required_integer(header.get("at"), "its time")
+    if at > now + MAX_CLOCK_SKEW:
+        raise Malformed(
+            f"it is {(at - now) / 1e6:.0f} s in the future: the clock was set back, or it is another machine's"
+        )
     try:
         raw = mapping(orjson.loads(body), "its content")
-        cordons = [name for name in sequence(raw.get("cordons"), "cordons") if isinstance(name, str)][:NAMES]
-        out = {
+        cordons = [name for name in sequence(raw.get("cordons"), "cordons") if isinstance(name, str)][:MAX_CORDONS]
+        departed = {
             required_integer(n, "a server"): required_integer(s, "its start")
             for n, s in sequence(raw.get("out"), "out")
         }
@@ -118,7 +127,7 @@
             at,
             required_integer(raw.get("pos"), "pos"),
             learned.check(raw.get("learned")),
-            out,
+            departed,
             purges,
             cordons,
             integer(raw.get("term"), "term"),
@@ -128,16 +137,18 @@
 
 
 def restore(saved: SavedState, router: Router, departed: DepartedServers, pos: int, now: int) -> tuple[int, bool]:
-    """Let a router that has its first list start from a file. How many servers it was taken for, and whether the file
-    knows later news than what the proxy was started with (`pos`): that is an older world until the journal is heard."""
-    older = saved.pos > pos
+    """Restores a router that has its first list from a file. Returns the number of servers it was used for, and whether
+    the file has later events than the configuration (`pos`): then the list is outdated until the journal confirms
+    it."""
+    newer = saved.pos > pos
     ready = {n for n, s in router.fleet.servers.items() if s.entry.state is api.State.READY}
-    departed.starts.update({n: since for n, since in saved.out.items() if older or n not in ready})
-    if older:
+    departed.starts.update({n: since for n, since in saved.departed.items() if newer or n not in ready})
+    if newer:
         departed.begin_rollback(saved.pos)
     for key, at in saved.purges:
-        # How long the file lay only wall clocks tell, which may have been stepped: a purge is as old as it was then.
-        age = max(0, saved.at - at)
-        router.freshness.add_purge(key, PurgeRecord(now - age, now))
-    age = max(0, now - saved.at)
-    return (learned.prime(router, saved.learned, age, now) if age <= OLDEST else 0), older
+        # Only the wall clock tells the age of the file, and it may have been stepped: a purge counts as old as it was
+        # when the file was saved.
+        age = max(0, saved.saved_at - at)
+        router.freshness.purge(key, PurgeRecord(now - age, now))
+    age = max(0, now - saved.saved_at)
+    return (learned.prime(router, saved.learned, age, now) if age <= MAX_AGE else 0), newer
