--- a/threadhill/recovery/adopt.py
+++ b/threadhill/recovery/adopt.py
@@ -1,17 +1,17 @@
-"""What a control plane that lost its state may take for true again: from what proxies hold and the newest snapshot.
+"""What a control plane that lost its state may adopt, from what proxies hold and the newest snapshot.
 
-Free of I/O. Each server is judged by itself. Proxies with the greatest number know the newest world; one that is behind
-may differ from them in what later news explains: a server that was added, was drained, or went. Where they differ in
-anything else, they contradict each other, and nobody here knows who is right: that is shown, and until an operator
-settles it the server is recorded as draining, as no request at all is better than one to the wrong address.
+Free of I/O. Each server is judged separately. The proxies with the highest event number have the newest view. A proxy
+that is behind may differ from it in what later events explain: a server that was added, drained or removed. Any other
+difference is a contradiction that cannot be resolved here: it is shown, and until an operator decides, the server is
+recorded as draining, since sending no request at all is better than sending one to a wrong address.
 
 | finding | when | what is recorded |
 | --- | --- | --- |
-| certain | all who hold it agree, or are only behind | as they hold it |
-| in doubt | they contradict each other, or one that is behind says more than later news explains | draining |
-| missing | the snapshot has it, and no proxy does: it went since, or nobody who knew it lives | nothing |
+| certain | all proxies that hold it agree, or are only behind | as they hold it |
+| in doubt | they contradict each other, or one that is behind differs in what later events do not explain | draining |
+| missing | the snapshot has it but no proxy holds it: it was removed, or the proxies that knew it are gone | nothing |
 
-What proxies do not know (nodes, hubs, classes, settings, proxies) is the snapshot's, as it was.
+What proxies do not know (nodes, hubs, classes, settings, proxies) is taken from the snapshot unchanged.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 
 from threadhill.settings import Malformed, address, integer, mapping, number, required_integer, sequence, text
 
-MEMBERS = 10_000  # servers of one proxy's world
+MAX_MEMBERS = 10_000  # servers of one proxy's view
 KINDS = ("box", "parent", "library")
 SERVING, DRAINING = "SERVING", "DRAINING"
-TOLD = ("host_port", "locality", "flavor", "cell", "size", "up_since_ms")
+COMPARED_FIELDS = ("host_port", "locality", "flavor", "cell", "size", "up_since_ms")
 
 
 @dataclass(slots=True)
 class ProxyView:
-    """One proxy's world, as it said."""
+    """What one proxy holds, as it reported."""
 
     proxy: str
     pos: int
-    zone: str = ""  # where it stands: of other places' boxes it knows only those that changed since its start
+    zone: str = ""  # its location; of other locations' boxes it knows only those that changed since its start
     members: dict[str, dict[str, Any]] = field(default_factory=dict)
     tenants: dict[str, dict[str, Any]] = field(default_factory=dict)
     parts: set[int] = field(default_factory=set)
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One resource, and what becomes of it."""
+    """One resource, and what is recorded for it."""
 
     id: str
     state: str  # certain, in doubt, missing
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """All findings, and the number that is behind every number that any proxy has seen."""
+    """All findings, and an event number higher than any that a proxy has seen."""
 
     findings: tuple[Finding, ...]
     pos: int
@@ -68,7 +68,7 @@
     snapshot: str
 
     def digest(self) -> str:
-        """What an operator confirms: anything found anew makes it another."""
+        """Identifies the proposal that an operator confirms; it changes with every new finding."""
         raw = orjson.dumps([[f.id, f.state, f.record] for f in self.findings] + [self.pos, list(self.proxies)])
         return f"{zlib.crc32(raw):08x}"
 
@@ -83,28 +83,28 @@
 
 
 def add_part(held: dict[str, ProxyView], raw: Any) -> ProxyView:
-    """One part of what a proxy holds, added to what it said before. Raises Malformed where it can't be read."""
+    """Adds one part of a proxy's report to its view. Raises Malformed if it can't be read."""
     raw = mapping(raw, "what a proxy holds")
-    told = mapping(raw.get("holds"), "holds")
-    name, pos = text(raw.get("proxy"), "proxy"), required_integer(told.get("pos"), "pos")
-    part, of = integer(told.get("part"), "part"), max(1, integer(told.get("of"), "of"))
-    if not name or not 0 <= part < of or of > MEMBERS:
-        raise Malformed("a part of what a proxy holds has no name, or no place")
-    members = [_member(member) for member in sequence(told.get("members"), "members")]
+    report = mapping(raw.get("holds"), "holds")
+    name, pos = text(raw.get("proxy"), "proxy"), required_integer(report.get("pos"), "pos")
+    part, of = integer(report.get("part"), "part"), max(1, integer(report.get("of"), "of"))
+    if not name or not 0 <= part < of or of > MAX_MEMBERS:
+        raise Malformed("a part of what a proxy holds has no proxy name, or its position is out of range")
+    members = [_member(member) for member in sequence(report.get("members"), "members")]
     tenants = {
         text(t.get("name"), "a tenant's name"): dict(t)
-        for t in sequence(told.get("tenants"), "tenants")
+        for t in sequence(report.get("tenants"), "tenants")
         if isinstance(t, Mapping)
     }
-    one = held.get(name)
-    if one is None or one.pos != pos or one.of != of or part in one.parts:
-        one = held[name] = ProxyView(name, pos, text(told.get("zone"), "zone"), of=of)
-    if len(one.members) + len(members) > MEMBERS:
-        raise Malformed(f"{name} holds over {MEMBERS} servers")
-    one.members |= {member["id"]: member for member in members}
-    one.tenants |= tenants
-    one.parts.add(part)
-    return one
+    view = held.get(name)
+    if view is None or view.pos != pos or view.of != of or part in view.parts:
+        view = held[name] = ProxyView(name, pos, text(report.get("zone"), "zone"), of=of)
+    if len(view.members) + len(members) > MAX_MEMBERS:
+        raise Malformed(f"{name} holds over {MAX_MEMBERS} servers")
+    view.members |= {member["id"]: member for member in members}
+    view.tenants |= tenants
+    view.parts.add(part)
+    return view
 
 
 def _member(raw: Any) -> dict[str, Any]:
@@ -128,25 +128,25 @@
 def propose(
     held: Iterable[ProxyView], records: Mapping[str, Mapping[str, Any]], known_pos: int, seen: int, snapshot: str = ""
 ) -> Proposal:
-    """The proposal: `records` of the newest snapshot by id (kind, name, attrs, phase, since), `known_pos` its last
-    number, `seen` the greatest number that any proxy named, whether or not it said what it holds."""
-    worlds = sorted((one for one in held if one.whole), key=lambda one: (-one.pos, one.proxy))
-    newest = [one for one in worlds if one.pos == worlds[0].pos] if worlds else []
-    findings = [_server(name, worlds, records) for name in sorted({name for one in worlds for name in one.members})]
+    """The proposal. `records`: of the newest snapshot, by id (kind, name, attrs, phase, since). `known_pos`: its last
+    number. `seen`: the highest number that any proxy named, whether or not it reported what it holds."""
+    views = sorted((view for view in held if view.whole), key=lambda view: (-view.pos, view.proxy))
+    newest = [view for view in views if view.pos == views[0].pos] if views else []
+    findings = [_server(name, views, records) for name in sorted({name for view in views for name in view.members})]
     findings = [finding for finding in findings if finding is not None]
     findings += _tenants(newest, records)
-    named = {finding.id for finding in findings}
+    found_ids = {finding.id for finding in findings}
     for id, record in sorted(records.items()):
-        if id in named:
+        if id in found_ids:
             continue
         if record["kind"] not in (*KINDS, "tenant"):
-            findings.append(Finding(id, "certain", "as in the snapshot: proxies do not know of it", dict(record)))
-        elif not worlds:
+            findings.append(Finding(id, "certain", "as in the snapshot: proxies hold no such resources", dict(record)))
+        elif not views:
             findings.append(
                 Finding(
                     id,
                     "in doubt",
-                    "only the snapshot has it, and no proxy said what it holds",
+                    "only in the snapshot, and no proxy reported what it holds",
                     dict(record) | {"phase": "draining"} if record["kind"] in KINDS else dict(record),
                 )
             )
@@ -155,54 +155,57 @@
                 Finding(
                     id,
                     "missing",
-                    f"in the snapshot, held by none of {len(worlds)} proxies: it went "
-                    "since, or nobody lives who knew it",
+                    f"in the snapshot, held by none of {len(views)} proxies: removed "
+                    "since, or the proxies that knew it are gone",
                 )
             )
-    pos = 1 + max([known_pos, seen, *(one.pos for one in worlds)])
-    return Proposal(tuple(sorted(findings, key=lambda f: f.id)), pos, tuple(sorted(o.proxy for o in worlds)), snapshot)
+    pos = 1 + max([known_pos, seen, *(view.pos for view in views)])
+    return Proposal(tuple(sorted(findings, key=lambda f: f.id)), pos, tuple(sorted(o.proxy for o in views)), snapshot)
 
 
-def _server(name: str, worlds: list[ProxyView], records: Mapping[str, Any]) -> Finding | None:
-    """What is to be thought of one server that somebody holds."""
-    first = next(member for one in worlds if (member := one.members.get(name)) is not None)
-    worlds = [
-        one
-        for one in worlds  # who would know of it
-        if name in one.members or first["flavor"] != "box" or one.zone == first["locality"]
+def _server(name: str, views: list[ProxyView], records: Mapping[str, Any]) -> Finding | None:
+    """The finding on a server that at least one proxy holds; None if it was removed."""
+    first = next(member for view in views if (member := view.members.get(name)) is not None)
+    views = [
+        view
+        for view in views  # those that would know it
+        if name in view.members or first["flavor"] != "box" or view.zone == first["locality"]
     ]
-    newest = [one for one in worlds if one.pos == worlds[0].pos]
-    best = next((member for one in newest if (member := one.members.get(name)) is not None), None)
-    if best is None:  # the newest world has it no more
+    newest = [view for view in views if view.pos == views[0].pos]
+    best = next((member for view in newest if (member := view.members.get(name)) is not None), None)
+    if best is None:  # the newest view no longer has it
         return None
     id = f"{best['flavor']}.{name}"
-    behind = [one for one in worlds if one not in newest]
-    odd = []
-    for one in newest:
-        other = one.members.get(name)
+    behind = [view for view in views if view not in newest]
+    differences = []
+    for view in newest:
+        other = view.members.get(name)
         if other != best:
-            odd.append(f"{one.proxy} at {one.pos} {_said(other)}, {newest[0].proxy} {_said(best)}")
-    for one in behind:
-        other = one.members.get(name)
-        if other is not None and not _later(other, best):
-            odd.append(f"{one.proxy} at {one.pos} {_said(other)}, {newest[0].proxy} at {newest[0].pos} {_said(best)}")
+            differences.append(f"{view.proxy} at {view.pos}: {_describe(other)}, {newest[0].proxy}: {_describe(best)}")
+    for view in behind:
+        other = view.members.get(name)
+        if other is not None and not _explained_by_later_events(other, best):
+            differences.append(
+                f"{view.proxy} at {view.pos}: {_describe(other)}, "
+                f"{newest[0].proxy} at {newest[0].pos}: {_describe(best)}"
+            )
     record = _record(best, records.get(id))
-    if odd:
-        return Finding(id, "in doubt", "; ".join(odd[:3]), record | {"phase": "draining"})
-    who = sum(one.members.get(name) == best for one in worlds)
-    late = sum(one.members.get(name) != best for one in behind)
-    behind = f"; {late} are behind" if late else ""
-    return Finding(id, "certain", f"{_said(best)}, say {who} proxies{behind}", record)
+    if differences:
+        return Finding(id, "in doubt", "; ".join(differences[:3]), record | {"phase": "draining"})
+    agreeing = sum(view.members.get(name) == best for view in views)
+    outdated = sum(view.members.get(name) != best for view in behind)
+    behind = f"; {outdated} are behind" if outdated else ""
+    return Finding(id, "certain", f"{_describe(best)}, according to {agreeing} proxies{behind}", record)
 
 
-def _later(old: Mapping[str, Any], new: Mapping[str, Any]) -> bool:
-    """Whether news that came later explains the difference: it drained since, or was started anew."""
-    if all(old[key] == new[key] for key in TOLD):
+def _explained_by_later_events(old: Mapping[str, Any], new: Mapping[str, Any]) -> bool:
+    """Whether later events explain the difference: the server was drained since, or restarted."""
+    if all(old[key] == new[key] for key in COMPARED_FIELDS):
         return old["phase"] == new["phase"] or new["phase"] == DRAINING
     return new["up_since_ms"] > old["up_since_ms"]
 
 
-def _said(member: Mapping[str, Any] | None) -> str:
+def _describe(member: Mapping[str, Any] | None) -> str:
     if member is None:
         return "does not have it"
     start = f", started {member['up_since_ms']}" if member["up_since_ms"] else ""
@@ -210,8 +213,8 @@
 
 
 def _record(member: Mapping[str, Any], known: Mapping[str, Any] | None) -> dict[str, Any]:
-    """The record of a server as it is held; what proxies do not know is as in the snapshot, or as a file that says
-    nothing more would have it."""
+    """The record of a server as proxies hold it. What they do not know is taken from the snapshot, or from the defaults
+    of a plan file."""
     kind = member["flavor"]
     place = {"node": f"node.{member['locality']}"} if kind == "box" else {"hub": f"hub.{member['locality']}"}
     attrs = {"warm": True, **({"fills_from": []} if kind != "library" else {}), **place}
@@ -224,11 +227,11 @@
 
 
 def _tenants(newest: list[ProxyView], records: Mapping[str, Mapping[str, Any]]) -> list[Finding]:
-    """Tenants as those with the greatest number hold them."""
+    """Tenants, as the proxies with the highest number hold them."""
     found = []
-    for name in sorted({name for one in newest for name in one.tenants}):
-        said = [one.tenants.get(name) for one in newest]
-        id, first = f"tenant.{name}", next(tenant for tenant in said if tenant is not None)
+    for name in sorted({name for view in newest for name in view.tenants}):
+        held = [view.tenants.get(name) for view in newest]
+        id, first = f"tenant.{name}", next(tenant for tenant in held if tenant is not None)
         known = records.get(id)
         attrs = {
             "records": [],
@@ -237,12 +240,12 @@
             "quota": first.get("quota", 0),
         }
         record = {"kind": "tenant", "name": name, "attrs": attrs, "phase": "set", "since": 0}
-        odd = sum(tenant != first for tenant in said)
+        differences = sum(tenant != first for tenant in held)
         found.append(
             Finding(
                 id,
-                "in doubt" if odd else "certain",
-                f"{odd} of {len(said)} proxies say else" if odd else f"as {len(said)} proxies hold it",
+                "in doubt" if differences else "certain",
+                f"{differences} of {len(held)} proxies differ" if differences else f"as {len(held)} proxies hold it",
                 record,
             )
         )
--- a/threadhill/recovery/proxy.py
+++ b/threadhill/recovery/proxy.py
@@ -266,7 +266,8 @@
         note = f"; it knows number {state.pos}, the configuration {pos}: nothing is sent before the journal is heard"
         self.log(
             f"state: {self.file.path}: {(unix_now - state.saved_at) / 1e6:.1f} s old: {restored} servers, "
-            f"{len(state.purges)} purges, {len(state.departed)} that drained, {len(cordons)} cordons{note if newer else ''}"
+            f"{len(state.purges)} purges, {len(state.departed)} that drained, {len(cordons)} cordons"
+            f"{note if newer else ''}"
         )
 
     def _periodic_save(self) -> None:
