--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -18,7 +18,7 @@
 from threadhill.decision.interface import Outcome
 from threadhill.decision.state import OFF
 from threadhill.knowledge.hints import HintReader
-from threadhill.knowledge.merge import CACHES, FRESH, OBJECTS, ReportAggregator
+from threadhill.knowledge.merge import MAX_CACHES, MAX_OBJECTS, MAX_REPORT_AGE, ReportAggregator
 from threadhill.knowledge.report import ReportBuilder
 from threadhill.settings import Malformed
 from threadhill.standin.links import PASS, Way
@@ -52,11 +52,11 @@
         "a", said(4, rate=100.0), 1_100
     )
     assert aggregator.hint("b", 1_200)["objects"] == [["hot", 6.0]]
-    aggregator.add_report("a", said(6), FRESH)
-    aggregator.add_report("b", said(6), FRESH)
-    assert aggregator.hint("a", 1_000 + FRESH + 100)["objects"] == [["hot", 4.0]]
-    assert aggregator.add_report("a", said(1), 3 * FRESH)  # it started anew
-    aggregator.expire(20 * FRESH)
+    aggregator.add_report("a", said(6), MAX_REPORT_AGE)
+    aggregator.add_report("b", said(6), MAX_REPORT_AGE)
+    assert aggregator.hint("a", 1_000 + MAX_REPORT_AGE + 100)["objects"] == [["hot", 4.0]]
+    assert aggregator.add_report("a", said(1), 3 * MAX_REPORT_AGE)  # it started anew
+    aggregator.expire(20 * MAX_REPORT_AGE)
     assert not aggregator.by_name
 
 
@@ -78,7 +78,7 @@
 )
 def test_a_report_that_cannot_be_used_is_left_whole(raw: Any) -> None:
     aggregator = ReportAggregator()
-    assert not aggregator.add_report("a", raw, 0) and aggregator.refused == 1 and not aggregator.by_name
+    assert not aggregator.add_report("a", raw, 0) and aggregator.rejected == 1 and not aggregator.by_name
 
 
 def test_a_hint_is_bounded_whatever_the_proxies_say() -> None:
@@ -88,13 +88,13 @@
             f"p{n}",
             said(
                 1,
-                objects=[[f"{n:08x}{i:08x}", 1e5] for i in range(OBJECTS)],
-                caches=[[4_000_000_000 + n * 50 + i, 9e4, 1] for i in range(CACHES)],
+                objects=[[f"{n:08x}{i:08x}", 1e5] for i in range(MAX_OBJECTS)],
+                caches=[[4_000_000_000 + n * 50 + i, 9e4, 1] for i in range(MAX_CACHES)],
             ),
             0,
         )
     told = aggregator.hint("p0", 100)
-    assert len(told["objects"]) == OBJECTS and len(told["caches"]) == CACHES
+    assert len(told["objects"]) == MAX_OBJECTS and len(told["caches"]) == MAX_CACHES
 
 
 @pytest.mark.parametrize(
@@ -125,7 +125,7 @@
     assert hints.read(hint(7), 0) is None and hints.read(hint(6), 0) is None
     assert hints.read(hint(8), 9 * SECOND) is None  # it lay somewhere for nine seconds
     hints.reset()
-    assert hints.read(hint(1), 0) is not None and hints.left == 3
+    assert hints.read(hint(1), 0) is not None and hints.ignored == 3
 
 
 def test_a_report_names_what_is_asked_for_most_and_what_is_out() -> None:
--- a/threadhill/knowledge/__init__.py
+++ b/threadhill/knowledge/__init__.py
@@ -1,2 +1,2 @@
-"""What the proxies of one installation know together, told over a control plane's feed. Off unless the operator's file
-turns it on; nothing here does I/O."""
+"""Load figures that the proxies of one installation share through the control plane's feed. Off unless the operator's
+file enables it; does no I/O."""
--- a/threadhill/knowledge/merge.py
+++ b/threadhill/knowledge/merge.py
@@ -1,7 +1,7 @@
-"""What all reports say together, for each location: the control plane's part. Times in milliseconds.
+"""Merges the proxies' reports into one hint per location, in the control plane. Times in milliseconds.
 
-Each proxy counts once, with its newest report while that is new; nothing is summed up over time, so a report that is
-lost, late or doubled is no fault that lasts.
+Each proxy counts once, with its newest report while that is recent. Nothing is accumulated over time, so a report that
+is lost, late or duplicated has no lasting effect.
 """
 
 from __future__ import annotations
@@ -11,26 +11,26 @@
 from dataclasses import dataclass
 from typing import Any
 
-FRESH = 4_000  # milliseconds that a report counts for
-PROXIES = 10_000  # that are remembered
-OBJECTS, CACHES = 32, 40  # of one hint: with them it stays under 2,000 bytes
-MOST_RATE, MOST_OPEN = 1e5, 1e5  # what one proxy may say: more is a fault of its own
-NAME = 64  # characters of an object
+MAX_REPORT_AGE = 4_000  # milliseconds for which a report counts
+MAX_PROXIES = 10_000  # that are remembered
+MAX_OBJECTS, MAX_CACHES = 32, 40  # in one hint, which keeps it under 2,000 bytes
+MAX_RATE, MAX_INFLIGHT = 1e5, 1e5  # in the report of one proxy: more is invalid
+MAX_NAME = 64  # characters of an object name
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
-    """One proxy's newest report."""
+class ProxyReport:
+    """The newest report of one proxy."""
 
     number: int
-    at: int
+    received_at: int
     zone: str
     objects: tuple[tuple[str, float], ...]
     caches: tuple[tuple[int, float, bool], ...]
 
 
-def read(raw: Any, at: int) -> Said | None:
-    """A report's part; None where it can't be used, all of it."""
+def parse_report(raw: Any, at: int) -> ProxyReport | None:
+    """Parses a report; None if any of it is invalid."""
     if not isinstance(raw, Mapping):
         return None
     number, zone, objects, caches = raw.get("n"), raw.get("zone"), raw.get("objects"), raw.get("caches")
@@ -39,75 +39,90 @@
         or not isinstance(zone, str)
         or not isinstance(objects, list)
         or not isinstance(caches, list)
-        or len(objects) > 2 * OBJECTS
-        or len(caches) > 2 * CACHES
+        or len(objects) > 2 * MAX_OBJECTS
+        or len(caches) > 2 * MAX_CACHES
     ):
         return None
     try:
-        told = tuple((name, float(rate)) for name, rate in objects)
-        held = tuple((server, float(out), bool(ill)) for server, out, ill in caches)
+        object_rates = tuple((name, float(rate)) for name, rate in objects)
+        cache_loads = tuple((server, float(inflight), bool(ejected)) for server, inflight, ejected in caches)
     except (TypeError, ValueError):
         return None
-    good = all(isinstance(name, str) and 0 < len(name) <= NAME and 0 <= rate <= MOST_RATE for name, rate in told)
-    good = good and all(type(server) is int and 0 <= out <= MOST_OPEN for server, out, _ in held)
-    return Said(number, at, zone, told, held) if good else None
+    valid = all(
+        isinstance(name, str) and 0 < len(name) <= MAX_NAME and 0 <= rate <= MAX_RATE for name, rate in object_rates
+    )
+    valid = valid and all(type(server) is int and 0 <= inflight <= MAX_INFLIGHT for server, inflight, _ in cache_loads)
+    return ProxyReport(number, at, zone, object_rates, cache_loads) if valid else None
 
 
 class ReportAggregator:
-    """All proxies' newest reports."""
+    """The newest reports of all proxies."""
 
     def __init__(self) -> None:
-        self.by_name: dict[str, Said] = {}
+        self.by_name: dict[str, ProxyReport] = {}
         self.number = 0
-        self.refused = 0  # reports that could not be used, were old or came twice
-        self._made: dict[str, tuple[int, dict[str, Any]]] = {}  # zone -> when, and what was told
+        self.rejected = 0  # reports that were invalid, old or duplicate
+        self._hints: dict[str, tuple[int, dict[str, Any]]] = {}  # zone -> creation time and hint
 
     def add_report(self, proxy: str, raw: Any, now: int) -> bool:
-        """Take one; whether it counts."""
-        said, known = read(raw, now), self.by_name.get(proxy)
-        # A number that went back is a proxy that started anew, once its older report counts no more.
-        old = known is not None and said is not None and said.number <= known.number and now - known.at < FRESH
-        if said is None or old or known is None and len(self.by_name) >= PROXIES:
-            self.refused += 1
+        """Adds a report; returns whether it was accepted."""
+        report, known = parse_report(raw, now), self.by_name.get(proxy)
+        # A lower number is that of a restarted proxy, if its earlier report has expired.
+        old = (
+            known is not None
+            and report is not None
+            and report.number <= known.number
+            and now - known.received_at < MAX_REPORT_AGE
+        )
+        if report is None or old or known is None and len(self.by_name) >= MAX_PROXIES:
+            self.rejected += 1
             return False
-        self.by_name[proxy] = said
+        self.by_name[proxy] = report
         return True
 
     def expire(self, now: int) -> None:
-        """Let go of those that said nothing for long."""
-        for proxy in [name for name, said in self.by_name.items() if now - said.at > 10 * FRESH]:
+        """Forgets proxies that have not reported for long."""
+        for proxy in [name for name, report in self.by_name.items() if now - report.received_at > 10 * MAX_REPORT_AGE]:
             del self.by_name[proxy]
 
     def hint(self, proxy: str, now: int) -> dict[str, Any] | None:
-        """What the others of this proxy's location say, one text for all of them; None where there are no others."""
+        """The hint for this proxy, the same for all proxies of its location; None if there are no others."""
         known = self.by_name.get(proxy)
         if known is None:
             return None
-        when, made = self._made.get(known.zone, (-FRESH, {}))
-        if now - when >= FRESH // 8:
-            made = self._make(known.zone, now)
-            self._made[known.zone] = now, made
-        return made or None
-
-    def _make(self, zone: str, now: int) -> dict[str, Any]:
-        fresh = [said for said in self.by_name.values() if said.zone == zone and now - said.at < FRESH]
+        when, hint = self._hints.get(known.zone, (-MAX_REPORT_AGE, {}))
+        if now - when >= MAX_REPORT_AGE // 8:
+            hint = self._create_hint(known.zone, now)
+            self._hints[known.zone] = now, hint
+        return hint or None
+
+    def _create_hint(self, zone: str, now: int) -> dict[str, Any]:
+        fresh = [
+            report
+            for report in self.by_name.values()
+            if report.zone == zone and now - report.received_at < MAX_REPORT_AGE
+        ]
         if len(fresh) < 2:
             return {}
-        rates, out, ill = defaultdict[str, float](float), defaultdict[int, float](float), defaultdict[int, int](int)
-        for said in fresh:
-            for name, rate in said.objects:
+        rates, inflight, ejections = (
+            defaultdict[str, float](float),
+            defaultdict[int, float](float),
+            defaultdict[int, int](int),
+        )
+        for report in fresh:
+            for name, rate in report.objects:
                 rates[name] += rate
-            for server, open_there, is_ill in said.caches:
-                out[server] += open_there
-                ill[server] += is_ill
+            for server, inflight_there, ejected in report.caches:
+                inflight[server] += inflight_there
+                ejections[server] += ejected
         self.number += 1
-        hottest = sorted(rates.items(), key=lambda item: (-item[1], item[0]))[:OBJECTS]
-        busiest = sorted(out, key=lambda server: (-ill[server], -out[server], server))[:CACHES]
+        hottest = sorted(rates.items(), key=lambda item: (-item[1], item[0]))[:MAX_OBJECTS]
+        busiest = sorted(inflight, key=lambda server: (-ejections[server], -inflight[server], server))[:MAX_CACHES]
         return {
             "n": self.number,
             "proxies": len(fresh),
             "at": now,
-            "age": sum(now - s.at for s in fresh) // len(fresh),
+            "age": sum(now - report.received_at for report in fresh) // len(fresh),
             "objects": [[name, round(rate, 2)] for name, rate in hottest],
-            "caches": [[s, round(out[s], 1), round(ill[s] / len(fresh), 2)] for s in busiest],
+            "caches": [[s, round(inflight[s], 1), round(ejections[s] / len(fresh), 2)] for s in busiest],
         }
--- a/threadhill/knowledge/proxy.py
+++ b/threadhill/knowledge/proxy.py
@@ -1,4 +1,4 @@
-"""Where a proxy's journal client plugs into the knowledge of the fleet: what it says, and what it is told."""
+"""Connects a proxy's journal client to the shared load figures: the reports it sends and the hints it receives."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from typing import Any
 
 from threadhill.core.engine import Engine
-from threadhill.knowledge.hints import HintReader, stamp_of
+from threadhill.knowledge.hints import HintReader, hint_time
 from threadhill.knowledge.report import ReportBuilder
 from threadhill.settings import Malformed
 
 
 class Knowledge:
-    """One proxy's. A hint that can't be read costs itself, never the feed that it came over."""
+    """The shared load figures of one proxy. A hint that can't be read is dropped; the feed goes on."""
 
     def __init__(self, engine: Engine, log: Callable[[str], None]) -> None:
         self.engine, self.log = engine, log
@@ -26,7 +26,7 @@
 
     def receive_hint(self, raw: Any) -> None:
         try:
-            hints = self.hints.read(raw, self.engine.clock.wall_clock_age(stamp_of(raw)))
+            hints = self.hints.read(raw, self.engine.clock.wall_clock_age(hint_time(raw)))
         except Malformed as error:
             self.engine.stats.count("malformed", "hint")
             self.log(f"journal: {error}")
--- a/threadhill/knowledge/report.py
+++ b/threadhill/knowledge/report.py
@@ -1,7 +1,8 @@
-"""What one proxy adds to its report: the objects that it is asked for most, and how its caches look from here.
+"""One proxy's part of the shared load figures: its most requested objects, and the state of its caches.
 
-No sketch is needed at a proxy: the module counts objects already, in a bounded table whose newest entries come last.
-A library's frequent-items sketch (datasketches) was weighed: it brings numpy, 24 MB, to a process that has 32 to 192.
+A proxy needs no sketch: the module already counts objects in a bounded table, with the newest entries last. The
+frequent-items sketch of the datasketches library was rejected because it loads numpy, 24 MB, into a process that has
+32 to 192 MB.
 """
 
 from __future__ import annotations
@@ -12,35 +13,35 @@
 
 from threadhill.decision.choice import RATE_INTERVAL, Router
 
-OBJECTS = 32  # of one report: 900 bytes
-SERVERS = 48
-LOOKED = 2_000  # newest entries of the table that one report looks at: under a millisecond
-RECENT = 8  # intervals since an object was asked for, after which it is not told of
-LEAST = 0.05  # own requests a second: once in twenty seconds is no news to others
+MAX_OBJECTS = 32  # in one report: 900 bytes
+MAX_SERVERS = 48
+MAX_SCANNED = 2_000  # newest table entries that are examined for one report: under a millisecond
+MAX_INTERVALS = 8  # since the last request for an object, after which it is not reported
+MIN_RATE = 0.05  # requests a second: less than one in twenty seconds is of no use to others
 
 
 class ReportBuilder:
-    """Made once a second; each has a number, so that one that comes twice or late is known for it."""
+    """Builds a report once a second. Reports are numbered, so that duplicate and late ones are recognized."""
 
     def __init__(self, router: Router) -> None:
         self.router = router
         self.number = 0
 
     def build(self, now: int) -> dict[str, Any]:
-        """The part of the report that is about this, as plain JSON."""
+        """The report as plain JSON."""
         self.number += 1
-        interval, found = now // RATE_INTERVAL, []
-        for looked, (name, rate) in enumerate(reversed(self.router.rates.items())):
-            if looked >= LOOKED or interval - rate.interval > RECENT:
+        interval, found = now // INTERVAL, []
+        for scanned, (name, rate) in enumerate(reversed(self.router.rates.items())):
+            if scanned >= MAX_SCANNED or interval - rate.interval > MAX_INTERVALS:
                 break
-            own = rate.rate if not rate.first_interval else rate.count
-            if own >= LEAST:
-                found.append((round(own, 3), name))
-        caches = list(islice(self.router.fleet.caches, SERVERS))
+            own_rate = rate.rate if not rate.first else rate.count
+            if own_rate >= MIN_RATE:
+                found.append((round(own_rate, 3), name))
+        caches = list(islice(self.router.fleet.caches, MAX_SERVERS))
         return {
             "n": self.number,
-            "zone": self.router.settings.zone,
-            "objects": [[name, rate] for rate, name in heapq.nlargest(OBJECTS, found)],
+            "zone": self.router.set.zone,
+            "objects": [[name, rate] for rate, name in heapq.nlargest(MAX_OBJECTS, found)],
             "caches": [
                 [s.entry.server, round(s.inflight, 1), int(now < s.ejected_until or s.ejections > 0)] for s in caches
             ],
