--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,5 @@
-"""Overload control, part by part: what it sees, who is let in, what is paid for, when who is refused comes back."""
+"""The parts of overload control: retry detection, admission, retry budgets, return scheduling; and all of them in the
+engine."""
 
 from __future__ import annotations
 
@@ -28,12 +29,12 @@
 MS, SECOND = 1_000, 1_000_000
 
 
-# --- what is seen
+# --- detection
 
 
-def test_an_ask_that_comes_again_is_known_and_others_are_hardly_ever_taken_for_it() -> None:
+def test_a_retry_is_recognized_and_false_positives_are_rare() -> None:
     seen, now = UnservedSketch(b"secret"), 10 * SECOND
-    for n in range(sketch.MAX_ENTRIES):  # as full as it may be
+    for n in range(sketch.MAX_ENTRIES):  # as full as it gets
         seen.add(f"lost {n}", now)
     wrong = sum(seen.take(f"other {n}", now) for n in range(20_000))
     assert wrong / 20_000 < 0.05
@@ -41,8 +42,8 @@
     for n in range(500):
         seen.add(f"lost {n}", now)
     assert sum(seen.take(f"other {n}", now) for n in range(20_000)) / 20_000 < 0.001
-    assert sum(seen.take(f"lost {n}", now + SECOND) for n in range(500)) >= 480  # a wrong one takes a right one's place
-    assert sum(seen.take(f"lost {n}", now + SECOND) for n in range(500)) <= 10  # each is used up
+    assert sum(seen.take(f"lost {n}", now + SECOND) for n in range(500)) >= 480  # false positives use up a few
+    assert sum(seen.take(f"lost {n}", now + SECOND) for n in range(500)) <= 10  # each entry is used once
     seen.add("old", now)
     assert not seen.take("old", now + 3 * sketch.GENERATION)
     for n in range(3 * sketch.MAX_ENTRIES):
@@ -50,8 +51,8 @@
     assert seen.entries <= sketch.MAX_ENTRIES and seen.rejected >= 2 * sketch.MAX_ENTRIES
 
 
-def play(detector: Detector, seconds: float, first: int, again: int, bad: float, now: int) -> tuple[int, list]:
-    """So many seconds of a mix, a turn each 100 ms."""
+def feed_detector(detector: Detector, seconds: float, first: int, again: int, bad: float, now: int) -> tuple[int, list]:
+    """Feeds a steady mix for some seconds, with an update every 100 ms."""
     changes = []
     for _ in range(int(10 * seconds)):
         counts = detector.all.counts
@@ -65,63 +66,64 @@
     return now, changes
 
 
-def test_states_follow_a_storm_with_hysteresis_and_each_change_is_told_with_its_figures() -> None:
+def test_states_follow_a_storm_with_hysteresis_and_each_change_describes_its_figures() -> None:
     detector = Detector()
-    now, changes = play(detector, 10, 100, 0, 0.0, SECOND)
+    now, changes = feed_detector(detector, 10, 100, 0, 0.0, SECOND)
     assert not changes
-    now, changes = play(detector, 1.5, 100, 10, 0.2, now)
+    now, changes = feed_detector(detector, 1.5, 100, 10, 0.2, now)
     assert [c.new for c in changes] == [State.STRAINED]
-    now, more = play(detector, 4, 100, 150, 0.6, now)
+    now, more = feed_detector(detector, 4, 100, 150, 0.6, now)
     assert [c.new for c in more] == [State.STORM]
     assert "factor" in more[0].describe() and "strained -> storm" in more[0].describe()
-    now, more = play(detector, 3, 100, 150, 0.2, now)  # better, not well: it stays
+    now, more = feed_detector(detector, 3, 100, 150, 0.2, now)  # better, but not good enough to leave the state
     assert not more
-    now, more = play(detector, 4, 100, 30, 0.03, now)
+    now, more = feed_detector(detector, 4, 100, 30, 0.03, now)
     assert [c.new for c in more] == [State.RECOVERING]
-    now, more = play(detector, 6, 100, 0, 0.0, now)
+    now, more = feed_detector(detector, 6, 100, 0, 0.0, now)
     assert [c.new for c in more] == [State.NORMAL]
-    _, more = play(Detector(), 20, 2, 4, 0.9, now)  # a handful of asks is no storm
+    _, more = feed_detector(Detector(), 20, 2, 4, 0.9, now)  # a handful of requests is no storm
     assert not more
 
 
-# --- who is let in
+# --- admission
 
 
 @given(st.dictionaries(st.text(max_size=3), st.floats(0, 100), max_size=8), st.floats(0, 200))
-def test_shares_are_max_min(wants: dict[str, float], room: float) -> None:
-    shares = max_min(wants, room)
-    assert sum(shares.values()) <= room + 1e-6 and all(shares[name] <= want + 1e-9 for name, want in wants.items())
-    if sum(wants.values()) >= room and wants:  # nothing is left over, and who got less than it wants got the most
+def test_shares_are_max_min(demands: dict[str, float], room: float) -> None:
+    shares = max_min(demands, room)
+    assert sum(shares.values()) <= room + 1e-6 and all(shares[name] <= want + 1e-9 for name, want in demands.items())
+    # Nothing is left over, and nobody gets more than those whose demand is not met.
+    if sum(demands.values()) >= room and demands:
         assert sum(shares.values()) == pytest.approx(room, abs=1e-6)
-        poor = [shares[name] for name, want in wants.items() if shares[name] < want - 1e-6]
+        poor = [shares[name] for name, want in demands.items() if shares[name] < want - 1e-6]
         assert all(share >= max(shares.values()) - 1e-6 for share in poor)
 
 
-def through(
-    gate: AdmissionController, asks: list[tuple[str, Priority, str]], seconds: int, work: float = 0.05
+def admitted_shares(
+    controller: AdmissionController, asks: list[tuple[str, Priority, str]], seconds: int, work: float = 0.05
 ) -> dict[tuple, float]:
-    """Part let in by tenant and rank, in the last second of a steady mix of asks, each ten times a second."""
+    """The share admitted by tenant and priority, at the end of a steady mix of requests sent ten times a second."""
     now, let, came = SECOND, {}, {}
     for step in range(10 * seconds):
-        for tenant, rank, client in asks:
-            goes = gate.admit(tenant, gate.level(rank, 1.0, work, client, now), work)
+        for tenant, priority, client in asks:
+            goes = controller.admit(tenant, controller.level(priority, 1.0, work, client, now), work)
             if step >= 10 * (seconds - 2):
-                came[tenant, rank] = came.get((tenant, rank), 0) + 1
-                let[tenant, rank] = let.get((tenant, rank), 0) + goes
+                came[tenant, priority] = came.get((tenant, priority), 0) + 1
+                let[tenant, priority] = let.get((tenant, priority), 0) + goes
         now += 100 * MS
-        gate.update(now)
+        controller.update(now)
     return {key: let[key] / count for key, count in came.items()}
 
 
-def test_listeners_and_promised_ones_go_before_newcomers_and_purchases_always() -> None:
-    gate = AdmissionController()
-    gate.limit = 6.0  # of 20 that are asked for
+def test_promised_and_listening_clients_are_admitted_before_new_ones_and_purchases_always() -> None:
+    controller = AdmissionController()
+    controller.limit = 6.0  # of a demand of 20
     asks = [
-        ("t", rank, f"c{rank}-{n}")
-        for rank in (Priority.KEYED, Priority.PROMISED, Priority.LISTENER, Priority.FIRST, Priority.AGAIN)
+        ("t", priority, f"c{priority}-{n}")
+        for priority in (Priority.KEYED, Priority.PROMISED, Priority.LISTENER, Priority.FIRST, Priority.AGAIN)
         for n in range(8)
     ]
-    part = through(gate, asks, 6)
+    part = admitted_shares(controller, asks, 6)
     assert part["t", Priority.KEYED] == 1 and part["t", Priority.PROMISED] >= 0.4
     assert (
         part["t", Priority.PROMISED]
@@ -130,29 +132,30 @@
         >= part["t", Priority.AGAIN]
     )
     assert part["t", Priority.AGAIN] == 0
-    gate.limit = math.inf
-    assert set(through(gate, asks, 4).values()) == {1.0}
+    controller.limit = math.inf
+    assert set(admitted_shares(controller, asks, 4).values()) == {1.0}
 
 
-def test_a_tenants_storm_leaves_the_others_their_share_and_a_hog_stands_behind() -> None:
-    gate = AdmissionController()
-    gate.limit = 10.0
+def test_a_tenants_storm_leaves_others_their_share_and_a_heavy_client_is_ranked_last() -> None:
+    controller = AdmissionController()
+    controller.limit = 10.0
     asks = [("flood", Priority.FIRST, f"f{n}") for n in range(100)] + [
         ("calm", Priority.FIRST, f"c{n}") for n in range(6)
     ]
-    part = through(gate, asks, 6)
+    part = admitted_shares(controller, asks, 6)
     assert part["calm", Priority.FIRST] > 0.98 and 0.08 < part["flood", Priority.FIRST] < 0.2
-    gate = AdmissionController()
+    controller = AdmissionController()
     now = SECOND
     for _ in range(30):
         for client in ("a", "b", "c", "d", *["hog"] * 60):
-            gate.level(Priority.FIRST, 1.0, 0.05, client, now)
+            controller.level(Priority.FIRST, 1.0, 0.05, client, now)
         now += 100 * MS
-        gate.update(now)
-    hog, usual = (
-        gate.level(Priority.FIRST, 1.0, 0.05, client, now) // CLIENT_LEVELS % VALUE_LEVELS for client in ("hog", "a")
+        controller.update(now)
+    heavy, usual = (
+        controller.level(Priority.FIRST, 1.0, 0.05, client, now) // CLIENT_LEVELS % VALUE_LEVELS
+        for client in ("hog", "a")
     )
-    assert hog == VALUE_LEVELS - 1 > usual
+    assert heavy == VALUE_LEVELS - 1 > usual
 
 
 def test_a_listener_has_a_claim_on_the_next_part_for_a_while() -> None:
@@ -165,10 +168,10 @@
     assert len(claims.served) <= 8_192
 
 
-def test_room_holds_at_what_is_served_and_grows_in_steps_slower_while_the_library_is_slow() -> None:
+def test_the_limit_holds_at_the_goodput_and_grows_more_slowly_while_the_origin_is_slow() -> None:
     def after(upstream: UpstreamLoad, seconds: int) -> float:
         capacity, now = CapacityEstimator(), SECOND
-        for _ in range(30):  # before: all that is asked for is served
+        for _ in range(30):  # before the fault everything is served
             capacity.record_admitted(0.6)
             capacity.record_finished(0.6, True)
             now += 100 * MS
@@ -182,7 +185,7 @@
             now += 100 * MS
             capacity.update(now, True, upstream)
             if step == 59:
-                assert 5.2 <= capacity.limit <= 9  # of 30 that are asked for, 6 are served
+                assert 5.2 <= capacity.limit <= 9  # of a demand of 30, 6 are served
         return capacity.limit
 
     assert after(UpstreamLoad(), 1) < 15 and after(UpstreamLoad(), 6) > 25
@@ -192,10 +195,10 @@
         capacity.record_admitted(1.0)
         capacity.record_finished(0.2, True)
         capacity.update(n * 100 * MS, False, UpstreamLoad())
-    assert capacity.limit == math.inf  # not while the detector says that all is normal
+    assert capacity.limit == math.inf  # no limit while the detector's state is normal
 
 
-# --- what is paid for
+# --- retry budgets
 
 
 @settings(max_examples=150, derandomize=True, deadline=None)
@@ -205,44 +208,46 @@
         max_size=120,
     )
 )
-def test_purses_are_never_negative_and_nothing_leaks(steps: list[tuple[bool, str, str, int]]) -> None:
-    book, now, paid, spent = RetryBudgets(), 0, 0.0, 0
+def test_buckets_are_never_negative_and_no_token_is_lost_or_created(steps: list[tuple[bool, str, str, int]]) -> None:
+    retry_budgets, now, paid, spent = RetryBudgets(), 0, 0.0, 0
     for first, client, tenant, gone in steps:
         now += gone
         if first:
-            book.deposit(client, tenant, now)
+            retry_budgets.deposit(client, tenant, now)
             paid += POLICIES[Scope.FLEET].per_first_try
         else:
-            before = {level: {k: p.tokens for k, p in purses.items()} for level, purses in book.buckets.items()}
-            empty = book.withdraw(client, tenant, now)
+            before = {
+                scope: {k: p.tokens for k, p in buckets.items()} for scope, buckets in retry_budgets.buckets.items()
+            }
+            empty = retry_budgets.withdraw(client, tenant, now)
             spent += empty is None
             if empty is not None:  # none of the three was charged
                 assert all(
-                    p.tokens >= before[level].get(k, 0) - 1e-9
-                    for level, purses in book.buckets.items()
-                    for k, p in purses.items()
+                    p.tokens >= before[scope].get(k, 0) - 1e-9
+                    for scope, buckets in retry_budgets.buckets.items()
+                    for k, p in buckets.items()
                 )
-        for level, purses in book.buckets.items():
-            assert all(-1e-9 <= purse.tokens <= POLICIES[level].capacity + 1e-9 for purse in purses.values())
+        for scope, buckets in retry_budgets.buckets.items():
+            assert all(-1e-9 <= bucket.tokens <= POLICIES[scope].capacity + 1e-9 for bucket in buckets.values())
     fleet = POLICIES[Scope.FLEET]
     assert spent <= fleet.capacity / 2 + paid + fleet.refill_rate * now / SECOND + 1e-6
 
 
-def test_a_budget_is_as_deep_as_first_tries_made_it_at_every_level() -> None:
-    book = RetryBudgets()
+def test_retries_are_limited_by_the_first_tries_in_every_scope() -> None:
+    retry_budgets = RetryBudgets()
     for n in range(200):
-        book.deposit(f"c{n % 50}", "t", n * 10 * MS)
+        retry_budgets.deposit(f"c{n % 50}", "t", n * 10 * MS)
     now = 2 * SECOND
-    assert [book.withdraw("c1", "t", now) for _ in range(6)][-1] is Scope.CLIENT
-    told = [book.withdraw(f"c{n}", "t", now) for n in range(2, 50) for _ in range(2)]
-    assert Scope.TENANT in told and sum(one is None for one in told) <= POLICIES[Scope.TENANT].capacity
-    assert book.withdraw("other", "quiet", now) is None  # another tenant's purse is its own
+    assert [retry_budgets.withdraw("c1", "t", now) for _ in range(6)][-1] is Scope.CLIENT
+    results = [retry_budgets.withdraw(f"c{n}", "t", now) for n in range(2, 50) for _ in range(2)]
+    assert Scope.TENANT in results and sum(one is None for one in results) <= POLICIES[Scope.TENANT].capacity
+    assert retry_budgets.withdraw("other", "quiet", now) is None  # each tenant has its own bucket
     for n in range(3 * budgets.MAX_BUCKETS[Scope.CLIENT]):
-        book.deposit(f"x{n}", "t", now)
-    assert len(book.buckets[Scope.CLIENT]) == budgets.MAX_BUCKETS[Scope.CLIENT]
+        retry_budgets.deposit(f"x{n}", "t", now)
+    assert len(retry_budgets.buckets[Scope.CLIENT]) == budgets.MAX_BUCKETS[Scope.CLIENT]
 
 
-# --- when they come back
+# --- return scheduling
 
 
 @settings(max_examples=100, derandomize=True, deadline=None)
@@ -250,7 +255,7 @@
     st.lists(st.tuples(st.integers(0, 60 * MS), st.integers(0, 3_000 * MS), st.booleans()), max_size=200),
     st.floats(0, 400),
 )
-def test_promised_room_is_never_over_booked(steps: list[tuple[int, int, bool]], room: float) -> None:
+def test_slots_are_never_overbooked(steps: list[tuple[int, int, bool]], room: float) -> None:
     scheduler, now = ReturnScheduler(2 * SECOND, 7), SECOND
     scheduler.rate = room
     for n, (gone, most, returns) in enumerate(steps):
@@ -263,15 +268,15 @@
     assert len(scheduler.promises) <= comeback.MAX_PROMISES
 
 
-def test_a_wave_that_is_told_to_return_comes_as_fast_as_there_is_room() -> None:
+def test_refused_clients_return_at_the_scheduled_rate() -> None:
     scheduler = ReturnScheduler(5 * SECOND, 3)
     scheduler.rate = 100.0
     waits = sorted(scheduler.book(f"k{n}", SECOND, 5 * SECOND) for n in range(300))
     assert 2.8 * SECOND < waits[-1] < 3.3 * SECOND
-    for begin in range(3):  # a hundred in each second, evenly
+    for begin in range(3):  # a hundred a second, evenly spread
         assert 85 <= sum(begin * SECOND <= wait < (begin + 1) * SECOND for wait in waits) <= 115
     assert scheduler.unplaced == 0
-    assert [scheduler.book(f"m{n}", SECOND, 500 * MS) <= 500 * MS for n in range(9)] == [True] * 9  # none past its wait
+    assert [scheduler.book(f"m{n}", SECOND, 500 * MS) <= 500 * MS for n in range(9)] == [True] * 9  # within its limit
     due = SECOND + scheduler.book("kept", SECOND, 5 * SECOND)
     assert scheduler.returned("kept", due) is Return.KEPT and scheduler.returned("kept", due) is Return.NONE
     scheduler.book("hasty", SECOND, 5 * SECOND)
@@ -281,21 +286,21 @@
     assert scheduler.returned("tardy", 60 * SECOND) is Return.LATE
 
 
-def test_connections_are_taken_in_steps_after_a_start_and_in_a_storm() -> None:
+def test_the_accept_rate_ramps_up_after_a_start_and_is_limited_in_a_storm() -> None:
     pace, now, taken = AcceptPacer(0), 0, [0] * 12
     while now < 12 * SECOND:
         wait = pace.acquire(now, State.NORMAL, 10)
         taken[now // SECOND] += not wait
         now += wait or 200
-    assert taken[0] < 200 < taken[2] < taken[4] and taken[10] >= 4_000  # no bound any more
+    assert taken[0] < 200 < taken[2] < taken[4] and taken[10] >= 4_000  # no limit any more
     assert pace.rate(20 * SECOND, State.STORM, 10) == 320
 
 
-# --- all together, in the core
+# --- in the engine
 
 
-class Quiet:
-    """Servers that never answer; the engine's port."""
+class SilentCaches:
+    """A transport to servers that never answer."""
 
     def send(self, attempt: int, order: AttemptSpec) -> None: ...
 
@@ -307,7 +312,7 @@
     def purge_received(self, object: str | None, group: int | None) -> None: ...
 
 
-class Gathers:
+class RecordingFront:
     name = "resp"
 
     def __init__(self) -> None:
@@ -317,7 +322,7 @@
         self.answers.setdefault(ref, []).append(answer)
 
 
-class Time(Clock):
+class ManualClock(Clock):
     def __init__(self) -> None:
         self.at = 1_000 * SECOND
 
@@ -339,8 +344,10 @@
 }
 
 
-def core(config: OverloadConfig | None = None) -> tuple[Engine, OverloadController, Gathers, Time]:
-    clock, stats = Time(), Stats()
+def controlled_engine(
+    config: OverloadConfig | None = None,
+) -> tuple[Engine, OverloadController, RecordingFront, ManualClock]:
+    clock, stats = ManualClock(), Stats()
     known = api.Settings(
         CLASSES,
         zone="z",
@@ -353,7 +360,7 @@
         direct_to_origin=True,
     )
     engine = Engine(known, 1, clock, Deadlines(lambda when: None, lambda error: None), stats, lambda text: None)
-    engine.start(Quiet())
+    engine.start(SilentCaches())
     engine.list_changed(
         api.ListNews(
             api.ListKind.FULL,
@@ -362,7 +369,7 @@
     )
     control = OverloadController(CLASSES, 4_000.0, 500 * MS, config or OverloadConfig(), 5, lambda text: None)
     engine.overload_control = control
-    return engine, control, Gathers(), clock
+    return engine, control, RecordingFront(), clock
 
 
 def storm(control: OverloadController) -> None:
@@ -377,10 +384,8 @@
     ),
     st.randoms(use_true_random=False),
 )
-def test_whatever_happens_each_request_gets_one_answer_and_nothing_is_kept_of_it(
-    steps: list[str], draw: random.Random
-) -> None:
-    engine, control, front, clock = core()
+def test_each_request_gets_exactly_one_answer_and_leaves_nothing_behind(steps: list[str], draw: random.Random) -> None:
+    engine, control, front, clock = controlled_engine()
     open_handles: dict[int, int] = {}
     left: set[int] = set()
     ref = 0
@@ -402,7 +407,7 @@
             if ref not in front.answers:
                 open_handles[ref] = handle
         elif step in ("serve", "miss", "late") and engine.attempts.live():
-            if step == "late":  # past the wanted time, or past everything
+            if step == "late":  # past the latency target, or past the deadline
                 clock.at += draw.choice([SECOND, 4 * SECOND])
                 engine.deadlines.run_due(clock.at)
             live = list(engine.attempts.live())
@@ -426,8 +431,8 @@
     assert not set(front.answers) & left
 
 
-def test_in_a_storm_newcomers_wait_and_are_told_when_while_purchases_and_listeners_go_on() -> None:
-    engine, control, front, clock = core()
+def test_in_a_storm_new_clients_are_told_when_to_return_while_purchases_and_listeners_go_on() -> None:
+    engine, control, front, clock = controlled_engine()
 
     def ask(n: int, cls: str = "clip", **more: object) -> Answer | None:
         engine.submit(
@@ -447,30 +452,30 @@
     assert ask(1, object="song", part=4, client="listener") is None
     engine.attempt_ended(list(engine.attempts.live())[0][0], AttemptResult(api.Outcome.SERVED))
     storm(control)
-    for n in range(100, 140):  # demand that the gate sees
+    for n in range(100, 140):  # demand that the controller counts
         ask(n)
         clock.at += 20 * MS
     control.admission.limit = 2.0
     control.admission.update(clock.at)
-    told = [ask(n) for n in range(200, 215)]
-    refused = [answer for answer in told if answer is not None]
+    results = [ask(n) for n in range(200, 215)]
+    refused = [answer for answer in results if answer is not None]
     assert refused and all(a.status is FinalStatus.REFUSED and 0 < a.retry_after <= 500 * MS for a in refused)
     assert ask(300, "buy", idempotency_key="k1") is None and ask(301, "buy", idempotency_key="k1", repeat=True) is None
-    assert ask(302, object="song", part=5, client="listener") is None  # the next part of what it listens to
-    rid = f"{next(n for n, a in zip(range(200, 215), told, strict=True) if a is not None):016x}"
+    assert ask(302, object="song", part=5, client="listener") is None  # the next part of the object that it plays
+    rid = f"{next(n for n, a in zip(range(200, 215), results, strict=True) if a is not None):016x}"
     why = control.explain(rid)
     assert why["state"] == "storm" and "no room for first" in why["why"] and why["come_back_ms"] > 0
     assert control.status(clock.at)["held_off"] and control.explain("ffff") is None
     control.capacity.limit = control.admission.limit = math.inf
     control.detector.all.state = State.NORMAL
-    for handle, _ in list(engine.attempts.live()):  # the caches are not lost: they answer by and by
+    for handle, _ in list(engine.attempts.live()):  # the caches are up: they answer in the end
         engine.attempt_ended(handle, AttemptResult(api.Outcome.SERVED))
-    assert all(ask(n) is None for n in range(400, 420))  # in normal times nothing is held off
+    assert all(ask(n) is None for n in range(400, 420))  # in the normal state nothing is held off
 
 
-def test_retries_beyond_the_budget_wait_in_a_storm_also_those_that_mark_nothing() -> None:
+def test_in_a_storm_retries_beyond_the_budget_are_held_off_marked_or_not() -> None:
     for mark in (True, False):
-        engine, control, front, clock = core(OverloadConfig(admission=False))
+        engine, control, front, clock = controlled_engine(OverloadConfig(admission=False))
         storm(control)
         control.admission.limit = math.inf
         refs = iter(range(1, 10_000))
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -1,4 +1,5 @@
-"""Overload control in the running program: a storm is seen, told and explained; and the stand-ins that cause it."""
+"""Overload control in the running program: detection, status and explanation of a storm; and the stand-ins that cause
+one."""
 
 from __future__ import annotations
 
@@ -47,7 +48,7 @@
     ).stdout
 
 
-def test_a_storm_is_seen_told_and_explained_and_each_request_has_one_answer(tmp_path: Path) -> None:
+def test_a_storm_is_detected_reported_and_explained_and_each_request_has_one_answer(tmp_path: Path) -> None:
     async def scene(w: ProxyHarness, _: object) -> None:
         for box in w.boxes:
             box.behave = lambda ask: ("refused", "report=inflight:60;util:1.0", b"")
@@ -89,8 +90,8 @@
     play(tmp_path, scene, OPERATOR)
 
 
-def test_each_node_of_a_dns_view_has_a_guard_of_its_own(tmp_path: Path) -> None:
-    """A storm of look-ups for one node is that node's: the RESP front and the proxy's own node stay as they are."""
+def test_each_node_of_a_dns_view_has_its_own_overload_control(tmp_path: Path) -> None:
+    """A storm of look-ups for one node changes that node's state only, not that of the RESP front or the proxy."""
     view = """
 trusted = ["127.0.0.1/32"]
 resolver_qps = 0
@@ -112,7 +113,7 @@
             settings={"extra": SETTINGS["extra"] | {"bypass-allowed": False}},
         )
         w.caches[2].locality = "sierra"
-        w.caches[2].up_since = int(time.time() * 1_000) - 1  # cold: it takes next to nothing
+        w.caches[2].up_since = int(time.time() * 1_000) - 1  # cold: it accepts almost no requests
         async with w:
             r = await Resolver(await w.listening_port("dns")).start()
             admin = await w.listening_port("admin")
@@ -131,7 +132,7 @@
     asyncio.run(run())
 
 
-def test_at_the_end_clients_are_let_go_of_one_after_another(tmp_path: Path) -> None:
+def test_at_shutdown_clients_are_disconnected_one_after_another(tmp_path: Path) -> None:
     async def scene(w: ProxyHarness, _: object) -> None:
         clients = [await w.client() for _ in range(40)]
         for client in clients:
@@ -144,19 +145,19 @@
             ends.append(time.monotonic() - began)
 
         await asyncio.gather(*(end(client) for client in clients))
-        assert max(ends) - min(ends) > 0.5  # not all in one instant
+        assert max(ends) - min(ends) > 0.5  # not all at once
         assert await w.process.wait() == 0
 
     play(tmp_path, scene, OPERATOR)
 
 
 @pytest.mark.parametrize("bad", [{"horizon_ms": 70_000}, {"leave_ms": -1}, {"admission": 1}, {"retries": True}])
-def test_words_of_the_operators_file_that_cannot_be_used_are_told(bad: dict, tmp_path: Path) -> None:
+def test_invalid_overload_settings_are_rejected(bad: dict, tmp_path: Path) -> None:
     with pytest.raises(Malformed, match="overload"):
         read_operator({"overload": bad}, {}, tmp_path)
 
 
-def test_scripted_faults_do_what_they_say() -> None:
+def test_scripted_faults_have_their_effect() -> None:
     async def scene() -> None:
         fleet = Fleet()
         box = await fleet.add("b", "library", ("127.0.0.1", 0))
@@ -173,7 +174,7 @@
             writer.close()
             return words
 
-        assert sorted(set(await ask(6))) == ["ok", "refused"]  # one in work, one waits
+        assert sorted(set(await ask(6))) == ["ok", "refused"]  # one is processed, one waits
         failing = asyncio.ensure_future(faults.play(box, faults.Fault("fail", 0, 0.2, 1.0)))
         await until(lambda: box.failing)
         assert await ask(1) == ["error"]
@@ -192,7 +193,7 @@
         await until(lambda: box.links)
         reset = asyncio.ensure_future(faults.play(box, faults.Fault("reset", 0, 0.1)))
         with suppress(ConnectionError):
-            assert await asyncio.wait_for(reader.read(), 30) == b""  # it was ended
+            assert await asyncio.wait_for(reader.read(), 30) == b""  # the connection was closed
         await reset
         with pytest.raises(ValueError, match="no such fault"):
             await faults.play(box, faults.Fault("melt", 0, 0))
@@ -201,7 +202,7 @@
     asyncio.run(scene())
 
 
-def test_the_ways_differ_where_queues_are_deep_and_hardly_where_rooms_are_bounded() -> None:
+def test_the_methods_differ_with_deep_queues_and_hardly_with_bounded_ones() -> None:
     deep = {way: storm_ways.play(way, 11, "deep") for way in ("none", "gradient", "served rate and ranks")}
     assert deep["none"]["served_after"] < 0.1 < 0.9 < deep["served rate and ranks"]["served_after"]
     assert deep["gradient"]["recover_s"] == 0
@@ -209,14 +210,14 @@
     assert min(bounded) > 0.98
 
 
-def test_the_page_shows_both_sides() -> None:
+def test_the_page_shows_both_runs() -> None:
     side = {"share": [1.0, 0.4, 1.0], "tries": [1.0, 2.0, 1.0]}
     made = page({"recover_s": 3.0, "<b>": 1}, {"on": side, "off": side})
     assert made.count("<polyline") == 4 and "recover_s" in made and "<b>" not in made and storm.BOXES == 3
 
 
-def test_a_slow_library_under_a_refill_while_an_upper_cache_dies_loses_no_answer_and_ends(tmp_path: Path) -> None:
-    """All copies are void at once, the library is five times slower and an upper cache stops, in the same second."""
+def test_a_refill_from_a_slow_library_while_an_upper_cache_stops_loses_no_answer_and_ends(tmp_path: Path) -> None:
+    """In the same second all copies are dropped, the library becomes five times slower and an upper cache stops."""
 
     async def scene() -> tuple[Players, list, float]:
         rig = await storm.start(tmp_path, "127.0.71.1", True)
@@ -243,6 +244,6 @@
     players, asked, begun = asyncio.run(scene())
     assert players.twice == 0 and players.told["silence"] == 0
     late = [outcome.served for outcome in players.outcomes if outcome.began > begun + 6]
-    assert len(late) > 50 and sum(late) / len(late) > 0.9  # it is over, three seconds after the fault is
+    assert len(late) > 50 and sum(late) / len(late) > 0.9  # recovered three seconds after the end of the fault
     worst = max(sum(second <= a.at - begun < second + 1 for a in asked) for second in range(9))
-    assert worst < 60  # never more than is asked: fills are joined and bounded, whatever is tried again
+    assert worst < 60  # never more than clients request: fills are joined and limited despite retries
