--- a/threadhill/operators.py
+++ b/threadhill/operators.py
@@ -138,7 +138,7 @@
         raise Malformed(
             "overload: horizon_ms must be from 0 (as far as the site allows) to 60000, leave_ms from 0 to 2500"
         )
-    return OverloadConfig(**flags, horizon=times["horizon_ms"] * 1_000, leave=times["leave_ms"] * 1_000)
+    return OverloadConfig(**flags, horizon=times["horizon_ms"] * 1_000, disconnect_spread=times["leave_ms"] * 1_000)
 
 
 def _read_admin(raw: dict[str, Any], environ: Mapping[str, str], base: Path) -> AdminConfig:
