--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -1,4 +1,5 @@
-"""What proxies know together: reports, the control plane's merging, hints, and what the module makes of them."""
+"""Shared load figures: the proxies' reports, their merge in the control plane, hints, and their use in the decision
+module."""
 
 from __future__ import annotations
 
@@ -25,37 +26,37 @@
 from threadhill.standin.swarm import Crowd, Swarm, settings_for
 
 
-def said(number: int, rate: float = 2.0, **more: Any) -> dict[str, Any]:
+def report_of(number: int, rate: float = 2.0, **more: Any) -> dict[str, Any]:
     return {"n": number, "zone": "here", "objects": [["hot", rate]], "caches": [[11, 1.0, 0], [12, 0.0, 1]], **more}
 
 
-def hint(number: int = 1, **more: Any) -> dict[str, Any]:
+def hint_of(number: int = 1, **more: Any) -> dict[str, Any]:
     return {"n": number, "at": 0, "age": 100, "objects": [["hot", 50.0]], "caches": [[11, 3.0, 0.0]], **more}
 
 
-def test_reports_are_summed_once_each_and_for_their_own_location() -> None:
+def test_each_report_is_counted_once_and_for_its_own_location() -> None:
     aggregator = ReportAggregator()
     for proxy in ("a", "b", "c"):
-        assert aggregator.add_report(proxy, said(1), 1_000)
-    assert aggregator.add_report("far", said(1, rate=9.0, zone="there"), 1_000)
+        assert aggregator.add_report(proxy, report_of(1), 1_000)
+    assert aggregator.add_report("far", report_of(1, rate=9.0, zone="there"), 1_000)
     told = aggregator.hint("a", 1_200)
     assert told is not None and told["objects"] == [["hot", 6.0]] and told["proxies"] == 3
     assert told["caches"] == [[12, 0.0, 1.0], [11, 3.0, 0.0]]
     assert aggregator.hint("far", 1_200) is None and aggregator.hint("stranger", 1_200) is None
 
 
-def test_a_report_that_comes_twice_or_late_counts_once_and_a_silent_proxy_counts_no_more() -> None:
+def test_duplicate_and_late_reports_count_once_and_silent_proxies_do_not_count() -> None:
     aggregator = ReportAggregator()
     for proxy in ("a", "b", "c"):
-        aggregator.add_report(proxy, said(5), 1_000)
-    assert not aggregator.add_report("a", said(5, rate=100.0), 1_100) and not aggregator.add_report(
-        "a", said(4, rate=100.0), 1_100
+        aggregator.add_report(proxy, report_of(5), 1_000)
+    assert not aggregator.add_report("a", report_of(5, rate=100.0), 1_100) and not aggregator.add_report(
+        "a", report_of(4, rate=100.0), 1_100
     )
     assert aggregator.hint("b", 1_200)["objects"] == [["hot", 6.0]]
-    aggregator.add_report("a", said(6), MAX_REPORT_AGE)
-    aggregator.add_report("b", said(6), MAX_REPORT_AGE)
+    aggregator.add_report("a", report_of(6), MAX_REPORT_AGE)
+    aggregator.add_report("b", report_of(6), MAX_REPORT_AGE)
     assert aggregator.hint("a", 1_000 + MAX_REPORT_AGE + 100)["objects"] == [["hot", 4.0]]
-    assert aggregator.add_report("a", said(1), 3 * MAX_REPORT_AGE)  # it started anew
+    assert aggregator.add_report("a", report_of(1), 3 * MAX_REPORT_AGE)  # it restarted
     aggregator.expire(20 * MAX_REPORT_AGE)
     assert not aggregator.by_name
 
@@ -66,27 +67,27 @@
         None,
         [],
         {"n": "1"},
-        said(1, zone=3),
-        said(1, objects=[["a"]]),
-        said(1, objects=[["a", float("nan")]]),
-        said(1, objects=[["", 1.0]]),
-        said(1, objects=[["a", -1.0]]),
-        said(1, caches=[["11", 1.0, 0]]),
-        said(1, objects=[["a", 1.0]] * 1_000),
-        said(1, caches=[[11, 1e9, 0]]),
+        report_of(1, zone=3),
+        report_of(1, objects=[["a"]]),
+        report_of(1, objects=[["a", float("nan")]]),
+        report_of(1, objects=[["", 1.0]]),
+        report_of(1, objects=[["a", -1.0]]),
+        report_of(1, caches=[["11", 1.0, 0]]),
+        report_of(1, objects=[["a", 1.0]] * 1_000),
+        report_of(1, caches=[[11, 1e9, 0]]),
     ],
 )
-def test_a_report_that_cannot_be_used_is_left_whole(raw: Any) -> None:
+def test_an_invalid_report_is_rejected_as_a_whole(raw: Any) -> None:
     aggregator = ReportAggregator()
     assert not aggregator.add_report("a", raw, 0) and aggregator.rejected == 1 and not aggregator.by_name
 
 
-def test_a_hint_is_bounded_whatever_the_proxies_say() -> None:
+def test_a_hint_is_bounded_whatever_proxies_report() -> None:
     aggregator = ReportAggregator()
     for n in range(50):
         aggregator.add_report(
             f"p{n}",
-            said(
+            report_of(
                 1,
                 objects=[[f"{n:08x}{i:08x}", 1e5] for i in range(MAX_OBJECTS)],
                 caches=[[4_000_000_000 + n * 50 + i, 9e4, 1] for i in range(MAX_CACHES)],
@@ -101,34 +102,34 @@
     "raw",
     [
         {},
-        hint(objects=[["hot"]]),
-        hint(objects=[["hot", "50"]]),
-        hint(objects=[["hot", 1e9]]),
-        hint(objects=[["hot", float("inf")]]),
-        hint(caches=[[11, 3.0, 2.0]]),
-        hint(age=-5),
-        hint(n=None),
-        hint(caches=[[True, 3.0, 1.0]]),
-        hint(objects=[["hot", 1.0]] * 100),
+        hint_of(objects=[["hot"]]),
+        hint_of(objects=[["hot", "50"]]),
+        hint_of(objects=[["hot", 1e9]]),
+        hint_of(objects=[["hot", float("inf")]]),
+        hint_of(caches=[[11, 3.0, 2.0]]),
+        hint_of(age=-5),
+        hint_of(n=None),
+        hint_of(caches=[[True, 3.0, 1.0]]),
+        hint_of(objects=[["hot", 1.0]] * 100),
     ],
 )
-def test_a_hint_that_cannot_be_read_is_refused_whole(raw: dict[str, Any]) -> None:
+def test_an_invalid_hint_is_rejected_as_a_whole(raw: dict[str, Any]) -> None:
     hints = HintReader()
     with pytest.raises(Malformed):
         hints.read(raw, 0)
-    assert hints.read(hint(), 0) is not None
+    assert hints.read(hint_of(), 0) is not None
 
 
-def test_doubled_and_old_hints_are_left_and_a_new_connection_counts_anew() -> None:
+def test_duplicate_and_old_hints_are_ignored_and_a_new_connection_restarts_the_numbering() -> None:
     hints = HintReader()
-    assert hints.read(hint(7), 0).age == 100_000
-    assert hints.read(hint(7), 0) is None and hints.read(hint(6), 0) is None
-    assert hints.read(hint(8), 9 * SECOND) is None  # it lay somewhere for nine seconds
+    assert hints.read(hint_of(7), 0).age == 100_000
+    assert hints.read(hint_of(7), 0) is None and hints.read(hint_of(6), 0) is None
+    assert hints.read(hint_of(8), 9 * SECOND) is None  # it was delayed for nine seconds
     hints.reset()
-    assert hints.read(hint(1), 0) is not None and hints.ignored == 3
+    assert hints.read(hint_of(1), 0) is not None and hints.ignored == 3
 
 
-def test_a_report_names_what_is_asked_for_most_and_what_is_out() -> None:
+def test_a_report_names_the_most_requested_objects_and_the_attempts_in_flight() -> None:
     script = Script()
     report = ReportBuilder(script.router)
     for _ in range(3):
@@ -141,7 +142,7 @@
     assert len(ReportBuilder(Many(1).routers[0]).build(0)["objects"]) == 0
 
 
-def test_a_hint_gives_a_hot_object_its_copies_before_this_router_saw_it() -> None:
+def test_a_hint_spreads_a_hot_object_before_this_router_saw_it() -> None:
     script = Script()
     script.send_steadily("other", 3, 20)
     script.handle(api.Hints({"hot": 80.0}, {}, {}, 100 * MS))
@@ -150,12 +151,12 @@
     assert len(script.servers_used("hot", 60)) == 4
     script = Script()
     script.send_steadily("other", 3, 20)
-    script.handle(api.Hints({"hot": 80.0}, {}, {}, 9 * SECOND))  # too old to say anything
+    script.handle(api.Hints({"hot": 80.0}, {}, {}, 9 * SECOND))  # too old to be used
     script.wait(SECOND)
     assert script.serve("hot") and script.router.rates["hot"].copies == 1
 
 
-def test_no_hint_overrides_a_drain_a_purge_or_a_cold_servers_rule() -> None:
+def test_no_hint_overrides_a_drain_a_purge_or_a_slow_start() -> None:
     script = Script()
     script.list([api.Entry(11, api.State.DRAINING, "here", "box", 1)])
     for _ in range(40):
@@ -180,7 +181,7 @@
     assert credit[0] == credit[1]
 
 
-def test_one_routers_bad_luck_with_a_cache_is_forgiven_where_the_others_do_well_and_not_where_all_fail() -> None:
+def test_ejection_of_a_cache_is_eased_if_it_works_for_others_and_not_if_it_fails_for_all() -> None:
     for share, out in ((0.0, False), (1.0, True)):
         script = Script()
         server = script.router.fleet.servers[11]
@@ -199,7 +200,7 @@
         assert (server.ejected_until > script.now + 100 * MS) or not out
 
 
-def test_absurd_hints_refuse_nothing_on_a_calm_day() -> None:
+def test_absurd_hints_cause_no_refusals_at_low_load() -> None:
     many = Many(200)
     many.report = False
     for second in range(6):
@@ -210,8 +211,8 @@
     assert many.refused <= 0.002 and MAX_REPORT_FACTOR > 1
 
 
-def test_the_control_plane_tells_hints_to_those_only_that_say_what_they_know(tmp_path: Path) -> None:
-    """Guards against a line that a proxy of an older version can't read: it would leave its feed."""
+def test_the_control_plane_sends_hints_only_to_proxies_that_report_loads(tmp_path: Path) -> None:
+    """A proxy of an older version can't read hints and would drop its connection to the feed."""
 
     async def scene() -> None:
         async with Rig(tmp_path, "127.0.35.1", proxies=1) as rig:
@@ -232,7 +233,7 @@
             for number in range(1, 40):
                 for name, _, writer in links:
                     report = {"proxy": name, "config": "", "applied": 0, "up": [], "down": []}
-                    report |= {"knows": said(number)} if name != "old" else {}
+                    report |= {"knows": report_of(number)} if name != "old" else {}
                     writer.write(json.dumps(report).encode() + b"\n")
                 if [line for line in got["new-2"] if isinstance(line, dict) and "hint" in line]:
                     break
@@ -248,8 +249,8 @@
     asyncio.run(scene())
 
 
-def test_proxies_whose_feed_is_cut_off_go_on_and_hear_hints_again(tmp_path: Path) -> None:
-    """24 processes; for ten seconds the link to the service that tells hints drops all in silence."""
+def test_proxies_whose_feed_is_cut_off_go_on_and_receive_hints_again(tmp_path: Path) -> None:
+    """24 processes; for ten seconds the link to the service that sends hints silently drops everything."""
 
     async def scene() -> None:
         one = Swarm(tmp_path, "127.0.0.1", settings_for(24), ROOT, hints=True)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -20,7 +20,7 @@
 from benchmarks.owner_model import GUARDS, Explorer
 from benchmarks.rig import TOKEN, Load
 from benchmarks.trio import NAMES, Trio
-from tests.test_recovery import warmed
+from tests.test_recovery import warmed_script
 from threadhill.control import client
 from threadhill.control.agreed import StateMachine, decode, encode
 from threadhill.control.members_file import read
@@ -116,7 +116,7 @@
     assert set(seen[:3]) == set(addresses) and seen[3] == seen[0] and len(rounds) == 3
     fence = Fence(4)
     assert [fence.admits(term) for term in (4, 6, 5, 6)] == [True, True, False, True] and fence.refused == 1
-    script = warmed()
+    script = warmed_script()
     raw = saved.pack(saved.content(script.router, DepartedServers(), 5, [], script.now, 9), "w", 1)
     assert saved.unpack(raw, "w", 1).term == 9
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,5 +1,5 @@
-"""Coming back: phases under any order of events, what is kept and what of it holds, worlds that contradict each other;
-and processes of the program that are killed, stopped, cut off and told an older world."""
+"""Recovery: phases under any order of events, saved state, contradicting proxies; and processes of the program that are
+killed, stopped, cut off or served by a rolled-back journal."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 from threadhill.standin.servers import Server
 from threadhill.standin.swarm import Crowd, Swarm, settings_for
 
-ORDER = [Phase.BLANK, Phase.CATCHING_UP, Phase.WARMING, Phase.FULL]
+PHASE_ORDER = [Phase.BLANK, Phase.CATCHING_UP, Phase.WARMING, Phase.FULL]
 
 
 # --- phases
 
 
-def test_a_start_goes_through_all_phases_by_what_is_seen() -> None:
+def test_a_start_passes_through_all_phases_by_observations() -> None:
     phases = PhaseTracker(PhasePolicy(), 0, confirmed_at=0)
     assert not phases.permissions(0).send
     phases.list_changed(10, frozenset({1, 2, 3, 4}))
@@ -48,9 +48,9 @@
         phases.permissions(SECOND) == phases.permissions(DELIVERY_TIME)
         and phases.permissions(SECOND).max_copy_age == 500 * MS
     )
-    assert not phases.permissions(DELIVERY_TIME + 1).send  # the rules win: what drained meanwhile counts as told
+    assert not phases.permissions(DELIVERY_TIME + 1).send  # refused: what drained meanwhile counts as delivered
     phases.number_received(8 * SECOND, 6, 6)
-    assert phases.phase is Phase.CATCHING_UP  # nobody looked for seconds: that may be as old as the connection
+    assert phases.phase is Phase.CATCHING_UP  # the process stalled: the line may be old
     phases.connected(8 * SECOND)
     phases.number_received(8 * SECOND, 5, 6)
     assert phases.phase is Phase.CATCHING_UP
@@ -62,15 +62,15 @@
     )
     for _ in range(MIN_ANSWERS):
         phases.attempt_ended(8 * SECOND, 1, True)
-    assert phases.phase is Phase.WARMING  # one cache of four is not enough
-    phases.attempt_ended(8 * SECOND, 2, False)  # nor need one serve: it is known now
+    assert phases.phase is Phase.WARMING  # one of four caches is not enough
+    phases.attempt_ended(8 * SECOND, 2, False)  # a failure counts as seen too
     assert phases.phase is Phase.FULL
     for n in range(81, 111):
         phases.tick(n * SECOND // 10)
     assert phases.phase is Phase.CATCHING_UP and phases.permissions(11 * SECOND).max_copy_age == 500 * MS
     phases.number_received(12 * SECOND, 6, 6)
-    assert phases.phase is Phase.FULL and not phases.awaiting_reconnect  # what it learned it did not forget
-    assert [change.new for change in phases.changes] == [*ORDER[1:], Phase.CATCHING_UP, Phase.FULL]
+    assert phases.phase is Phase.FULL and not phases.awaiting_reconnect  # it kept what it learned
+    assert [change.new for change in phases.changes] == [*PHASE_ORDER[1:], Phase.CATCHING_UP, Phase.FULL]
     assert all(change.cause for change in phases.changes)
 
 
@@ -80,7 +80,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(EVENTS, st.booleans())
-def test_no_order_of_events_leaves_a_phase_stuck_or_sends_what_it_forbids(events: list, known: bool) -> None:
+def test_no_order_of_events_blocks_a_phase_or_sends_what_it_forbids(events: list, known: bool) -> None:
     now, phases, news = 0, PhaseTracker(PhasePolicy(), 0, 0 if known else None), 0 if known else None
     for kind, wait in events:
         now += wait
@@ -98,11 +98,11 @@
             case "answer" | "fail":
                 phases.attempt_ended(now, 1, kind == "answer")
         allows = phases.permissions(now)
-        if allows.send:  # nothing goes out on news that may miss what counts as told, or from nothing at all
+        if allows.send:  # nothing is sent on a list that may miss delivered events, or on none
             assert phases.phase is not Phase.BLANK and news is not None and now - news <= DELIVERY_TIME
         if allows.send and now - news > 2 * SECOND:
-            assert 0 < allows.max_copy_age <= 500 * MS  # and no copy from before a purge that may be missing
-    phases.list_changed(now, frozenset({1, 2, 3}))  # whatever came, it comes back
+            assert 0 < allows.max_copy_age <= 500 * MS  # and no copy older than a purge that may be missing
+    phases.list_changed(now, frozenset({1, 2, 3}))  # it recovers after any events
     phases.connected(now)
     phases.number_received(now, 7, 7)
     for _ in range(10 * MIN_ANSWERS):
@@ -110,7 +110,7 @@
     assert phases.phase is Phase.FULL and phases.permissions(now).send and not phases.permissions(now).max_copy_age
 
 
-def test_a_fleet_is_back_when_all_but_a_twentieth_are_in_full_service_and_says_it_once() -> None:
+def test_a_fleet_is_back_at_95_percent_in_full_service_and_reports_it_once() -> None:
     fleet = FleetPhaseSummary()
     assert fleet.update(0, ["full"] * 20, 0) is None
     assert "not in full service" in fleet.update(1, ["full"] * 6 + ["warming"] * 2, 12)
@@ -119,21 +119,21 @@
     assert fleet.update(4, ["full"] * 20, 0) is None
 
 
-# --- numbers
+# --- event numbers
 
 
-def test_numbers_that_go_back_or_jump_are_noticed() -> None:
+def test_numbers_that_go_back_or_jump_are_detected() -> None:
     told = [compare_numbers(57, n) for n in (57, 58, 3, 57 + 20_000_000)] + [compare_numbers(0, 90_000_000)]
     assert told == [NumberCheck.SAME, NumberCheck.AHEAD, NumberCheck.BACK, NumberCheck.FAR, NumberCheck.AHEAD]
 
 
-def test_an_older_world_puts_nothing_back_that_drained_until_its_numbers_pass() -> None:
+def test_a_rolled_back_service_restores_no_drained_server_until_its_numbers_catch_up() -> None:
     departed = DepartedServers()
     departed.record([cache(1), api.Entry(2, State.DRAINING, reported_start=5), api.Entry(3, State.GONE)])
     departed.begin_rollback(57)
     again, anew = cache(2, reported_start=5), cache(3, reported_start=9)
     states = [entry.state for entry in departed.screen((cache(1), again, anew))]
-    assert states == [State.READY, State.DRAINING, State.READY]  # the third was started anew
+    assert states == [State.READY, State.DRAINING, State.READY]  # the third was restarted
     assert departed.reached(56) == () and departed.rolled_back
     assert departed.reached(57) == (again,) and departed.screen((again,)) == (again,)
 
@@ -141,7 +141,7 @@
 # --- what was learned
 
 
-def warmed() -> Script:
+def warmed_script() -> Script:
     script = Script()
     for n in range(200):
         script.end(script.ask(f"o{n % 20}")[0], duration=60 * MS)
@@ -150,8 +150,8 @@
     return script
 
 
-def test_what_was_learned_is_taken_by_a_fresh_router_and_weighed_by_its_age() -> None:
-    old = warmed()
+def test_learned_state_primes_a_fresh_router_weighted_by_its_age() -> None:
+    old = warmed_script()
     known = learned.check(orjson.loads(orjson.dumps(learned.gather(old.router, old.now))))
     assert known["servers"] and known["objects"] and known["work"] > 0
     for age, share in ((0, 1.0), (learned.ESTIMATE_LIFETIME // 2, 0.5), (learned.ESTIMATE_LIFETIME, 0.0)):
@@ -160,7 +160,7 @@
         assert fresh.router.work.peak == pytest.approx(share * known["work"], rel=0.01)
         assert fresh.router.mean_latency.value == (known["took"] if share else 0)
         assert bool(fresh.router.rates) == (age == 0)
-    again = Script()  # one that was started anew is another server, and what this one saw itself stays
+    again = Script()  # a restarted server is another one, and own observations stay
     again.list([cache(n, reported_start=again.now) for n in CACHES])
     again.serve("mine")
     seen = again.router.mean_latency.value
@@ -168,8 +168,8 @@
     assert again.router.mean_latency.value == seen
 
 
-def test_nothing_learned_overrides_a_drain_a_purge_or_a_cold_servers_rule() -> None:
-    old = warmed()
+def test_learned_state_overrides_no_drain_no_purge_and_no_slow_start() -> None:
+    old = warmed_script()
     known = learned.gather(old.router, old.now)
     fresh = Script()
     home = old.serve("o1").server
@@ -177,16 +177,18 @@
     fresh.handle(api.Purge("o1", 3, 0))
     learned.prime(fresh.router, known, 0, fresh.now)
     fresh.wait(SECOND)
-    sent = [fresh.serve("o1") for _ in range(20)]
-    assert all(s.server != home and s.source != home and 0 < s.max_age <= SECOND for s in sent)
+    fetches = [fresh.serve("o1") for _ in range(20)]
+    assert all(s.server != home and s.source != home and 0 < s.max_age <= SECOND for s in fetches)
     cold = Script()
     cold.list([cache(home, reported_start=cold.now)])
     learned.prime(cold.router, known, 0, cold.now)
     assert sum(cold.serve(f"o{n % 20}").server == home for n in range(60)) < 12
 
 
-def test_many_that_learned_say_it_as_one_and_one_who_is_wrong_moves_nothing() -> None:
-    said = [(orjson.loads(orjson.dumps(learned.gather(warmed().router, 2_000 * SECOND))), age) for age in (1, 2, 3)]
+def test_merged_documents_are_medians_that_one_wrong_document_does_not_change() -> None:
+    said = [
+        (orjson.loads(orjson.dumps(learned.gather(warmed_script().router, 2_000 * SECOND))), age) for age in (1, 2, 3)
+    ]
     wrong = orjson.loads(orjson.dumps(said[0][0]))
     wrong["took"], wrong["work"] = 5e8, 9e4
     for row in wrong["servers"]:
@@ -211,17 +213,17 @@
         {"objects": [["a", 1, 1]] * 900},
     ],
 )
-def test_a_document_that_cannot_be_used_is_refused_whole(wrong: dict[str, Any]) -> None:
-    good = learned.gather(warmed().router, 2_000 * SECOND)
+def test_an_invalid_document_is_rejected_as_a_whole(wrong: dict[str, Any]) -> None:
+    good = learned.gather(warmed_script().router, 2_000 * SECOND)
     with pytest.raises(Malformed):
         learned.check(good | wrong)
 
 
-# --- the file
+# --- the state file
 
 
-def body() -> dict[str, Any]:
-    script, departed = warmed(), DepartedServers()
+def state_document() -> dict[str, Any]:
+    script, departed = warmed_script(), DepartedServers()
     departed.record([api.Entry(9, State.DRAINING, reported_start=4)])
     script.handle(api.Purge("o1", 3, 0))
     return saved.content(script.router, departed, 57, ["s-00000007"], script.now)
@@ -240,11 +242,11 @@
 
 
 @pytest.mark.parametrize("how", DAMAGE)
-def test_a_damaged_file_is_set_aside_with_one_line_and_nothing_of_it_counts(how: str, tmp_path: Path) -> None:
+def test_a_damaged_file_is_set_aside_with_one_log_line_and_not_used(how: str, tmp_path: Path) -> None:
     lines: list[str] = []
     file = StateFile(tmp_path, "p-1", "abcd1234", lines.append)
-    assert file.read(1_000_000) is None and not lines  # there is none
-    raw = saved.pack(body(), "abcd1234", 1_000_000)
+    assert file.read(1_000_000) is None and not lines  # no file yet
+    raw = saved.pack(state_document(), "abcd1234", 1_000_000)
     assert file.write(raw) and file.read(1_000_000).pos == 57
     change, word = DAMAGE[how]
     file.path.write_bytes(change(raw))
@@ -253,7 +255,7 @@
     assert file.path.with_suffix(".damaged").exists()
 
 
-def test_a_folder_that_cannot_be_written_is_told_once_and_costs_nothing_else(tmp_path: Path) -> None:
+def test_a_folder_that_cannot_be_written_is_logged_once_and_has_no_other_effect(tmp_path: Path) -> None:
     lines: list[str] = []
     file = StateFile(tmp_path / "gone", "p-1", "abcd1234", lines.append)
     assert not file.write(b"x") and not file.write(b"x") and len(lines) == 1
@@ -262,25 +264,25 @@
     file.path.unlink()
     file.path.mkdir()
     assert file.read(0) is None and not file.write(b"x") and len(lines) == 4
-    assert not list((tmp_path / "gone").glob(".*"))  # nothing half written is left
+    assert not list((tmp_path / "gone").glob(".*"))  # no temporary file is left
 
 
-def test_drains_and_purges_in_a_file_are_never_aged_away_and_what_was_learned_is() -> None:
-    kept = saved.unpack(saved.pack(body(), "w", 1000 * SECOND), "w", 5000 * SECOND)
+def test_drains_and_purges_in_a_file_never_expire_while_learned_state_does() -> None:
+    kept = saved.unpack(saved.pack(state_document(), "w", 1000 * SECOND), "w", 5000 * SECOND)
     fresh, departed = Script(), DepartedServers()
     taken, older = saved.restore(kept, fresh.router, departed, 50, kept.saved_at + saved.MAX_AGE + SECOND)
     assert (taken, older) == (0, True) and departed.rolled_back and departed.starts[9] == 4
-    # As young as when it was saved: how long the file lay only wall clocks tell, which may have been stepped.
+    # The purge counts as old as when it was saved: only the wall clock, which may be stepped, tells the file's age.
     now, age = kept.saved_at + saved.MAX_AGE + SECOND, max(0, kept.saved_at - kept.purges[0][1])
     assert fresh.router.freshness.records["o1"].at == now - age and not fresh.router.usual_took.samples
     departed = DepartedServers()
     assert not saved.restore(kept, Script().router, departed, 57, kept.saved_at)[1] and not departed.rolled_back
 
 
-# --- snapshots, the way back
+# --- snapshots, returning clients
 
 
-def test_snapshots_are_kept_by_their_age_and_none_goes_where_the_clock_went_back() -> None:
+def test_snapshots_are_retained_by_age_and_none_is_deleted_after_the_clock_went_back() -> None:
     now = 100 * DAY
     times = [now - 60 * n for n in range(24 * 60)] + [now - DAY * n for n in range(60)] + [now + 900]
     gone = set(expired_snapshots(times, now))
@@ -290,7 +292,7 @@
     assert len({t // HOUR for t in left if now - t < DAY}) >= 23
 
 
-def test_who_comes_when_too_many_wait_is_told_a_moment_of_its_own() -> None:
+def test_proxies_beyond_the_limit_are_told_different_times_to_return() -> None:
     limiter = CatchUpLimiter(max_waiting=5)
     assert limiter.retry_delay(4, 0) == 0
     told = [limiter.retry_delay(5, 0) for _ in range(500)]
@@ -315,7 +317,7 @@
     }
 
 
-def held(*worlds: tuple[str, int, list[dict[str, Any]]], zone: str = "costa") -> dict[str, adopt.ProxyView]:
+def proxy_views(*worlds: tuple[str, int, list[dict[str, Any]]], zone: str = "costa") -> dict[str, adopt.ProxyView]:
     known: dict[str, adopt.ProxyView] = {}
     for proxy, pos, members in worlds:
         adopt.add_part(
@@ -335,18 +337,18 @@
     return known
 
 
-def found(proposal: adopt.Proposal) -> dict[str, tuple[str, str | None]]:
+def findings_by_id(proposal: adopt.Proposal) -> dict[str, tuple[str, str | None]]:
     return {f.id: (f.state, f.record["phase"] if f.record else None) for f in proposal.findings}
 
 
-def test_a_proposal_tells_what_is_certain_in_doubt_and_missing() -> None:
+def test_a_proposal_lists_what_is_certain_in_doubt_and_missing() -> None:
     attrs = {"node": "node.costa", "address": "127.0.0.1:9", "cell": 0, "size": 4, "warm": False, "fills_from": []}
     records = {
         f"box.{n}": {"kind": "box", "name": n, "attrs": attrs, "phase": "warm", "since": 0}
         for n in ("same", "drained", "old")
     }
     records["node.costa"] = {"kind": "node", "name": "costa", "attrs": {"hub": "hub.x"}, "phase": "set", "since": 0}
-    here = held(
+    here = proxy_views(
         ("p-1", 90, [member("same"), member("drained", "DRAINING"), member("new", up_since_ms=7), member("split")]),
         (
             "p-2",
@@ -361,7 +363,7 @@
         ("p-3", 80, [member("same"), member("drained"), member("undrained", "DRAINING")]),
     )
     proposal = adopt.propose(here.values(), records, 60, 95)
-    assert found(proposal) == {
+    assert findings_by_id(proposal) == {
         "box.same": ("certain", "warm"),
         "box.drained": ("certain", "draining"),
         "box.new": ("certain", "cold"),
@@ -370,30 +372,30 @@
         "node.costa": ("certain", "set"),
         "tenant.t": ("certain", "set"),
     }
-    assert proposal.pos == 96  # behind every number that any proxy named
+    assert proposal.pos == 96  # higher than every number that a proxy named
     told = {f.id: f for f in proposal.findings}
     assert told["box.same"].record["attrs"]["warm"] is False  # as in the snapshot
     assert "127.0.0.1:8" in told["box.split"].why and "1 are behind" in told["box.drained"].why
 
 
-def test_proxies_that_contradict_each_other_are_shown_and_not_guessed() -> None:
-    """One that is behind says what no later news explains: it drained there, and serves since before at others."""
-    here = held(("p-1", 90, [member("a")]), ("p-2", 80, [member("a", "DRAINING")]))
-    assert found(adopt.propose(here.values(), {}, 0, 0))["box.a"] == ("in doubt", "draining")
-    here = held(("p-1", 90, [member("a", up_since_ms=5)]), ("p-2", 80, [member("a", "DRAINING")]))
-    assert found(adopt.propose(here.values(), {}, 0, 0))["box.a"] == ("certain", "cold")  # it was started anew
-    here = held(("p-1", 90, [member("a")]), ("p-2", 90, []))
-    assert found(adopt.propose(here.values(), {}, 0, 0))["box.a"] == ("in doubt", "draining")
-    here |= held(("p-3", 90, []), zone="sierra")  # which need not know of costa's
+def test_contradictions_between_proxies_are_shown_and_not_resolved() -> None:
+    """A proxy that is behind holds a server as draining, while the others hold it as serving with the same start."""
+    here = proxy_views(("p-1", 90, [member("a")]), ("p-2", 80, [member("a", "DRAINING")]))
+    assert findings_by_id(adopt.propose(here.values(), {}, 0, 0))["box.a"] == ("in doubt", "draining")
+    here = proxy_views(("p-1", 90, [member("a", up_since_ms=5)]), ("p-2", 80, [member("a", "DRAINING")]))
+    assert findings_by_id(adopt.propose(here.values(), {}, 0, 0))["box.a"] == ("certain", "cold")  # it was restarted
+    here = proxy_views(("p-1", 90, [member("a")]), ("p-2", 90, []))
+    assert findings_by_id(adopt.propose(here.values(), {}, 0, 0))["box.a"] == ("in doubt", "draining")
+    here |= proxy_views(("p-3", 90, []), zone="sierra")  # which need not know costa's servers
     here["p-2"].members = {"a": adopt._member(member("a"))}
-    assert found(adopt.propose(here.values(), {}, 0, 0))["box.a"] == ("certain", "warm")
+    assert findings_by_id(adopt.propose(here.values(), {}, 0, 0))["box.a"] == ("certain", "warm")
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.integers(0, 10_000))
-def test_no_loss_is_adopted_wrong(seed: int) -> None:
-    """A true history, proxies that heard it up to somewhere, a snapshot of some moment: what is called certain is true
-    as of the newest number that a proxy heard, and what drained is never recorded as serving."""
+def test_no_lost_state_is_adopted_wrongly(seed: int) -> None:
+    """A random history, proxies that know different prefixes of it, and a snapshot of some moment: certain findings
+    match the highest number that a proxy heard, and a draining server is never recorded as serving."""
     draw = random.Random(seed)
     world: dict[str, dict[str, Any]] = {}
     history = [dict(world)]
@@ -410,7 +412,7 @@
     cut = draw.randint(0, len(history) - 1)
     heard = [draw.randint(cut, len(history) - 1) for _ in range(3)]
     records = {f"box.{n}": adopt._record(adopt._member(m), None) for n, m in history[cut].items()}
-    here = held(*((f"p-{i}", pos, list(history[pos].values())) for i, pos in enumerate(heard)))
+    here = proxy_views(*((f"p-{i}", pos, list(history[pos].values())) for i, pos in enumerate(heard)))
     proposal, true = adopt.propose(here.values(), records, cut, max(heard)), history[max(heard)]
     for finding in proposal.findings:
         if finding.record is None or not finding.id.startswith("box."):
@@ -425,14 +427,14 @@
 
 # --- processes of the program
 
-CALM = 12  # proxies, where not all 24 of the fleet's tests are needed
+SMALL_FLEET = 12  # proxies; tests that do not need all 24
 RECOVERY = '[recovery]\ntrust_ms = 1500\nstate_folder = "state"\nevery_ms = 300\n'
 
 
 def fleet(
-    folder: Path, scene: Callable[[Swarm, Crowd], Awaitable[None]], proxies: int = CALM, operator: str = RECOVERY
+    folder: Path, scene: Callable[[Swarm, Crowd], Awaitable[None]], proxies: int = SMALL_FLEET, operator: str = RECOVERY
 ) -> None:
-    """So many proxies with recovery on, eight caches and the journal behind links, clients at all of them."""
+    """Runs a scene with proxies that have recovery enabled, eight caches and the journal behind links, and clients."""
 
     async def run() -> None:
         (folder / "state").mkdir()
@@ -451,17 +453,17 @@
     asyncio.run(run())
 
 
-def sent(one: Swarm, name: str, since: float) -> list[Any]:
+def requests_to(one: Swarm, name: str, since: float) -> list[Any]:
     return [a for a in one.fleet.servers[name].arrivals if a.at > since and not a.fill]
 
 
-def logs(one: Swarm, word: str, names: list[str] | None = None) -> int:
-    """How many of these proxies' logs have this word."""
+def count_logs(one: Swarm, word: str, names: list[str] | None = None) -> int:
+    """The number of these proxies whose logs contain the word."""
     return sum(word in one.proxies[name].log.read_text() for name in names or one.proxies)
 
 
-async def served(crowd: Crowd, share: float, seconds: float = 20.0) -> None:
-    """Clients go on until, for a second, this share is served."""
+async def wait_until_served(crowd: Crowd, share: float, seconds: float = 20.0) -> None:
+    """Runs clients until this share of a second's requests is served."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         crowd.answers.clear()
@@ -472,19 +474,19 @@
     raise AssertionError(f"not served again: {crowd.answers}")
 
 
-async def full(one: Swarm, crowd: Crowd, names: list[str]) -> None:
-    """Clients go on until all of these are in full service."""
+async def wait_for_full_service(one: Swarm, crowd: Crowd, names: list[str]) -> None:
+    """Runs clients until all of these proxies are in full service."""
     going = asyncio.ensure_future(crowd.run(30))
-    await until(lambda: logs(one, "warming -> full", names) == len(names), "all in full service")
+    await until(lambda: count_logs(one, "warming -> full", names) == len(names), "all in full service")
     crowd.stopped = True
     await going
     crowd.stopped = False
 
 
-def test_most_proxies_killed_with_cold_caches_and_a_journal_that_stalls_come_back_by_the_rules(tmp_path: Path) -> None:
+def test_most_proxies_killed_beside_cold_caches_and_a_stalled_journal_recover_within_the_rules(tmp_path: Path) -> None:
     async def scene(one: Swarm, crowd: Crowd) -> None:
-        await served(crowd, 0.99)
-        await full(one, crowd, list(one.proxies))
+        await wait_until_served(crowd, 0.99)
+        await wait_for_full_service(one, crowd, list(one.proxies))
         killed = list(one.proxies)[: int(0.7 * PROXIES)]
         drained, purged = one.boxes[0].name, "0000000000000001"
         going = asyncio.ensure_future(crowd.run(8))
@@ -499,26 +501,26 @@
         for box in one.boxes:
             box.purged[purged] = time.time()
         await one.journal.add({"expire": {"name": purged, "stamp": int(time.time() * 1e3)}})
-        await asyncio.sleep(0.4)  # those that stayed hear of all this
+        await asyncio.sleep(0.4)  # the surviving proxies receive all this
         await play(one.links, [Change(0.0, ("journal",), "stall")])
-        since = time.time()  # those that start now have a configuration of before, and a journal that says nothing
+        since = time.time()  # the new processes have an older configuration and a silent journal
         await one.launch(killed)
         await asyncio.sleep(2.5)
         await play(one.links, [Change(0.0, ("journal",), "pass")])
         await going
-        assert not sent(one, drained, since + 7.05)
-        assert logs(one, "state: ", killed) == len(killed)  # what they had learned was read back
-        await served(crowd, 0.97)
-        late = sent(one, drained, time.time() - 1)
+        assert not requests_to(one, drained, since + 7.05)
+        assert count_logs(one, "state: ", killed) == len(killed)  # their saved state was read
+        await wait_until_served(crowd, 0.97)
+        late = requests_to(one, drained, time.time() - 1)
         assert not late, f"{drained} got {len(late)} after all had heard that it drains"
-        await full(one, crowd, killed)
+        await wait_for_full_service(one, crowd, killed)
 
     fleet(tmp_path, scene, PROXIES)
 
 
-def test_proxies_that_start_with_an_old_list_and_no_journal_send_nothing_until_caught_up(tmp_path: Path) -> None:
+def test_proxies_with_an_old_list_and_no_journal_send_nothing_until_caught_up(tmp_path: Path) -> None:
     async def scene(one: Swarm, crowd: Crowd) -> None:
-        await served(crowd, 0.99)
+        await wait_until_served(crowd, 0.99)
         await asyncio.sleep(0.5)  # the state is written
         names = list(one.proxies)
         for name in names:
@@ -526,7 +528,7 @@
             await one.proxies[name].process.wait()
         drained = one.boxes[0].name
         await one.journal.hosts(one.member(drained, "DRAINING"))
-        for name in names:  # their configuration is of an hour ago
+        for name in names:  # their configuration is an hour old
             os.utime(one.proxies[name].config, (time.time() - 3_600,) * 2)
         await one.links["journal"].refuse(True)
         one.links["journal"].reset()
@@ -534,41 +536,41 @@
         await one.launch(names)
         crowd.answers.clear()
         await crowd.run(2)
-        assert set(crowd.answers) == {"503"} and not any(sent(one, box.name, since) for box in one.boxes)
+        assert set(crowd.answers) == {"503"} and not any(requests_to(one, box.name, since) for box in one.boxes)
         await one.links["journal"].refuse(False)
-        await served(crowd, 0.99)
-        assert not sent(one, drained, since)
-        assert all(sent(one, box.name, since) for box in one.boxes[1:])
+        await wait_until_served(crowd, 0.99)
+        assert not requests_to(one, drained, since)
+        assert all(requests_to(one, box.name, since) for box in one.boxes[1:])
 
     fleet(tmp_path, scene)
 
 
-def test_a_journal_that_starts_anew_from_an_older_world_puts_nothing_back(tmp_path: Path) -> None:
+def test_a_journal_restored_from_an_older_state_restores_no_drained_server(tmp_path: Path) -> None:
     async def scene(one: Swarm, crowd: Crowd) -> None:
-        await served(crowd, 0.99)
+        await wait_until_served(crowd, 0.99)
         older, drained = list(one.journal.events), one.boxes[0].name
         await one.journal.hosts(one.member(drained, "DRAINING"))
         await asyncio.sleep(0.6)
         since = time.time()
         await one.journal.restart(older)
-        await served(crowd, 0.99)
-        await until(lambda: logs(one, "an older or another service") == CALM, "all have noticed")
-        await served(crowd, 0.99)
-        assert not sent(one, drained, since)
+        await wait_until_served(crowd, 0.99)
+        await until(lambda: count_logs(one, "an older or another service") == SMALL_FLEET, "all have noticed")
+        await wait_until_served(crowd, 0.99)
+        assert not requests_to(one, drained, since)
         born = one.fleet.servers[drained]
         born.stop()
         await born.back(cold=1.0)
-        await one.journal.hosts(one.member(drained))  # started anew: it is another server now
-        await served(crowd, 0.99)
-        await served(crowd, 0.99)
-        assert sent(one, drained, since)
+        await one.journal.hosts(one.member(drained))  # restarted: it counts as another server now
+        await wait_until_served(crowd, 0.99)
+        await wait_until_served(crowd, 0.99)
+        assert requests_to(one, drained, since)
 
     fleet(tmp_path, scene)
 
 
-def test_news_that_only_half_of_the_proxies_hear_binds_the_others_once_it_counts_as_told(tmp_path: Path) -> None:
-    """The others' journal is silent: they serve as long as their news is trusted, then refuse, and go on once it is
-    back."""
+def test_events_that_half_of_the_proxies_miss_bind_them_once_they_count_as_delivered(tmp_path: Path) -> None:
+    """The journal of the others is silent: they serve while their list is trusted, then refuse, and resume once the
+    journal is back."""
 
     async def scene(one: Swarm, crowd: Crowd) -> None:
         second = one.links["second"] = Relay(lambda: one.journal.address, one.host)
@@ -579,30 +581,30 @@
             await one.proxies[name].process.wait()
             one.configure(name, journal=f"{one.host}:{second.address[1]}")
         await one.launch(deaf)
-        await served(crowd, 0.99)
+        await wait_until_served(crowd, 0.99)
         await play(one.links, [Change(0.0, ("second",), "drop")])
         drained, purged, told = one.boxes[0].name, "0000000000000002", time.time()
         await one.journal.hosts(one.member(drained, "DRAINING"))
         await one.journal.add({"expire": {"name": purged, "stamp": int(told * 1e3)}})
         crowd.answers.clear()
         await crowd.run(1.7)
-        for box in one.boxes:  # from here on they are not trusted any more
+        for box in one.boxes:  # from here on their lists are no longer trusted
             box.purged[purged] = told
         await crowd.run(3)
-        assert not sent(one, drained, told + 1.5 + 0.55)  # trust_ms, and the rules' time
+        assert not requests_to(one, drained, told + 1.5 + 0.55)  # trust_ms, and the time that the rules allow
         assert crowd.answers["503"] > 0.1 * crowd.answers.total()
         await play(one.links, [Change(0.0, ("second",), "pass"), Change(0.0, ("second",), "reset")])
-        await served(crowd, 0.99)
-        assert not sent(one, drained, told + 2.05)
+        await wait_until_served(crowd, 0.99)
+        assert not requests_to(one, drained, told + 2.05)
 
     fleet(tmp_path, scene)
 
 
-def test_a_proxy_that_was_stopped_while_an_address_changed_hands_sends_nothing_to_it(tmp_path: Path) -> None:
-    """It wakes with requests in hand, with dials under way, and with news in its socket older than its sleep."""
+def test_a_stopped_proxy_sends_nothing_to_an_address_that_was_reassigned_meanwhile(tmp_path: Path) -> None:
+    """It resumes with open requests, pending dials, and events in its socket that are older than the stop."""
 
     async def scene(one: Swarm, crowd: Crowd) -> None:
-        await served(crowd, 0.99)
+        await wait_until_served(crowd, 0.99)
         name, some = one.boxes[0].name, list(one.proxies)[::3]
         old = one.fleet.servers[name]
         going = asyncio.ensure_future(crowd.run(6))
@@ -612,7 +614,7 @@
         await one.journal.hosts(one.member(name, "DRAINING"))
         await asyncio.sleep(0.6)
         old.stop()
-        given = Server("s-0000bbbb", "parent", old.address, lambda source: None)  # another's: no cache of this location
+        given = Server("s-0000bbbb", "parent", old.address, lambda source: None)  # it belongs to someone else now
         await given.start()
         one.fleet.servers["s-0000bbbb"] = given
         await one.journal.hosts({"id": name, "phase": "DELETED"})
@@ -621,18 +623,18 @@
         for proxy in some:
             one.proxies[proxy].signal(signal.SIGCONT)
         await going
-        await served(crowd, 0.97)
-        assert logs(one, "this process was stopped", some) == len(some)
+        await wait_until_served(crowd, 0.97)
+        assert count_logs(one, "this process was stopped", some) == len(some)
         assert not [a for a in given.arrivals if a.at > since]
 
     fleet(tmp_path, scene)
 
 
-def test_cordons_purges_and_drains_told_before_a_restart_hold_after_it(tmp_path: Path) -> None:
-    """Told to one process, which keeps them; its next one starts from a configuration of before."""
+def test_cordons_purges_and_drains_hold_after_a_restart(tmp_path: Path) -> None:
+    """One process receives and saves them; the next one starts from an older configuration."""
 
     async def scene(one: Swarm, crowd: Crowd) -> None:
-        await served(crowd, 0.99)
+        await wait_until_served(crowd, 0.99)
         name, box = "p0", one.boxes[1].name
         raw = orjson.loads(one.proxies[name].config.read_bytes())
         drained, purged = one.boxes[0].name, "0000000000000003"
@@ -642,20 +644,20 @@
         state = tmp_path / "state" / f"{name}.state"
 
         def kept() -> bool:
-            body = orjson.loads(state.read_bytes().partition(b"\n")[2])
-            return body["pos"] == len(one.journal.events) and any(key == purged for key, _ in body["purges"])
+            content = orjson.loads(state.read_bytes().partition(b"\n")[2])
+            return content["pos"] == len(one.journal.events) and any(key == purged for key, _ in content["purges"])
 
         await until(kept, "the news in the file")
         one.proxies[name].signal(signal.SIGKILL)
         await one.proxies[name].process.wait()
         head, _, text = state.read_bytes().partition(b"\n")
-        whose = orjson.loads(head)["installation"]
-        body = orjson.loads(text) | {"cordons": [box]}  # as the operators' address would have left it
-        state.write_bytes(saved.pack(body, whose, orjson.loads(head)["at"]))
+        installation = orjson.loads(head)["installation"]
+        content = orjson.loads(text) | {"cordons": [box]}  # as a cordon through the management address would
+        state.write_bytes(saved.pack(content, installation, orjson.loads(head)["at"]))
         for server in one.boxes:
             server.purged[purged] = told
         await play(one.links, [Change(0.0, ("journal",), "stall")])
-        one.proxies[name].config.write_bytes(orjson.dumps(raw))  # of just now, and of before all that
+        one.proxies[name].config.write_bytes(orjson.dumps(raw))  # a new file with the old content
         await one.launch([name])
         await crowd.run(1, [name])
         assert "nothing is sent before" in one.proxies[name].log.read_text()
@@ -666,29 +668,29 @@
             await crowd.run(1, [name])
         assert crowd.answers["200"] >= 50
         await asyncio.gather(*(crowd._one(name, purged) for _ in range(5)))
-        for other in one.proxies.values():  # so that what comes there is this one's
+        for other in one.proxies.values():  # so that all requests are from this one
             if other.name != name:
                 other.signal(signal.SIGSTOP)
         since = time.time()
         await crowd.run(2, [name])
-        assert not sent(one, drained, since) and not sent(one, box, since)
+        assert not requests_to(one, drained, since) and not requests_to(one, box, since)
         for other in one.proxies.values():
             other.signal(signal.SIGCONT)
 
     fleet(tmp_path, scene, 3)
 
 
-def test_links_that_flap_between_half_of_the_caches_and_the_proxies_cost_little_and_end(tmp_path: Path) -> None:
+def test_flapping_links_to_half_of_the_caches_cost_little_and_recover(tmp_path: Path) -> None:
     async def scene(one: Swarm, crowd: Crowd) -> None:
-        await served(crowd, 0.99)
+        await wait_until_served(crowd, 0.99)
         names = tuple(box.name for box in one.boxes[::2])
         flaps = [Change(0.25 * n, names, ("drop", "pass")[n % 2]) for n in range(24)]
         playing = asyncio.ensure_future(play(one.links, flaps))
         crowd.answers.clear()
         await crowd.run(6)
         await playing
-        assert crowd.answers["200"] >= 0.6 * crowd.answers.total()  # more than the half that is whole would do
+        assert crowd.answers["200"] >= 0.6 * crowd.answers.total()  # more than the other half alone would serve
         await play(one.links, [Change(0.0, names, "pass")])
-        await served(crowd, 0.99)
+        await wait_until_served(crowd, 0.99)
 
     fleet(tmp_path, scene, PROXIES)
