--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -17,7 +17,7 @@
 from tests.test_spread import Many
 from threadhill.decision import interface as api
 from threadhill.decision.interface import Outcome
-from threadhill.decision.state import OFF
+from threadhill.decision.state import MAX_REPORT_FACTOR
 from threadhill.knowledge.hints import HintReader
 from threadhill.knowledge.merge import MAX_CACHES, MAX_OBJECTS, MAX_REPORT_AGE, ReportAggregator
 from threadhill.knowledge.report import ReportBuilder
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -274,7 +274,7 @@
     assert (taken, older) == (0, True) and departed.rolled_back and departed.starts[9] == 4
     # The purge counts as old as when it was saved: only the wall clock, which may be stepped, tells the file's age.
     now, age = kept.saved_at + saved.MAX_AGE + SECOND, max(0, kept.saved_at - kept.purges[0][1])
-    assert fresh.router.freshness.records["o1"].at == now - age and not fresh.router.usual_took.samples
+    assert fresh.router.freshness.records["o1"].purged_at == now - age and not fresh.router.mean_latency.samples
     departed = DepartedServers()
     assert not saved.restore(kept, Script().router, departed, 57, kept.saved_at)[1] and not departed.rolled_back
 
--- a/threadhill/knowledge/report.py
+++ b/threadhill/knowledge/report.py
@@ -30,17 +30,17 @@
     def build(self, now: int) -> dict[str, Any]:
         """The report as plain JSON."""
         self.number += 1
-        interval, found = now // INTERVAL, []
+        interval, found = now // RATE_INTERVAL, []
         for scanned, (name, rate) in enumerate(reversed(self.router.rates.items())):
             if scanned >= MAX_SCANNED or interval - rate.interval > MAX_INTERVALS:
                 break
-            own_rate = rate.rate if not rate.first else rate.count
+            own_rate = rate.rate if not rate.first_interval else rate.count
             if own_rate >= MIN_RATE:
                 found.append((round(own_rate, 3), name))
         caches = list(islice(self.router.fleet.caches, MAX_SERVERS))
         return {
             "n": self.number,
-            "zone": self.router.set.zone,
+            "zone": self.router.settings.zone,
             "objects": [[name, rate] for rate, name in heapq.nlargest(MAX_OBJECTS, found)],
             "caches": [
                 [s.entry.server, round(s.inflight, 1), int(now < s.ejected_until or s.ejections > 0)] for s in caches
--- a/threadhill/recovery/learned.py
+++ b/threadhill/recovery/learned.py
@@ -54,7 +54,7 @@
                     ),
                 ]
             )
-    interval, found = now // INTERVAL, []
+    interval, found = now // RATE_INTERVAL, []
     for scanned, (name, rate) in enumerate(reversed(router.rates.items())):
         if scanned >= MAX_SCANNED:
             break
@@ -63,11 +63,13 @@
     return {
         "servers": rows,
         "objects": [[name, rate, copies] for rate, copies, name in heapq.nlargest(objects, found)],
-        "classes": {name: [round(mean.value), mean.samples] for name, mean in list(router.sends.items())[:MAX_CLASSES]},
-        "took": round(router.usual_took.value),
-        "send": round(router.usual_send.value),
-        "work": round(router.work.most, 4),
-        "fills": round(router.fills.most, 4),
+        "classes": {
+            name: [round(mean.value), mean.samples] for name, mean in list(router.transfer_times.items())[:MAX_CLASSES]
+        },
+        "took": round(router.mean_latency.value),
+        "send": round(router.mean_transfer_time.value),
+        "work": round(router.work.peak, 4),
+        "fills": round(router.fill_work.peak, 4),
     }
 
 
@@ -109,20 +111,20 @@
             continue
         primed += 1
         _prime_server(server, router.location_routers, now - age, health_weight, pace, speed, room, doubt)
-        server.hits += health_weight * (min(1.0, hits) - server.hits)
-        server.busy += health_weight * (busy - server.busy)
+        server.hit_ratio += health_weight * (min(1.0, hits) - server.hit_ratio)
+        server.utilization += health_weight * (busy - server.utilization)
     for name, (time, samples) in known["classes"].items():
-        mean = router.sends.get(name)
+        mean = router.transfer_times.get(name)
         if mean is not None and mean.samples <= RESTORED_SAMPLES and samples > RESTORED_SAMPLES and estimate_weight:
-            router.sends[name] = Mean(mean.value + estimate_weight * (time - mean.value), RESTORED_SAMPLES + 1)
-    for mean, value in ((router.usual_took, known["took"]), (router.usual_send, known["send"])):
+            router.transfer_times[name] = Mean(mean.value + estimate_weight * (time - mean.value), RESTORED_SAMPLES + 1)
+    for mean, value in ((router.mean_latency, known["took"]), (router.mean_transfer_time, known["send"])):
         if not mean.samples and value and estimate_weight:
             mean.value, mean.samples = value, RESTORED_SAMPLES
     # The throughput of warm servers limits what cold ones are sent: an older value allows less.
-    for tally, limit in ((router.work, known["work"]), (router.fills, known["fills"])):
+    for tally, limit in ((router.work, known["work"]), (router.fill_work, known["fills"])):
         if not tally.mean.samples:
             tally.mean = Mean(estimate_weight * limit, math.ceil(math.sqrt(router.location_routers)))
-            tally.most = estimate_weight * limit
+            tally.peak = estimate_weight * limit
     for name, rate, copies in known["objects"]:
         own = router.rates.get(name)
         if own is None and age < DECAY_TIME:
@@ -143,10 +145,14 @@
     room: float,
     doubt: float,
 ) -> None:
-    server.pace = (max(0.1, pace), when)  # it expires by itself
-    server.speed = {large: (max(0.1, speed), when) for large in (False, True)} if speed != 1 else server.speed
-    server.room += health_weight * (min(4 * ROOM_FIRST, max(1.0, room)) / location_routers - server.room)
-    server.doubt = max(server.doubt, health_weight * min(doubt, DOUBT_MOST))
+    server.latency_ratio = (max(0.1, pace), when)  # it expires by itself
+    server.fill_latency_ratio = (
+        {large: (max(0.1, speed), when) for large in (False, True)} if speed != 1 else server.fill_latency_ratio
+    )
+    server.inflight_limit += health_weight * (
+        min(4 * INITIAL_INFLIGHT_LIMIT, max(1.0, room)) / location_routers - server.inflight_limit
+    )
+    server.fault_log_odds = max(server.fault_log_odds, health_weight * min(doubt, MAX_FAULT_LOG_ODDS))
 
 
 def merge(known: Iterable[tuple[Mapping[str, Any], int]]) -> tuple[dict[str, Any], int]:
--- a/threadhill/recovery/numbers.py
+++ b/threadhill/recovery/numbers.py
@@ -52,7 +52,7 @@
         """Records entries that are about to be applied, after `screen`."""
         for entry in entries:
             if entry.state is not api.State.READY:
-                remember(
+                put_bounded(
                     self.starts, entry.server, max(entry.reported_start, self.starts.get(entry.server, 0)), MAX_DEPARTED
                 )
             elif not self.rolled_back:
--- a/threadhill/recovery/proxy.py
+++ b/threadhill/recovery/proxy.py
@@ -97,7 +97,7 @@
         if permissions.send:
             return None
         self.engine.stats.count("recovery", f"refused while {self.phases.phase.value}")
-        return int(MAX_RETRY_DELAY * (1 - self.random.random() / 2)) * self.engine.router.set.retry_after_allowed
+        return int(MAX_RETRY_DELAY * (1 - self.random.random() / 2)) * self.engine.router.settings.retry_after_allowed
 
     def may_send(self, now: int) -> bool:
         """Whether an attempt that the module has just decided on may be written now."""
--- a/threadhill/recovery/saved.py
+++ b/threadhill/recovery/saved.py
@@ -61,7 +61,7 @@
 ) -> dict[str, Any]:
     """The content to save. `now` is local time, `unix_now` the Unix time of the file; the same if absent."""
     unix_now = now if unix_now is None else unix_now
-    purges = [[key, unix_now - (now - record.at)] for key, record in router.freshness.current(now).items()]
+    purges = [[key, unix_now - (now - record.purged_at)] for key, record in router.freshness.active_purges(now).items()]
     return {
         "pos": pos,
         "learned": learned.gather(router, now),
@@ -149,6 +149,6 @@
         # Only the wall clock tells the age of the file, and it may have been stepped: a purge counts as old as it was
         # when the file was saved.
         age = max(0, saved.saved_at - at)
-        router.freshness.purge(key, PurgeRecord(now - age, now))
+        router.freshness.add_purge(key, PurgeRecord(now - age, now))
     age = max(0, now - saved.saved_at)
     return (learned.prime(router, saved.learned, age, now) if age <= MAX_AGE else 0), newer
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -181,7 +181,7 @@
 
         def current_upstream_load() -> UpstreamLoad:
             origin = router.fleet.origin
-            return Signs(origin.latency_ratio[0] if origin is not None else 1.0, router.link_load)
+            return UpstreamLoad(origin.latency_ratio[0] if origin is not None else 1.0, router.link_load)
 
         control = OverloadController(
             settings.classes,
