--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -15,14 +15,14 @@
 from threadhill.core.engine import Engine
 from threadhill.core.ports import Answer, AttemptResult, AttemptSpec, ClientRequest, FinalStatus
 from threadhill.decision import interface as api
-from threadhill.overload import budgets, comeback, sketch
+from threadhill.overload import budgets, return_scheduler, sketch
 from threadhill.overload.accept import AcceptPacer
 from threadhill.overload.admission import CLIENT_LEVELS, VALUE_LEVELS, AdmissionController, Claims, Priority, max_min
 from threadhill.overload.budgets import POLICIES, RetryBudgets, Scope
 from threadhill.overload.capacity import CapacityEstimator, UpstreamLoad
-from threadhill.overload.comeback import SLOT, Return, ReturnScheduler
 from threadhill.overload.control import OverloadConfig, OverloadController
 from threadhill.overload.detector import Detector, Event, State
+from threadhill.overload.return_scheduler import SLOT, Return, ReturnScheduler
 from threadhill.overload.sketch import UnservedSketch
 from threadhill.stats import Stats
 
@@ -265,7 +265,7 @@
         if returns:
             scheduler.returned(f"k{n // 2}", now)
         assert all(count <= scheduler.slot_capacity(slot) for slot, count in scheduler.booked.items())
-    assert len(scheduler.promises) <= comeback.MAX_PROMISES
+    assert len(scheduler.promises) <= return_scheduler.MAX_PROMISES
 
 
 def test_refused_clients_return_at_the_scheduled_rate() -> None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -24,9 +24,9 @@
 from threadhill.decision import interface as api
 from threadhill.decision.interface import State
 from threadhill.recovery import adopt, learned, saved
-from threadhill.recovery.ages import DAY, HOUR, expired_snapshots
 from threadhill.recovery.numbers import DepartedServers, NumberCheck, compare_numbers
 from threadhill.recovery.phases import DELIVERY_TIME, MIN_ANSWERS, FleetPhaseSummary, Phase, PhasePolicy, PhaseTracker
+from threadhill.recovery.retention import DAY, HOUR, expired_snapshots
 from threadhill.recovery.statefile import StateFile
 from threadhill.settings import Malformed
 from threadhill.standin.links import Change, Relay, play
--- a/threadhill/control/sqlite.py
+++ b/threadhill/control/sqlite.py
@@ -15,7 +15,7 @@
 
 from threadhill.control.store import Apply, Change, StepState, StoreDamaged, Version, WriteFailed
 from threadhill.plans.rules import Phase, Record
-from threadhill.recovery.ages import expired_snapshots
+from threadhill.recovery.retention import expired_snapshots
 
 SCHEMA = 2
 STORE_FILE = "state.db"
--- a/threadhill/overload/control.py
+++ b/threadhill/overload/control.py
@@ -18,8 +18,8 @@
 from threadhill.overload.admission import AdmissionController, Priority
 from threadhill.overload.budgets import RetryBudgets
 from threadhill.overload.capacity import OVERCOMMIT, CapacityEstimator, UpstreamLoad
-from threadhill.overload.comeback import Return, ReturnScheduler
 from threadhill.overload.detector import ALL, Change, Detector, Event, Monitor, State
+from threadhill.overload.return_scheduler import Return, ReturnScheduler
 from threadhill.overload.sketch import UnservedSketch
 
 SECOND = 1_000_000
