--- a/threadhill/overload/control.py
+++ b/threadhill/overload/control.py
@@ -318,21 +318,23 @@
         self, request: ClientRequest, key: str, front: str, why: str, early: bool, retry: bool, now: int
     ) -> int:
         """Records the refusal; returns when the client is to come back, before it would give up."""
-        most = min(self.scheduler.horizon, max(20_000, request.time_left - GIVE_UP_MARGIN))
+        max_delay = min(self.scheduler.horizon, max(20_000, request.time_left - GIVE_UP_MARGIN))
         if self.config.comebacks:
-            useful = min(
-                most, request.time_left - min(request.time_left // 2, SERVICE_TIME)
+            useful_delay = min(
+                max_delay, request.time_left - min(request.time_left // 2, SERVICE_TIME)
             )  # a later return could not be served in time
-            wait = self.scheduler.book(key, now, useful, self.scheduler.early_penalty(useful) if early else 0, most)
+            retry_after = self.scheduler.book(
+                key, now, useful_delay, self.scheduler.early_penalty(useful_delay) if early else 0, max_delay
+            )
             self.counts.planned += 1
         else:
-            wait = most
+            retry_after = max_delay
         self.refusals[request.request_id or f"dns-{len(self.refusals)}"] = Refusal(
-            now, request.class_name, request.tenant or "", front, why, self._all.state.value, wait, retry
+            now, request.class_name, request.tenant or "", front, why, self._all.state.value, retry_after, retry
         )
         while len(self.refusals) > MAX_REFUSALS:
             self.refusals.popitem(last=False)
-        return wait
+        return retry_after
 
     # --- status
 
--- a/threadhill/overload/return_scheduler.py
+++ b/threadhill/overload/return_scheduler.py
@@ -55,21 +55,21 @@
         if len(self.booked) > 2 * self.horizon // SLOT + 64:
             self.booked = {slot: count for slot, count in self.booked.items() if slot >= first}
 
-    def book(self, key: str, now: int, most: int, least: int = 0, away: int = 0) -> int:
-        """The microseconds after which this client is to return: the earliest slot with room between `least` and
-        `most`. If none has room the client is told to stay away for `away`, and nothing is promised."""
+    def book(self, key: str, now: int, max_delay: int, min_delay: int = 0, fallback_delay: int = 0) -> int:
+        """The microseconds after which this client is to return: the earliest slot with room between `min_delay` and
+        `max_delay`. If none has room the client is told to stay away for `fallback_delay`, and nothing is promised."""
         self._discard_past(now)
-        most = min(most, self.horizon)
-        away = min(max(away, most), self.horizon)
-        first, last = (now + max(SLOT, least)) // SLOT, (now + most) // SLOT
+        max_delay = min(max_delay, self.horizon)
+        fallback_delay = min(max(fallback_delay, max_delay), self.horizon)
+        first, last = (now + max(SLOT, min_delay)) // SLOT, (now + max_delay) // SLOT
         slot = next((s for s in range(first, last + 1) if self.booked.get(s, 0) < self.slot_capacity(s)), -1)
         if slot >= 0:
             self.booked[slot] = self.booked.get(slot, 0) + 1
             due = slot * SLOT + self.random.randrange(SLOT)
         else:
             self.unplaced += 1
-            due = now + away
-        due = max(now + 1_000, min(due, now + max(1_000, away)))
+            due = now + fallback_delay
+        due = max(now + 1_000, min(due, now + max(1_000, fallback_delay)))
         self.promises.pop(key, None)
         self.promises[key] = Promise(due, slot)
         while len(self.promises) > MAX_PROMISES:
@@ -96,10 +96,10 @@
             return Return.LATE
         return Return.KEPT if promise.slot >= 0 else Return.NONE
 
-    def early_penalty(self, most: int) -> int:
+    def early_penalty(self, max_delay: int) -> int:
         """Microseconds that a client that returned early is booked behind others: its place goes to those who
         waited."""
-        return int(PENALTY * min(most, self.horizon))
+        return int(PENALTY * min(max_delay, self.horizon))
 
     def waiting(self, now: int) -> int:
         """Promises whose time is still to come."""
--- a/threadhill/recovery/learned.py
+++ b/threadhill/recovery/learned.py
@@ -36,7 +36,9 @@
     rows = []
     for server in list(router.fleet.servers.values())[:servers]:
         if server.last_answer_at or server.fill_latency_ratio or server.fault_log_odds:
-            speed = max((s for s, when in server.fill_latency_ratio.values() if now - when < DECAY_TIME), default=1.0)
+            fill_latency_ratio = max(
+                (s for s, when in server.fill_latency_ratio.values() if now - when < DECAY_TIME), default=1.0
+            )
             rows.append(
                 [
                     server.entry.server,
@@ -45,7 +47,7 @@
                         round(x, 4)
                         for x in (
                             server.latency_ratio[0] if now - server.latency_ratio[1] < DECAY_TIME else 1.0,
-                            speed,
+                            fill_latency_ratio,
                             server.inflight_limit * router.location_routers,
                             server.fault_log_odds,
                             server.hit_ratio,
@@ -105,14 +107,32 @@
     What the router observed itself stays. Servers that were restarted since count as new.
     """
     primed, estimate_weight, health_weight = 0, weight(age, ESTIMATE_LIFETIME), weight(age, HEALTH_LIFETIME)
-    for number, since, pace, speed, room, doubt, hits, busy in known["servers"]:
+    for (
+        number,
+        since,
+        latency_ratio,
+        fill_latency_ratio,
+        inflight_limit,
+        fault_log_odds,
+        hit_ratio,
+        utilization,
+    ) in known["servers"]:
         server = router.fleet.servers.get(number)
         if server is None or server.entry.reported_start != since or server.last_answer_at:
             continue
         primed += 1
-        _prime_server(server, router.location_routers, now - age, health_weight, pace, speed, room, doubt)
-        server.hit_ratio += health_weight * (min(1.0, hits) - server.hit_ratio)
-        server.utilization += health_weight * (busy - server.utilization)
+        _prime_server(
+            server,
+            router.location_routers,
+            now - age,
+            health_weight,
+            latency_ratio,
+            fill_latency_ratio,
+            inflight_limit,
+            fault_log_odds,
+        )
+        server.hit_ratio += health_weight * (min(1.0, hit_ratio) - server.hit_ratio)
+        server.utilization += health_weight * (utilization - server.utilization)
     for name, (time, samples) in known["classes"].items():
         mean = router.transfer_times.get(name)
         if mean is not None and mean.samples <= RESTORED_SAMPLES and samples > RESTORED_SAMPLES and estimate_weight:
@@ -140,19 +160,21 @@
     location_routers: int,
     when: int,
     health_weight: float,
-    pace: float,
-    speed: float,
-    room: float,
-    doubt: float,
+    latency_ratio: float,
+    fill_latency_ratio: float,
+    inflight_limit: float,
+    fault_log_odds: float,
 ) -> None:
-    server.latency_ratio = (max(0.1, pace), when)  # it expires by itself
+    server.latency_ratio = (max(0.1, latency_ratio), when)  # it expires by itself
     server.fill_latency_ratio = (
-        {large: (max(0.1, speed), when) for large in (False, True)} if speed != 1 else server.fill_latency_ratio
+        {large: (max(0.1, fill_latency_ratio), when) for large in (False, True)}
+        if fill_latency_ratio != 1
+        else server.fill_latency_ratio
     )
     server.inflight_limit += health_weight * (
-        min(4 * INITIAL_INFLIGHT_LIMIT, max(1.0, room)) / location_routers - server.inflight_limit
+        min(4 * INITIAL_INFLIGHT_LIMIT, max(1.0, inflight_limit)) / location_routers - server.inflight_limit
     )
-    server.fault_log_odds = max(server.fault_log_odds, health_weight * min(doubt, MAX_FAULT_LOG_ODDS))
+    server.fault_log_odds = max(server.fault_log_odds, health_weight * min(fault_log_odds, MAX_FAULT_LOG_ODDS))
 
 
 def merge(known: Iterable[tuple[Mapping[str, Any], int]]) -> tuple[dict[str, Any], int]:
