--- a/benchmarks/dns.py
+++ b/benchmarks/dns.py
@@ -47,7 +47,7 @@
 from benchmarks.rig import Load, Rig, free_ports  # noqa: E402
 from threadhill.core.tenants import Tenant, Tenants  # noqa: E402
 from threadhill.dns import key_commands  # noqa: E402
-from threadhill.dns.names import place, zone_of  # noqa: E402
+from threadhill.dns.names import parse_name, zone_of  # noqa: E402
 from threadhill.plans.forecast import Mix  # noqa: E402
 
 ZONE = "route.example"
@@ -536,7 +536,7 @@
         began, rounds = time.perf_counter(), 20_000
         for _ in range(rounds):
             zone = zone_of(labels, tenants.zones())
-            place(labels, zone, tenants, classes)
+            parse_name(labels, zone, tenants, classes)
         return (time.perf_counter() - began) / rounds
 
     small = min(per_lookup(10) for _ in range(3))
--- a/tests/conformance/table.py
+++ b/tests/conformance/table.py
@@ -112,7 +112,7 @@
         return [Judged(row, transport, await judge(by, row, transport)) for row in ROWS for transport in row.over]
 
 
-def told(judged: list[Judged]) -> str:
+def format_table(judged: list[Judged]) -> str:
     """The table for people, what is left out with the reasons, and the counts on the last line."""
     lines = []
     for one in judged:
--- a/tests/conformance/test_dns.py
+++ b/tests/conformance/test_dns.py
@@ -14,7 +14,7 @@
 
 from tests.conformance.rows import LEFT_OUT, ROWS, TARGET, ask
 from tests.conformance.rows import raw as bytes_of
-from tests.conformance.table import table, told
+from tests.conformance.table import format_table, table
 from threadhill.dns import message, options
 from threadhill.dns.message import Bad, Ignored, Record, Response
 
@@ -23,7 +23,7 @@
     rows = asyncio.run(table(tmp_path))
     assert [row for row in rows if row.fault] == []
     assert len(rows) >= 120 and {row.transport for row in rows} == {"udp", "tcp", "tls"}
-    assert told(rows).splitlines()[-1] == f"{len(rows)} of {len(rows)} kept, {len(LEFT_OUT)} left out"
+    assert format_table(rows).splitlines()[-1] == f"{len(rows)} of {len(rows)} kept, {len(LEFT_OUT)} left out"
 
 
 QUERIES = [row.query if isinstance(row.query, bytes) else row.query.to_wire() for row in ROWS]
--- a/tests/test_dns_signing.py
+++ b/tests/test_dns_signing.py
@@ -242,7 +242,7 @@
     paths[0].write_text(json.dumps(raw))
     folder = keys.KeyFolder(tmp_path, folder_log.append)
     paths[1].write_text("{")
-    assert not folder.look() and not folder.look() and len(folder_log) == 1  # told once; the keys stay
+    assert not folder.reload_if_changed() and not folder.reload_if_changed() and len(folder_log) == 1  # told once; the keys stay
     assert len(folder.zones["route.example"]) == 2
 
 
--- a/threadhill/cli.py
+++ b/threadhill/cli.py
@@ -288,12 +288,12 @@
     root = Path(__file__).resolve().parent.parent
     sys.path.insert(0, str(root))
     try:
-        from tests.conformance.table import table, told
+        from tests.conformance.table import format_table, table
     except ModuleNotFoundError as error:
         _fail(f"{error}: the table is part of a checkout of the project, and needs requirements-dev.txt")
     with tempfile.TemporaryDirectory() as folder:
         rows = asyncio.run(table(Path(folder)))
-    typer.echo(told(rows))
+    typer.echo(format_table(rows))
     if any(row.fault for row in rows):
         raise typer.Exit(ERROR)
 
@@ -326,7 +326,7 @@
     keys: Keys, zone: Annotated[str, typer.Argument(help="only this zone's")] = "", json: Json = False
 ) -> None:
     """All keys: zone, tag, state and since when."""
-    rows = _keys(lambda call: call.listed(keys, zone))
+    rows = _keys(lambda call: call.list_keys(keys, zone))
     if json:
         _out(rows)
         return
@@ -340,7 +340,7 @@
     zone: Zone, keys: Keys, dnskey: Annotated[bool, typer.Option(help="print DNSKEY records instead")] = False
 ) -> None:
     """Print the DS records that the parent zone should have, a line each: all but those of retired keys."""
-    for row in _keys(lambda call: call.listed(keys, zone)):
+    for row in _keys(lambda call: call.list_keys(keys, zone)):
         if dnskey or row["state"] != "retired":
             typer.echo(row["dnskey" if dnskey else "ds"])
 
@@ -375,7 +375,7 @@
     """Tell what is wrong with the keys, and which step of a roll is next; exit 1 where they cannot be used."""
     for line in _keys(lambda call: call.check(keys)):
         typer.echo(line)
-    _keys(lambda call: call.listed(keys))
+    _keys(lambda call: call.list_keys(keys))
 
 
 @app.command()
--- a/threadhill/dns/front.py
+++ b/threadhill/dns/front.py
@@ -21,13 +21,13 @@
 from threadhill.dns.cookies import Cookies, Verdict
 from threadhill.dns.limits import Limits, Send, most_bytes
 from threadhill.dns.message import Code, Query, Record, Response, Type
-from threadhill.dns.names import Kind, Place, place, zone_of
+from threadhill.dns.names import Kind, ParsedName, parse_name, zone_of
 from threadhill.dns.options import Extended, Subnet
 from threadhill.dns.static import Statics
 from threadhill.dns.transfer import TransferConfig
 from threadhill.dns.tsig import Signed
 from threadhill.dns.views import View, Views
-from threadhill.hostnames import BOXES, labels_of
+from threadhill.hostnames import SERVERS_LABEL, labels_of
 
 if TYPE_CHECKING:  # the cryptography package is loaded where a zone is signed
     from threadhill.dns.signing import Signer
@@ -92,7 +92,7 @@
     """A query whose request the core has not answered yet."""
 
     query: Query
-    place: Place
+    place: ParsedName
     peer: Peer
     resolver: str = ""  # whose clients it is for: the client subnet told, else the resolver's network
     handle: int = -1
@@ -184,7 +184,7 @@
             error = (Extended.INVALID_TYPE, "NXNAME stands in denials only")
             self._reply(query, Response(Code.FORMERR, error=error), asker)
             return None
-        at = place(query.name, zone, self.engine.tenants, self.classes)
+        at = parse_name(query.name, zone, self.engine.tenants, self.classes)
         if at.kind in (Kind.TARGET, Kind.SERVICE) and self._steers(query, at):
             subnet = query.options.subnet
             told = (subnet.family, subnet.source, subnet.address) if subnet is not None else None
@@ -226,7 +226,7 @@
         if pending is not None and pending.engine is not None:
             pending.engine.client_gone(pending.handle)
 
-    def _steers(self, query: Query, at: Place) -> bool:
+    def _steers(self, query: Query, at: ParsedName) -> bool:
         """Whether the answer names a server; where it can't, none may be charged for it."""
         if query.type == Type.SRV or query.type in NAMING and at.kind is Kind.TARGET:
             return True
@@ -391,7 +391,7 @@
             if not fits:
                 return self._nothing(pending.place.zone, self._types(pending.place))
             return Response(answers=[address], zone=pending.place.zone)
-        target = (name, BOXES, *labels_of(pending.place.zone))
+        target = (name, SERVERS_LABEL, *labels_of(pending.place.zone))
         self._grant(name, server)
         more = [] if address is None else [Record(address.type, address.data, target)]
         if query.type == Type.SRV:
@@ -407,7 +407,7 @@
         if len(self._grants) > GRANTS:
             del self._grants[next(iter(self._grants))]
 
-    def _box(self, at: Place, query: Query) -> Response:
+    def _box(self, at: ParsedName, query: Query) -> Response:
         """A server's own name: there only for who was just sent to it, and only while it is ready."""
         now = self.engine.clock.now()
         for key, (server, until) in list(self._grants.items()):
@@ -421,7 +421,7 @@
                 return Response(answers=[address], zone=at.zone)
         return self._no_name(at.zone)
 
-    def _plain(self, query: Query, at: Place) -> Response:
+    def _plain(self, query: Query, at: ParsedName) -> Response:
         """What needs no server."""
         if at.kind in (Kind.NONE, Kind.APEX):
             static = self._static(query, at)
@@ -444,7 +444,7 @@
         """RFC 8482, section 4.2: a small answer instead of all there is."""
         return Response(answers=[Record(Type.HINFO, b"\x07RFC8482\x00")], zone=zone)
 
-    def _static(self, query: Query, at: Place) -> Response | None:
+    def _static(self, query: Query, at: ParsedName) -> Response | None:
         """What a tenant's static records say of a name; None where they say nothing."""
         here = self.statics.at(query.name)
         if here is None:
@@ -464,7 +464,7 @@
             return [Record(Type.NS, (labels_of(name),)) for name in self.config.nameservers]
         return self.signer.apex(zone, kind) if self.signer is not None else []
 
-    def _types(self, at: Place) -> tuple[int, ...]:
+    def _types(self, at: ParsedName) -> tuple[int, ...]:
         """The types that are at a name, for who denies another one there."""
         if at.kind is Kind.TARGET:
             family = {4: Type.A, 6: Type.AAAA}
--- a/threadhill/dns/key_commands.py
+++ b/threadhill/dns/key_commands.py
@@ -59,7 +59,7 @@
     return key
 
 
-def listed(folder: Path, zone: str = "") -> list[dict[str, Any]]:
+def list_keys(folder: Path, zone: str = "") -> list[dict[str, Any]]:
     now = unix_seconds()
     found = keys.read_folder(folder)
     chosen = {_zone(zone): _keys(folder, _zone(zone))} if zone else found
--- a/threadhill/dns/keys.py
+++ b/threadhill/dns/keys.py
@@ -211,7 +211,7 @@
 
 
 class KeyFolder:
-    """The keys of a folder as they are in use; `look` takes them anew when a file changed."""
+    """The keys of a folder as they are in use; `reload_if_changed` takes them anew when a file changed."""
 
     def __init__(self, folder: Path, log: Callable[[str], None]) -> None:
         self.folder, self.log = folder, log
@@ -221,7 +221,7 @@
     def _stamps(self) -> list[tuple[str, FileVersion | None]]:
         return [(path.name, file_version(path)) for path in sorted(self.folder.glob("K*.json"))]
 
-    def look(self) -> bool:
+    def reload_if_changed(self) -> bool:
         """Whether other keys were taken. A set that cannot be used is told once and changes nothing."""
         stamps = self._stamps()
         if stamps == self._seen:
--- a/threadhill/dns/message.py
+++ b/threadhill/dns/message.py
@@ -8,7 +8,7 @@
 
 from threadhill.dns import options
 from threadhill.dns.options import Extended, Option, Options
-from threadhill.hostnames import MOST_LABEL, MOST_NAME
+from threadhill.hostnames import MAX_LABEL_BYTES, MAX_NAME_BYTES
 
 HEADER = struct.Struct("!6H")
 POINTER = 0xC0
@@ -137,10 +137,10 @@
     packed = b""
     for label in labels:
         raw = label.encode("latin-1")
-        if not 1 <= len(raw) <= MOST_LABEL:
+        if not 1 <= len(raw) <= MAX_LABEL_BYTES:
             raise ValueError("a label has 1 to 63 bytes")
         packed += bytes([len(raw)]) + raw
-    if len(packed) + 1 > MOST_NAME:
+    if len(packed) + 1 > MAX_NAME_BYTES:
         raise ValueError("a name has 255 bytes at most")
     return packed + b"\0"
 
@@ -166,7 +166,7 @@
             return tuple(labels), at if end < 0 else end
         label = raw[at : at + size]
         length += size + 1
-        if len(label) < size or length + 1 > MOST_NAME:
+        if len(label) < size or length + 1 > MAX_NAME_BYTES:
             raise ValueError("a name is cut off or too long")
         labels.append(label.decode("latin-1").lower())
         at += size
@@ -264,7 +264,7 @@
             if len(self.raw) <= FARTHEST:
                 self.places[labels[i:]] = len(self.raw)
             raw = label.encode("latin-1")
-            if not 1 <= len(raw) <= MOST_LABEL:
+            if not 1 <= len(raw) <= MAX_LABEL_BYTES:
                 raise ValueError("a label has 1 to 63 bytes")
             self.raw += bytes([len(raw)]) + raw
         self.raw += b"\0"
--- a/threadhill/dns/names.py
+++ b/threadhill/dns/names.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from threadhill.core.tenants import Tenants
-from threadhill.hostnames import BOXES, labels_of
+from threadhill.hostnames import SERVERS_LABEL, labels_of
 
 HEX = set("0123456789abcdef")
 MOST_PART = 10  # digits
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class ParsedName:
     """A name within a zone."""
 
     kind: Kind
@@ -46,16 +46,16 @@
     return None
 
 
-def place(labels: tuple[str, ...], zone: str, tenants: Tenants, classes: frozenset[str]) -> Place:
+def parse_name(labels: tuple[str, ...], zone: str, tenants: Tenants, classes: frozenset[str]) -> ParsedName:
     """What stands there. A tenant's names exist only in its own zones: others see nothing of it."""
     left = labels[: len(labels) - len(labels_of(zone))]
     if not left:
-        return Place(Kind.APEX, zone)
-    none = Place(Kind.NONE, zone)
-    if left[-1] == BOXES:
+        return ParsedName(Kind.APEX, zone)
+    none = ParsedName(Kind.NONE, zone)
+    if left[-1] == SERVERS_LABEL:
         if len(left) > 2:
             return none
-        return Place(Kind.BOX, zone, box=left[0]) if len(left) == 2 else Place(Kind.EMPTY, zone)
+        return ParsedName(Kind.BOX, zone, box=left[0]) if len(left) == 2 else ParsedName(Kind.EMPTY, zone)
     tenant = tenants.by_name.get(left[-1])
     # From the zone outwards; spelled out, since every query comes through here.
     n = len(left)
@@ -68,6 +68,6 @@
     if n > 4 and left[-5] != "_tcp" or n > 5 and not (left[-6].startswith("_") and len(left[-6]) > 1):
         return none
     if len(left) in (1, 2, 3, 5):
-        return Place(Kind.EMPTY, zone)
+        return ParsedName(Kind.EMPTY, zone)
     part, obj, cls, name = left[-4:]
-    return Place(Kind.TARGET if len(left) == 4 else Kind.SERVICE, zone, name, cls, obj, int(part))
+    return ParsedName(Kind.TARGET if len(left) == 4 else Kind.SERVICE, zone, name, cls, obj, int(part))
--- a/threadhill/dns/signing.py
+++ b/threadhill/dns/signing.py
@@ -16,7 +16,7 @@
 
 from threadhill.dns.keys import ALGORITHM, KEY_TTL, Key, State
 from threadhill.dns.message import Code, Labels, Query, Record, Response, Type, pack_name
-from threadhill.hostnames import MOST_NAME, labels_of
+from threadhill.hostnames import MAX_NAME_BYTES, labels_of
 
 STEP = 300  # seconds in which signatures of the same records have the same times, so that they can be kept
 SKEW = 3_600  # seconds that a resolver's clock may be behind
@@ -50,7 +50,7 @@
 
 def successor(name: Labels) -> Labels:
     """The next name in canonical order, so that a denial covers this one only (RFC 9824, section 3.1)."""
-    if sum(len(label) + 1 for label in name) + 3 <= MOST_NAME:
+    if sum(len(label) + 1 for label in name) + 3 <= MAX_NAME_BYTES:
         return ("\0", *name)
     first = name[0].rstrip("\xff") or name[0]
     return (first[:-1] + chr(min(255, ord(first[-1]) + 1)), *name[1:])
@@ -73,9 +73,9 @@
     def __init__(self, zones: Mapping[str, list[Key]], life: int = 3_600) -> None:
         self.life = life  # seconds for which a signature is good at the least
         self.made = self.found = 0  # signatures made, and found among those kept
-        self.take(zones)
+        self.set_keys(zones)
 
-    def take(self, zones: Mapping[str, list[Key]]) -> None:
+    def set_keys(self, zones: Mapping[str, list[Key]]) -> None:
         """Sign by these keys from now on; what was signed by others is forgotten."""
         self.zones = {
             zone: [Ready(key.tag, key.rdata, key.ds, key.state, key.private) for key in keys]
--- a/threadhill/dns/static.py
+++ b/threadhill/dns/static.py
@@ -40,7 +40,7 @@
 
             apexes = {labels_of(zone) for zone in tenant.zones}
             for text in tenant.records:
-                record = zonefile.read(text)
+                record = zonefile.parse_record(text)
                 here = names.setdefault(record.owner, Name())
                 data = record.data[0] if len(record.data) == 1 and isinstance(record.data[0], bytes) else record.data
                 here.sets.setdefault(record.kind, []).append(Record(record.kind, data, record.owner, record.ttl))
--- a/threadhill/dns/tls.py
+++ b/threadhill/dns/tls.py
@@ -40,7 +40,7 @@
 
 
 class Certificate:
-    """The pair in use. `look` takes a new one when a file changed."""
+    """The pair in use. `reload_if_changed` takes a new one when a file changed."""
 
     def __init__(self, certificate: Path, key: Path, log: Callable[[str], None]) -> None:
         self.certificate, self.key, self.log = certificate, key, log
@@ -51,7 +51,7 @@
     def _stamps(self) -> list[FileVersion | None]:
         return [file_version(self.certificate), file_version(self.key)]
 
-    def look(self) -> bool:
+    def reload_if_changed(self) -> bool:
         """Whether a new pair was taken. Half of a pair that is being replaced does not fit: it is tried again at the
         next change, and each fault is told once."""
         stamps = self._stamps()
--- a/threadhill/dns/transport.py
+++ b/threadhill/dns/transport.py
@@ -184,6 +184,6 @@
         return f"{host}:{given}"
 
     def _look(self) -> None:
-        if self.certificate.look():
+        if self.certificate.reload_if_changed():
             self.front.engine.stats.count("dns", "certificate taken")
         self.front.engine.deadlines.add(self.front.engine.clock.now() + CERTIFICATE_LOOK, self._look)
--- a/threadhill/documents.py
+++ b/threadhill/documents.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from threadhill.core.tenants import Tenant
-from threadhill.hostnames import BOXES, labels_of
+from threadhill.hostnames import SERVERS_LABEL, labels_of
 
 NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")  # a tenant's name is a label in DNS names
 MAX_TENANTS = 10_000
@@ -38,7 +38,7 @@
     given = raw.get("name", name)
     if not isinstance(given, str) or not NAME.fullmatch(given):
         fault(".name", "must be a DNS label: lower case letters, digits and hyphens")
-    elif given == BOXES:
+    elif given == SERVERS_LABEL:
         fault(".name", "is reserved")
     elif name is not None and given != name:
         fault(".name", f"must be {name!r}, as in the path")
@@ -65,17 +65,17 @@
     """A tenant's static records, canonical and sorted."""
     from threadhill import zonefile  # rarely needed: few tenants have records, and none on the platform
 
-    if not isinstance(raw, list) or len(raw) > zonefile.MOST_RECORDS:
-        fault(".records", f"must be a list of {zonefile.MOST_RECORDS} at most")
+    if not isinstance(raw, list) or len(raw) > zonefile.MAX_RECORDS:
+        fault(".records", f"must be a list of {zonefile.MAX_RECORDS} at most")
         return ()
-    read: list[zonefile.Static] = []
+    read: list[zonefile.StaticRecord] = []
     for i, text in enumerate(raw):
         try:
-            read.append(zonefile.read(text))
+            read.append(zonefile.parse_record(text))
         except ValueError as error:
             fault(f".records[{i}]", str(error))
     if len(read) == len(raw):
-        for i, error in zonefile.check(read, zones, tenant):
+        for i, error in zonefile.check_records(read, zones, tenant):
             fault(f".records[{i}]", error)
     return tuple(sorted(record.text for record in read))
 
--- a/threadhill/plans/configuration.py
+++ b/threadhill/plans/configuration.py
@@ -365,8 +365,8 @@
             if other != id:
                 fault(id, "zones", f"zone {zone} is already used by {other}")
         if "records" in attrs:
-            read = [zonefile.read(text) for text in attrs["records"]]
-            for _, message in zonefile.check(read, attrs["zones"], resource.name):
+            read = [zonefile.parse_record(text) for text in attrs["records"]]
+            for _, message in zonefile.check_records(read, attrs["zones"], resource.name):
                 fault(id, "records", message)
     if sum(len(resource.attrs.get("records", ())) for resource in resources.values()) > MAX_TOTAL_RECORDS:
         id = max(
--- a/threadhill/plans/model.py
+++ b/threadhill/plans/model.py
@@ -9,9 +9,9 @@
 
 from threadhill import zonefile
 from threadhill.documents import MAX_QUOTA, MAX_ZONES
-from threadhill.hostnames import BOXES, labels_of
+from threadhill.hostnames import SERVERS_LABEL, labels_of
 from threadhill.plans.expr import Ref
-from threadhill.zonefile import MOST_RECORDS
+from threadhill.zonefile import MAX_RECORDS
 
 NAME_PATTERN = re.compile(
     r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?"
@@ -40,7 +40,7 @@
 
 
 def _record(value: str) -> str:
-    return zonefile.read(value).text
+    return zonefile.parse_record(value).text
 
 
 def _reference_to(*kinds: str) -> BeforeValidator:
@@ -137,7 +137,7 @@
 
     zones: Annotated[list[Zone], AfterValidator(_unique), Field(max_length=MAX_ZONES)] = []
     quota: float = Field(0, ge=0, le=MAX_QUOTA)
-    records: Annotated[list[Annotated[str, AfterValidator(_record)]], Field(max_length=MOST_RECORDS)] = []
+    records: Annotated[list[Annotated[str, AfterValidator(_record)]], Field(max_length=MAX_RECORDS)] = []
 
 
 class RequestClass(Model):
@@ -193,4 +193,4 @@
     "tenant": Tenant,
     "settings": Settings,
 }
-RESERVED = {"tenant": {BOXES}}
+RESERVED = {"tenant": {SERVERS_LABEL}}
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -251,8 +251,8 @@
         signer = Signer(folder.zones, config.signature_life)
 
         def poll() -> None:
-            if folder.look():
-                signer.take(folder.zones)
+            if folder.reload_if_changed():
+                signer.set_keys(folder.zones)
                 self.stats.count("dns", "keys taken")
             self.deadlines.add(self.clock.now() + KEY_POLL_INTERVAL, poll)
 
--- a/threadhill/zonefile.py
+++ b/threadhill/zonefile.py
@@ -10,12 +10,12 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from threadhill.hostnames import BOXES, labels_of
+from threadhill.hostnames import SERVERS_LABEL, labels_of
 
 Labels = tuple[str, ...]
 TTL = 300  # seconds, where a record says none
 MOST_TTL = 86_400
-MOST_RECORDS = 256  # of one tenant
+MAX_RECORDS = 256  # of one tenant
 MOST_DATA = 4_096  # bytes of a record's data
 A, CNAME, MX, TXT, AAAA, SRV, CAA = 1, 5, 15, 16, 28, 33, 257
 CODES = {"A": A, "CNAME": CNAME, "MX": MX, "TXT": TXT, "AAAA": AAAA, "SRV": SRV, "CAA": CAA}
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Static:
+class StaticRecord:
     """One record. `data` is bytes and names, as answers hold it."""
 
     owner: Labels
@@ -125,7 +125,7 @@
     return ".".join(name) + "."
 
 
-def read(text: str) -> Static:
+def parse_record(text: str) -> StaticRecord:
     """One record; ValueError says what is wrong with it."""
     if not isinstance(text, str) or len(text) > 2 * MOST_DATA:
         raise ValueError("a record is a text of `NAME [TTL] TYPE DATA`")
@@ -147,7 +147,7 @@
     data, written = _data(CODES[word], rest[1:])
     if sum(len(piece) if isinstance(piece, bytes) else 255 for piece in data) > MOST_DATA:
         raise ValueError(f"its data has over {MOST_DATA} bytes")
-    return Static(owner, ttl, CODES[word], data, f"{_written(owner)} {ttl} {word} {written}")
+    return StaticRecord(owner, ttl, CODES[word], data, f"{_written(owner)} {ttl} {word} {written}")
 
 
 def zone_of(owner: Labels, zones: Iterable[str]) -> Labels | None:
@@ -156,7 +156,7 @@
     return max(inside, key=len, default=None)
 
 
-def check(records: list[Static], zones: Iterable[str], tenant: str) -> list[tuple[int, str]]:
+def check_records(records: list[StaticRecord], zones: Iterable[str], tenant: str) -> list[tuple[int, str]]:
     """What is wrong with a tenant's records together: each fault with the record's place."""
     faults, zones = [], list(zones)
     seen: dict[Labels, dict[int, int]] = {}  # owner -> type -> TTL
@@ -167,7 +167,7 @@
             faults.append((i, f"{_written(record.owner)} is in none of the tenant's zones"))
             continue
         left = record.owner[: len(record.owner) - len(zone)]
-        if left and left[-1] in (tenant, BOXES):
+        if left and left[-1] in (tenant, SERVERS_LABEL):
             faults.append((i, f"names under {left[-1]}.{'.'.join(zone)} are steered: choose another"))
         if not left and record.kind == CNAME:
             faults.append((i, "a zone's own name can't be an alias: its SOA stands there"))
