--- a/tests/conformance/test_dns.py
+++ b/tests/conformance/test_dns.py
@@ -16,7 +16,7 @@
 from tests.conformance.rows import raw as bytes_of
 from tests.conformance.table import format_table, table
 from threadhill.dns import message, options
-from threadhill.dns.message import Bad, Ignored, Record, Response
+from threadhill.dns.message import BadQuery, IgnoredMessage, Record, Response
 
 
 def test_every_row_of_the_table_is_kept(tmp_path: Path) -> None:
@@ -32,7 +32,7 @@
 def read(raw: bytes) -> None:
     try:
         query = message.read_query(raw)
-    except (Bad, Ignored):
+    except (BadQuery, IgnoredMessage):
         return
     packed = message.pack(query, Response(answers=[Record(message.Type.A, b"\x7f\0\0\1")]), 1_232)
     again = dns.message.from_wire(packed)
@@ -87,7 +87,7 @@
     began = time.perf_counter()
     for _ in range(200):
         for data in (many, bytes_of((1, 0, 0, 0), b"\0" * 65_000), deep):
-            with pytest.raises(Bad):
+            with pytest.raises(BadQuery):
                 message.read_query(data)
     assert (time.perf_counter() - began) / 600 < 0.02  # 5 us on the mean here: room for a machine that is busy
 
@@ -104,5 +104,5 @@
 
 
 def test_a_subnet_is_read_in_its_shortest_form_only() -> None:
-    assert options.read_subnet(b"\0\1\x14\0\xc6\x33\x60").source == 20
+    assert options.read_subnet(b"\0\1\x14\0\xc6\x33\x60").source_prefix == 20
     assert TARGET.endswith("route.example.")
--- a/tests/test_dns_limits.py
+++ b/tests/test_dns_limits.py
@@ -13,8 +13,8 @@
 from tests.harness import ProxyHarness, until
 from tests.test_dns import NAME, NOERROR, OPERATOR, SRV, Reply, Resolver, play, query
 from threadhill.dns import limits
-from threadhill.dns.cookies import Cookies, Verdict, siphash24
-from threadhill.dns.limits import Limits, Send
+from threadhill.dns.cookies import Cookies, CookieStatus, siphash24
+from threadhill.dns.limits import Limits, ResponseAction
 
 UNTRUSTED = OPERATOR.replace('trusted = ["127.0.0.1/32"]\n', "")
 SECRET = bytes(range(16))
@@ -29,38 +29,41 @@
 
 def test_a_server_cookie_proves_only_the_address_it_was_made_for_and_only_for_a_while() -> None:
     cookies, client, now = Cookies(SECRET), b"\x01" * 8, 1_764_576_000
-    made = cookies.answer(client, "192.0.2.7", now)
+    made = cookies.response_cookie(client, "192.0.2.7", now)
     assert len(made) == 24 and made[:8] == client
-    assert cookies.check(made, "192.0.2.7", now + 10) is Verdict.GOOD
-    assert cookies.check(made, "192.0.2.8", now + 10) is Verdict.BAD
-    assert cookies.check(made, "192.0.2.7", now + 4_000) is Verdict.BAD
-    assert Cookies(bytes(16)).check(made, "192.0.2.7", now) is Verdict.BAD
-    assert cookies.check(client, "192.0.2.7", now) is Verdict.CLIENT_ONLY
-    assert cookies.check(None, "192.0.2.7", now) is Verdict.NONE
-    assert cookies.answer(made, "192.0.2.7", now + 100) == made  # young enough: the same
-    assert cookies.answer(made, "192.0.2.7", now + 2_000) != made  # renewed
-    assert cookies.check(made[:8] + b"\x02" + made[9:], "192.0.2.7", now) is Verdict.BAD
+    assert cookies.check(made, "192.0.2.7", now + 10) is CookieStatus.GOOD
+    assert cookies.check(made, "192.0.2.8", now + 10) is CookieStatus.BAD
+    assert cookies.check(made, "192.0.2.7", now + 4_000) is CookieStatus.BAD
+    assert Cookies(bytes(16)).check(made, "192.0.2.7", now) is CookieStatus.BAD
+    assert cookies.check(client, "192.0.2.7", now) is CookieStatus.CLIENT_ONLY
+    assert cookies.check(None, "192.0.2.7", now) is CookieStatus.NONE
+    assert cookies.response_cookie(made, "192.0.2.7", now + 100) == made  # young enough: the same
+    assert cookies.response_cookie(made, "192.0.2.7", now + 2_000) != made  # renewed
+    assert cookies.check(made[:8] + b"\x02" + made[9:], "192.0.2.7", now) is CookieStatus.BAD
 
 
 def test_a_network_past_its_rate_is_dropped_with_every_second_one_truncated() -> None:
     gate, now = Limits(responses=10, slip=2), 0
-    sent = [gate.response("198.51.100.0/24", False, now) for _ in range(40)]
-    assert sent[:20] == [Send.ANSWER] * 20  # its burst
-    assert sent[20:] == [Send.DROP, Send.SLIP] * 10
-    assert gate.response("198.51.100.0/24", True, now) is Send.ANSWER  # a cookie of ours
-    assert gate.response("203.0.113.0/24", False, now) is Send.ANSWER  # another network
-    assert gate.response("198.51.100.0/24", False, now + 1_000_000) is Send.ANSWER  # a second later
+    sent = [gate.check_response("198.51.100.0/24", False, now) for _ in range(40)]
+    assert sent[:20] == [ResponseAction.ANSWER] * 20  # its burst
+    assert sent[20:] == [ResponseAction.DROP, ResponseAction.SLIP] * 10
+    assert gate.check_response("198.51.100.0/24", True, now) is ResponseAction.ANSWER  # a cookie of ours
+    assert gate.check_response("203.0.113.0/24", False, now) is ResponseAction.ANSWER  # another network
+    assert gate.check_response("198.51.100.0/24", False, now + 1_000_000) is ResponseAction.ANSWER  # a second later
 
 
 def test_the_buckets_are_bounded_and_a_rate_of_0_is_no_limit() -> None:
     gate = Limits(responses=5, resolver_queries=5)
-    for n in range(3 * limits.KEYS):
-        gate.response(f"n{n}", False, n)
-        gate.may_ask(f"n{n}", n)
-    assert len(gate.responses.buckets) == len(gate.queries.buckets) == limits.KEYS
+    for n in range(3 * limits.MAX_BUCKETS):
+        gate.check_response(f"n{n}", False, n)
+        gate.allow_resolver(f"n{n}", n)
+    assert len(gate.responses.buckets) == len(gate.queries.buckets) == limits.MAX_BUCKETS
     free = Limits(responses=0, resolver_queries=0)
-    assert all(free.response("x", False, 0) is Send.ANSWER and free.may_ask("x", 0) for _ in range(1_000))
-    assert limits.most_bytes(60, False, 1_232) == 90 and limits.most_bytes(60, True, 1_232) == 1_232
+    assert all(
+        free.check_response("x", False, 0) is ResponseAction.ANSWER and free.allow_resolver("x", 0)
+        for _ in range(1_000)
+    )
+    assert limits.max_response_size(60, False, 1_232) == 90 and limits.max_response_size(60, True, 1_232) == 1_232
 
 
 def cookie(data: bytes) -> bytes:
--- a/tests/test_dns_signing.py
+++ b/tests/test_dns_signing.py
@@ -22,9 +22,9 @@
 from tests.harness import OBJECT, ROOT, ProxyHarness, until
 from tests.test_dns import NAME, NXDOMAIN, OPERATOR, Resolver, play
 from threadhill.dns import keys, message
-from threadhill.dns.keys import Refused, State
+from threadhill.dns.keys import RollRefused, State
 from threadhill.dns.message import Record, Response
-from threadhill.dns.signing import KEPT, Signer, successor
+from threadhill.dns.signing import MAX_CACHED_SIGNATURES, Signer, successor
 from threadhill.settings import Malformed
 
 ZONE = dns.name.from_text("route.example.")
@@ -204,17 +204,17 @@
     now = 1_000_000
     old = keys.generate("route.example", State.ACTIVE, now - 9_999)
     (new,) = keys.roll("route.example", [old], now)
-    with pytest.raises(Refused, match="under way"):
+    with pytest.raises(RollRefused, match="under way"):
         keys.roll("route.example", [old, new], now)
-    with pytest.raises(Refused, match="599 s more"):
+    with pytest.raises(RollRefused, match="599 s more"):
         keys.activate([old, new], new.tag, now + 1)
-    changed = keys.activate([old, new], new.tag, now + keys.SETTLE)
+    changed = keys.activate([old, new], new.tag, now + keys.MIN_STATE_SECONDS)
     assert [(key.tag, key.state) for key in changed] == [(new.tag, State.ACTIVE), (old.tag, State.RETIRED)]
-    with pytest.raises(Refused, match="is active"):
-        keys.removable(changed, new.tag, now)
-    with pytest.raises(Refused, match="s more"):
-        keys.removable(changed, old.tag, now + keys.SETTLE + 1)
-    assert keys.removable(changed, old.tag, now + 2 * keys.SETTLE).tag == old.tag
+    with pytest.raises(RollRefused, match="is active"):
+        keys.check_removable(changed, new.tag, now)
+    with pytest.raises(RollRefused, match="s more"):
+        keys.check_removable(changed, old.tag, now + keys.MIN_STATE_SECONDS + 1)
+    assert keys.check_removable(changed, old.tag, now + 2 * keys.MIN_STATE_SECONDS).tag == old.tag
 
 
 def test_key_files_that_cannot_be_used_are_told_and_a_cut_off_activation_is_read(tmp_path: Path) -> None:
@@ -242,7 +242,9 @@
     paths[0].write_text(json.dumps(raw))
     folder = keys.KeyFolder(tmp_path, folder_log.append)
     paths[1].write_text("{")
-    assert not folder.reload_if_changed() and not folder.reload_if_changed() and len(folder_log) == 1  # told once; the keys stay
+    assert (
+        not folder.reload_if_changed() and not folder.reload_if_changed() and len(folder_log) == 1
+    )  # told once; the keys stay
     assert len(folder.zones["route.example"]) == 2
 
 
@@ -256,10 +258,10 @@
         return response.answers[1].data
 
     assert sign(1, 900) == sign(1, 1_199) != sign(1, 1_200)
-    assert (signer.made, signer.found) == (2, 1)
-    for i in range(KEPT + 50):
+    assert (signer.signatures_made, signer.cache_hits) == (2, 1)
+    for i in range(MAX_CACHED_SIGNATURES + 50):
         sign(i, 1_200)
-    assert len(signer._kept) == KEPT
+    assert len(signer._cache) == MAX_CACHED_SIGNATURES
     assert isinstance(next(iter(signer.zones["route.example"])).private, ec.EllipticCurvePrivateKey)
     longest = ("a" * 63, "b" * 63, "c" * 63, "d" * 61)
     assert successor(("x",)) == ("\0", "x") and successor(longest) == ("a" * 62 + "b", *longest[1:])
--- a/tests/test_dns_static.py
+++ b/tests/test_dns_static.py
@@ -155,7 +155,7 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(st.binary(max_size=60), min_size=1, max_size=4))
 def test_strings_of_any_bytes_are_written_and_read_back(strings: list[bytes]) -> None:
-    words = " ".join(zonefile._quoted(raw) for raw in strings)
+    words = " ".join(zonefile._quote(raw) for raw in strings)
     record = zonefile.parse_record(f"x.route.example. 7 TXT {words}")
     assert record.data == (b"".join(bytes([len(raw)]) + raw for raw in strings),)
     assert zonefile.parse_record(record.text) == record
--- a/threadhill/cli.py
+++ b/threadhill/cli.py
@@ -302,13 +302,13 @@
     """A call on the key commands, its refusals as errors that are told."""
     try:
         from threadhill.dns import key_commands
-        from threadhill.dns.keys import Refused
+        from threadhill.dns.keys import RollRefused
         from threadhill.settings import Malformed
     except ModuleNotFoundError as error:
         _fail(f"{error}: signing needs requirements-operators.txt")
     try:
         return call(key_commands)
-    except (Refused, Malformed, OSError) as error:
+    except (RollRefused, Malformed, OSError) as error:
         _fail(error)
 
 
--- a/threadhill/dns/cookies.py
+++ b/threadhill/dns/cookies.py
@@ -13,11 +13,11 @@
 from enum import Enum
 
 VERSION = 1
-CLIENT = 8  # bytes of a client cookie
-SERVER = 16  # bytes of a server cookie made here
-LIFE = 3_600  # seconds for which a server cookie is good (RFC 9018, section 4.3)
-AHEAD = 300  # seconds that its time may be ahead of ours: clocks of a cluster differ
-RENEW = 1_800  # seconds after which a good one is replaced by a new one
+CLIENT_COOKIE_BYTES = 8  # bytes of a client cookie
+SERVER_COOKIE_BYTES = 16  # bytes of a server cookie made here
+MAX_AGE = 3_600  # seconds for which a server cookie is good (RFC 9018, section 4.3)
+MAX_CLOCK_LEAD = 300  # seconds that its time may be ahead of ours: clocks of a cluster differ
+RENEWAL_AGE = 1_800  # seconds after which a good one is replaced by a new one
 MASK = (1 << 64) - 1
 
 
@@ -58,7 +58,7 @@
     return struct.pack("<Q", v[0] ^ v[1] ^ v[2] ^ v[3])
 
 
-class Verdict(Enum):
+class CookieStatus(Enum):
     NONE = "none"  # no cookie at all
     CLIENT_ONLY = "client only"  # a first contact, or one that lost what it was given
     BAD = "bad"  # a server cookie that this server did not make for this address, or that is too old
@@ -75,33 +75,36 @@
 
     def make(self, client: bytes, peer: str, now: int) -> bytes:
         """A server cookie for this client cookie and address, at `now` in Unix seconds."""
-        head = struct.pack("!B3xI", VERSION, now & 0xFFFFFFFF)
-        return head + siphash24(self.secret, client + head + ipaddress.ip_address(peer).packed)
+        header = struct.pack("!B3xI", VERSION, now & 0xFFFFFFFF)
+        return header + siphash24(self.secret, client + header + ipaddress.ip_address(peer).packed)
 
-    def check(self, cookie: bytes | None, peer: str, now: int) -> Verdict:
+    def check(self, cookie: bytes | None, peer: str, now: int) -> CookieStatus:
         if cookie is None:
-            return Verdict.NONE
-        if len(cookie) == CLIENT:
-            return Verdict.CLIENT_ONLY
-        client, server = cookie[:CLIENT], cookie[CLIENT:]
-        if len(server) != SERVER or server[0] != VERSION:
-            return Verdict.BAD
-        (made,) = struct.unpack_from("!I", server, 4)
-        if not now - LIFE <= made <= now + AHEAD:
-            return Verdict.BAD
+            return CookieStatus.NONE
+        if len(cookie) == CLIENT_COOKIE_BYTES:
+            return CookieStatus.CLIENT_ONLY
+        client, server = cookie[:CLIENT_COOKIE_BYTES], cookie[CLIENT_COOKIE_BYTES:]
+        if len(server) != SERVER_COOKIE_BYTES or server[0] != VERSION:
+            return CookieStatus.BAD
+        (created_at,) = struct.unpack_from("!I", server, 4)
+        if not now - MAX_AGE <= created_at <= now + MAX_CLOCK_LEAD:
+            return CookieStatus.BAD
         try:
-            expected = self.make(client, peer, made)
+            expected = self.make(client, peer, created_at)
         except ValueError:  # not an address: nothing can be proved of it
-            return Verdict.BAD
-        return Verdict.GOOD if hmac.compare_digest(expected, server) else Verdict.BAD
+            return CookieStatus.BAD
+        return CookieStatus.GOOD if hmac.compare_digest(expected, server) else CookieStatus.BAD
 
-    def answer(self, cookie: bytes, peer: str, now: int) -> bytes:
+    def response_cookie(self, cookie: bytes, peer: str, now: int) -> bytes:
         """The cookie option of a response: the client's, and a server cookie, the one it brought while that is young
         enough (RFC 9018, section 4.3), else a new one."""
-        client = cookie[:CLIENT]
-        if len(cookie) == CLIENT + SERVER and self.check(cookie, peer, now) is Verdict.GOOD:
-            (made,) = struct.unpack_from("!I", cookie, CLIENT + 4)
-            if now - made < RENEW:
+        client = cookie[:CLIENT_COOKIE_BYTES]
+        if (
+            len(cookie) == CLIENT_COOKIE_BYTES + SERVER_COOKIE_BYTES
+            and self.check(cookie, peer, now) is CookieStatus.GOOD
+        ):
+            (created_at,) = struct.unpack_from("!I", cookie, CLIENT_COOKIE_BYTES + 4)
+            if now - created_at < RENEWAL_AGE:
                 return cookie
         try:
             return client + self.make(client, peer, now)
--- a/threadhill/dns/front.py
+++ b/threadhill/dns/front.py
@@ -18,28 +18,30 @@
 from threadhill.dns import message as dns
 from threadhill.dns import records, transfer, tsig
 from threadhill.dns.charging import SECOND, Charging, resolver_key
-from threadhill.dns.cookies import Cookies, Verdict
-from threadhill.dns.limits import Limits, Send, most_bytes
+from threadhill.dns.cookies import Cookies, CookieStatus
+from threadhill.dns.limits import Limits, ResponseAction, max_response_size
 from threadhill.dns.message import Code, Query, Record, Response, Type
 from threadhill.dns.names import Kind, ParsedName, parse_name, zone_of
-from threadhill.dns.options import Extended, Subnet
-from threadhill.dns.static import Statics
+from threadhill.dns.options import ClientSubnet, ExtendedError
+from threadhill.dns.static import StaticRecords
 from threadhill.dns.transfer import TransferConfig
-from threadhill.dns.tsig import Signed
+from threadhill.dns.tsig import TsigContext
 from threadhill.dns.views import View, Views
 from threadhill.hostnames import SERVERS_LABEL, labels_of
 
 if TYPE_CHECKING:  # the cryptography package is loaded where a zone is signed
     from threadhill.dns.signing import Signer
 
-GRANT = 200_000  # microseconds in which a server that a record named may be looked up; under the drain limit
-GRANTS = 4_096  # of them remembered at most
+LOOKUP_GRANT_TIME = (
+    200_000  # microseconds in which a server that a record named may be looked up; under the drain limit
+)
+MAX_LOOKUP_GRANTS = 4_096  # of them remembered at most
 SOA_TIMES = (3_600, 600, 86_400, 0)  # refresh, retry, expire, and 0: no negative answer is kept
-PAD = 468  # bytes that a padded response is a multiple of (RFC 8467, section 4.1)
-KEEPALIVE = 100  # tenths of a second that an idle connection is kept, as clients are told (RFC 7828)
-NAMING = (Type.SRV, Type.SVCB, Type.HTTPS)  # types whose records name a server by a name of its own
-Reply = Callable[[bytes], None]
-Where = tuple[str, str, int]  # a server's name, host and port
+PADDING_BLOCK = 468  # bytes that a padded response is a multiple of (RFC 8467, section 4.1)
+KEEPALIVE_TIMEOUT = 100  # tenths of a second that an idle connection is kept, as clients are told (RFC 7828)
+NAMED_TARGET_TYPES = (Type.SRV, Type.SVCB, Type.HTTPS)  # types whose records name a server by a name of its own
+SendReply = Callable[[bytes], None]
+ServerAddress = tuple[str, str, int]  # a server's name, host and port
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,19 +82,19 @@
 
     address: str
     stream: bool  # over a connection: its address is proven by the handshake
-    reply: Reply
+    reply: SendReply
     proven: bool = False  # by the handshake, or by a cookie that this server made for it
     secure: bool = False  # over TLS
-    signed: Signed | None = None  # by a key that is shared with it; the answer is signed too
-    several: Callable[[Iterator[bytes]], None] | None = None  # sends one message after another, as it takes them
+    tsig_context: TsigContext | None = None  # by a key that is shared with it; the answer is signed too
+    send_stream: Callable[[Iterator[bytes]], None] | None = None  # sends one message after another, as it takes them
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingQuery:
     """A query whose request the core has not answered yet."""
 
     query: Query
-    place: ParsedName
+    name: ParsedName
     peer: Peer
     resolver: str = ""  # whose clients it is for: the client subnet told, else the resolver's network
     handle: int = -1
@@ -110,139 +112,139 @@
         engine: Engine,
         config: DnsConfig,
         classes: frozenset[str],
-        where: Callable[[int], Where | None],
-        families: Callable[[], set[int]],
+        server_address: Callable[[int], ServerAddress | None],
+        ip_versions: Callable[[], set[int]],
         nodes: dict[str, Engine] | None = None,
         signer: Signer | None = None,
     ) -> None:
         self.engine, self.config, self.classes = engine, config, classes
         self.views = Views(list(config.views), engine.router.settings.zone)
         self.nodes = {engine.router.settings.zone: engine, **(nodes or {})}  # an engine of its own for each view's node
-        self.where, self.families, self.signer = where, families, signer
-        self.pending: Slots[Pending] = Slots()
-        self._grants: dict[tuple[str, int], tuple[int, int]] = {}  # (box, number) -> (server, until when)
-        self._granted = 0
-        self.statics = Statics(engine.tenants)
+        self.server_address, self.ip_versions, self.signer = server_address, ip_versions, signer
+        self.pending: Slots[PendingQuery] = Slots()
+        self._lookup_grants: dict[tuple[str, int], tuple[int, int]] = {}  # (box, number) -> (server, until when)
+        self._grant_count = 0
+        self.static_records = StaticRecords(engine.tenants)
         self.charging = Charging()
         self.cookies = Cookies(os.urandom(16))  # a new secret at each start: cookies of the old one are made anew
         self.limits = Limits(config.responses_per_s, config.slip, config.resolver_qps, config.unproven_qps)
         self._trusted = lru_cache(4_096)(self._is_trusted)
-        self._networks = [ipaddress.ip_network(network, strict=False) for network in config.trusted]
+        self._trusted_networks = [ipaddress.ip_network(network, strict=False) for network in config.trusted]
         engine.load_listeners.append(
-            lambda server, brought: self.charging.reported(server, brought, engine.clock.now())
+            lambda server, excess: self.charging.record_report(server, excess, engine.clock.now())
         )
 
     # --- queries
 
-    def take(
+    def receive(
         self,
         raw: bytes,
-        reply: Reply,
+        reply: SendReply,
         stream: bool,
         peer: str = "",
         secure: bool = False,
-        several: Callable[[Iterator[bytes]], None] | None = None,
+        send_stream: Callable[[Iterator[bytes]], None] | None = None,
     ) -> int | None:
-        """One message from a resolver at `peer`. Returns what `forget` takes, if its answer is still to come."""
+        """One message from a resolver at `peer`. Returns what `cancel` takes, if its answer is still to come."""
         try:
             query = dns.read_query(raw)
-        except dns.Ignored:
+        except dns.IgnoredMessage:
             self.engine.stats.count("dns", "ignored")
             return None
-        except dns.Bad as bad:
+        except dns.BadQuery as bad:
             self._reply(bad.query, Response(bad.code, authoritative=False), Peer(peer, stream, reply, stream, secure))
             return None
         now = self.engine.clock.now()
         proven = (
             stream
             or self._trusted(peer)
-            or self.cookies.check(query.options.cookie, peer, now // SECOND) is Verdict.GOOD
+            or self.cookies.check(query.options.cookie, peer, now // SECOND) is CookieStatus.GOOD
         )
-        asker = Peer(peer, stream, reply, proven, secure, several=several)
+        requester = Peer(peer, stream, reply, proven, secure, send_stream=send_stream)
         if not stream:
-            sent = self.limits.response(resolver_key(peer), proven, now)
-            if sent is not Send.ANSWER:  # a flood, most likely from addresses that are not the askers'
+            sent = self.limits.check_response(resolver_key(peer), proven, now)
+            if sent is not ResponseAction.ANSWER:  # a flood, most likely from addresses that are not the askers'
                 self.engine.stats.count("dns", f"rate limited, {sent.value}")
-                if sent is Send.SLIP:
-                    self._reply(query, Response(truncated=True), asker)
+                if sent is ResponseAction.SLIP:
+                    self._reply(query, Response(truncated=True), requester)
                 return None
-        if query.tsig_at and not self._signature_holds(raw, query, asker):
+        if query.tsig_at and not self._verify_tsig(raw, query, requester):
             return None
         zone = zone_of(query.name, self.engine.tenants.zones())
         if zone is None or query.cls != dns.IN:
             error = (
-                (Extended.NOT_AUTHORITATIVE, "no zone of this server")
+                (ExtendedError.NOT_AUTHORITATIVE, "no zone of this server")
                 if zone is None
-                else (Extended.PROHIBITED, "classes other than IN are not served")
+                else (ExtendedError.PROHIBITED, "classes other than IN are not served")
             )
-            self._reply(query, Response(Code.REFUSED, authoritative=False, error=error), asker)
+            self._reply(query, Response(Code.REFUSED, authoritative=False, error=error), requester)
             return None
         if query.type in (Type.AXFR, Type.IXFR):
-            self._transfer(query, zone, asker)
+            self._transfer(query, zone, requester)
             return None
         if query.type == Type.NXNAME:  # RFC 9824, section 3.5
-            error = (Extended.INVALID_TYPE, "NXNAME stands in denials only")
-            self._reply(query, Response(Code.FORMERR, error=error), asker)
+            error = (ExtendedError.INVALID_TYPE, "NXNAME stands in denials only")
+            self._reply(query, Response(Code.FORMERR, error=error), requester)
             return None
-        at = parse_name(query.name, zone, self.engine.tenants, self.classes)
-        if at.kind in (Kind.TARGET, Kind.SERVICE) and self._steers(query, at):
+        name = parse_name(query.name, zone, self.engine.tenants, self.classes)
+        if name.kind in (Kind.TARGET, Kind.SERVICE) and self._needs_server(query, name):
             subnet = query.options.subnet
-            told = (subnet.family, subnet.source, subnet.address) if subnet is not None else None
-            resolver = resolver_key(peer, told)
+            announced = (subnet.family, subnet.source_prefix, subnet.address) if subnet is not None else None
+            resolver = resolver_key(peer, announced)
             if not proven and query.type not in (Type.A, Type.AAAA):
                 # A name with its target and hints is more than half as large again as what asked for it: whoever
                 # asks from an address that is not proven is told to come over TCP, or with the cookie it is sent.
-                self._reply(query, Response(truncated=True), asker)
+                self._reply(query, Response(truncated=True), requester)
                 return None
-            if not proven and not self.limits.may_reach(now):
+            if not proven and not self.limits.allow_unproven(now):
                 self.engine.stats.count("dns", "over the budget of the unproven")
-                self._reply(query, Response(truncated=True), asker)
+                self._reply(query, Response(truncated=True), requester)
                 return None
-            if not self.limits.may_ask(resolver_key(peer), now):
+            if not self.limits.allow_resolver(resolver_key(peer), now):
                 self.engine.stats.count("dns", "over the resolver's budget")
-                error = (Extended.PROHIBITED, "this resolver asks for more than its share; come back in a second")
-                self._reply(query, Response(Code.SERVFAIL, error=error), asker)
+                error = (ExtendedError.PROHIBITED, "this resolver asks for more than its share; come back in a second")
+                self._reply(query, Response(Code.SERVFAIL, error=error), requester)
                 return None
-            return self._ask(Pending(query, at, asker, resolver), self._client(peer, subnet))
-        self._reply(query, self._plain(query, at), asker)
+            return self._submit(PendingQuery(query, name, requester, resolver), self._client_address(peer, subnet))
+        self._reply(query, self._local_response(query, name), requester)
         return None
 
-    def group(self, peer: str) -> str:
+    def connection_group(self, peer: str) -> str:
         """Whose quota of connections one from this address counts on; "" for the operator's own resolvers."""
         return "" if self._trusted(peer) else resolver_key(peer)
 
     def _is_trusted(self, peer: str) -> bool:
-        if not self._networks or not peer:
+        if not self._trusted_networks or not peer:
             return False
         try:
             address = ipaddress.ip_address(peer)
         except ValueError:
             return False
-        return any(address in network for network in self._networks)
+        return any(address in network for network in self._trusted_networks)
 
-    def forget(self, ref: int) -> None:
+    def cancel(self, ref: int) -> None:
         """The resolver went away."""
         pending = self.pending.free(ref)
         if pending is not None and pending.engine is not None:
             pending.engine.client_gone(pending.handle)
 
-    def _steers(self, query: Query, at: ParsedName) -> bool:
+    def _needs_server(self, query: Query, name: ParsedName) -> bool:
         """Whether the answer names a server; where it can't, none may be charged for it."""
-        if query.type == Type.SRV or query.type in NAMING and at.kind is Kind.TARGET:
+        if query.type == Type.SRV or query.type in NAMED_TARGET_TYPES and name.kind is Kind.TARGET:
             return True
-        family, there = {Type.A: 4, Type.AAAA: 6}.get(query.type), self.families()
+        family, there = {Type.A: 4, Type.AAAA: 6}.get(query.type), self.ip_versions()
         # With no server at all the name still has addresses, only none to be told now: SERVFAIL, not NODATA.
-        return at.kind is Kind.TARGET and family is not None and (family in there or not there)
+        return name.kind is Kind.TARGET and family is not None and (family in there or not there)
 
     @staticmethod
-    def _client(peer: str, subnet: Subnet | None) -> tuple[str, int | None]:
+    def _client_address(peer: str, subnet: ClientSubnet | None) -> tuple[str, int | None]:
         """The client's address as far as it is told, and how many bits of it; the resolver's where none is."""
         if subnet is None or subnet.family not in (1, 2):
             return peer, None
         size = 4 if subnet.family == 1 else 16
-        return str(ipaddress.ip_address(subnet.address.ljust(size, b"\0"))), subnet.source
+        return str(ipaddress.ip_address(subnet.address.ljust(size, b"\0"))), subnet.source_prefix
 
-    def _node(self, pending: Pending, client: tuple[str, int | None]) -> Engine | None:
+    def _choose_engine(self, pending: PendingQuery, client: tuple[str, int | None]) -> Engine | None:
         """The engine of the first node of the client's view that has a server ready; None where none has."""
         choice = self.views.choose(*client)
         pending.scope = choice.scope
@@ -254,22 +256,22 @@
                 return engine
         return None
 
-    def _ask(self, pending: Pending, client: tuple[str, int | None]) -> int | None:
-        at, now = pending.place, self.engine.clock.now()
-        engine = self._node(pending, client)
+    def _submit(self, pending: PendingQuery, client: tuple[str, int | None]) -> int | None:
+        name, now = pending.name, self.engine.clock.now()
+        engine = self._choose_engine(pending, client)
         if engine is None:
             self.engine.stats.count("dns", "no node ready")
-            error = (Extended.NOT_READY, "no server of this client's node, nor of those it may fall to, is ready")
+            error = (ExtendedError.NOT_READY, "no server of this client's node, nor of those it may fall to, is ready")
             self._reply(pending.query, Response(Code.SERVFAIL, error=error, scope=pending.scope), pending.peer)
             return None
         pending.engine = engine
-        if self.config.fallback and self.charging.holds(pending.resolver, at.cls, now):
+        if self.config.fallback and self.charging.caches_answers(pending.resolver, name.cls, now):
             # It keeps what it is told past any drain: only a name of the operator's that does not drain will do.
             self.engine.stats.count("dns", "fallback")
             fallback = Record(Type.CNAME, (labels_of(self.config.fallback),))
-            self._reply(pending.query, Response(answers=[fallback], zone=at.zone), pending.peer)
+            self._reply(pending.query, Response(answers=[fallback], zone=name.zone), pending.peer)
             return None
-        weight = self.charging.weight(pending.resolver, at.cls, now, f"{at.object}/{at.part}")
+        weight = self.charging.weight(pending.resolver, name.cls, now, f"{name.object}/{name.part}")
         ref = self.pending.add(pending)
         # Without an id of its own: no server's line sees it.
         handle = engine.submit(
@@ -277,11 +279,11 @@
             ref,
             ClientRequest(
                 "",
-                at.cls,
-                at.object,
+                name.cls,
+                name.object,
                 self.config.deadline,
-                at.part,
-                tenant=at.tenant,
+                name.part,
+                tenant=name.tenant,
                 hand_over=True,
                 weight=weight,
                 client=pending.resolver,
@@ -297,18 +299,18 @@
         pending = self.pending.free(ref)
         if pending is None:
             return
-        where = self.where(answer.server) if answer.status is FinalStatus.SERVED else None
-        if where is not None:
-            self.charging.answered(
-                pending.resolver, pending.place.cls, answer.server, self.engine.clock.now(), answer.expected_time
+        server_address = self.server_address(answer.server) if answer.status is FinalStatus.SERVED else None
+        if server_address is not None:
+            self.charging.record_answer(
+                pending.resolver, pending.name.cls, answer.server, self.engine.clock.now(), answer.expected_time
             )
-            response = self._named(pending, answer.server, where)
+            response = self._server_response(pending, answer.server, server_address)
         elif answer.status is FinalStatus.REFUSED:
             wait = f"; come back in {-(-answer.retry_after // 1_000)} ms" if answer.retry_after else ""
             text = "turned away" + wait
-            response = Response(Code.SERVFAIL, error=(Extended.PROHIBITED, text))
+            response = Response(Code.SERVFAIL, error=(ExtendedError.PROHIBITED, text))
         else:
-            response = Response(Code.SERVFAIL, error=(Extended.NOT_READY, "no server may be named now"))
+            response = Response(Code.SERVFAIL, error=(ExtendedError.NOT_READY, "no server may be named now"))
         response.scope = pending.scope
         self._reply(pending.query, response, pending.peer)
 
@@ -320,174 +322,178 @@
         self.engine.stats.count("dns", response.code.name)
         response.nsid = self.config.nsid
         if peer.stream and query.options.keepalive:  # over UDP there is no connection to keep (RFC 7828, 3.2.1)
-            response.keepalive = KEEPALIVE
+            response.keepalive = KEEPALIVE_TIMEOUT
         if query.options.cookie is not None and peer.address:
-            response.cookie = self.cookies.answer(query.options.cookie, peer.address, self.engine.clock.now() // SECOND)
+            response.cookie = self.cookies.response_cookie(
+                query.options.cookie, peer.address, self.engine.clock.now() // SECOND
+            )
         if self.signer is not None and query.dnssec and response.zone:
             self.signer.sign(query, response, unix_seconds())  # others' clocks judge it: the Unix time of now
         if peer.secure and query.options.padding:  # never in the clear (RFC 7830, section 6)
-            response.padded = PAD
-        signed = peer.signed
-        spare = tsig.room(signed) if signed is not None else 0
+            response.padded = PADDING_BLOCK
+        context = peer.tsig_context
+        tsig_bytes = tsig.max_record_size(context) if context is not None else 0
         if peer.stream:
-            self._send(dns.pack(query, response, 65_535 - spare), peer)
+            self._send(dns.pack(query, response, 65_535 - tsig_bytes), peer)
             return
-        most = most_bytes(query.size, peer.proven, min(query.payload, dns.OUR_UDP)) - spare
-        packed = dns.pack(query, response, most)
-        if len(packed) > most:  # even the bare truncated answer is too large with all that EDNS adds
+        max_size = max_response_size(query.size, peer.proven, min(query.payload, dns.EDNS_UDP_SIZE)) - tsig_bytes
+        packed = dns.pack(query, response, max_size)
+        if len(packed) > max_size:  # even the bare truncated answer is too large with all that EDNS adds
             response.nsid, response.error = b"", None
-            packed = dns.pack(query, Response(truncated=True, cookie=response.cookie), most)
+            packed = dns.pack(query, Response(truncated=True, cookie=response.cookie), max_size)
         self._send(packed, peer)
 
     @staticmethod
     def _send(packed: bytes, peer: Peer) -> None:
-        peer.reply(tsig.sign(packed, peer.signed, unix_seconds()) if peer.signed is not None else packed)
+        peer.reply(tsig.sign(packed, peer.tsig_context, unix_seconds()) if peer.tsig_context is not None else packed)
 
     # --- who holds a key
 
-    def _signature_holds(self, raw: bytes, query: Query, asker: Peer) -> bool:
+    def _verify_tsig(self, raw: bytes, query: Query, requester: Peer) -> bool:
         """Check a query's transaction signature (RFC 8945, section 5.2); where it does not hold that is answered."""
         try:
-            asker.signed = tsig.check(raw, query, self.config.transfer.keys, unix_seconds())
+            requester.tsig_context = tsig.check(raw, query, self.config.transfer.keys, unix_seconds())
         except (ValueError, IndexError, struct.error):
-            self._reply(query, Response(Code.FORMERR, authoritative=False), asker)
+            self._reply(query, Response(Code.FORMERR, authoritative=False), requester)
             return False
-        if asker.signed.error is tsig.Error.NONE:
+        if requester.tsig_context.error is tsig.Error.NONE:
             return True
-        self.engine.stats.count("dns", f"signature {asker.signed.error.name}")
-        self._reply(query, Response(Code.NOTAUTH, authoritative=False), asker)
+        self.engine.stats.count("dns", f"signature {requester.tsig_context.error.name}")
+        self._reply(query, Response(Code.NOTAUTH, authoritative=False), requester)
         return False
 
-    def _transfer(self, query: Query, zone: str, asker: Peer) -> None:
+    def _transfer(self, query: Query, zone: str, requester: Peer) -> None:
         """A zone's static part, whole, to who is listed and holds a key (RFC 5936). The steered names have no list."""
-        refused = transfer.refusal(
+        refusal = transfer.refusal_reason(
             query,
             zone,
-            asker.address,
-            asker.several is not None,
-            asker.signed is not None,
+            requester.address,
+            requester.send_stream is not None,
+            requester.tsig_context is not None,
             self.config.transfer.networks,
         )
-        if refused:
+        if refusal:
             self.engine.stats.count("dns", "transfer refused")
-            response = Response(Code.REFUSED, authoritative=False, error=(Extended.PROHIBITED, refused))
-            self._reply(query, response, asker)
+            response = Response(Code.REFUSED, authoritative=False, error=(ExtendedError.PROHIBITED, refusal))
+            self._reply(query, response, requester)
             return
         self.engine.stats.count("dns", "transfer")
         soa = self._soa(zone, apex=True)
-        whole = query.serial is None or query.serial != self.engine.tenants.version & 0xFFFFFFFF
-        inside = [*self._apex(zone, Type.NS), *self.statics.of_zone(labels_of(zone))] if whole else None
-        messages = transfer.messages(query, soa, inside)
-        asker.several(tsig.sign(packed, asker.signed, unix_seconds()) for packed in messages)
+        full = query.serial is None or query.serial != self.engine.tenants.version & 0xFFFFFFFF
+        zone_records = (
+            [*self._apex_records(zone, Type.NS), *self.static_records.zone_records(labels_of(zone))] if full else None
+        )
+        messages = transfer.messages(query, soa, zone_records)
+        requester.send_stream(tsig.sign(packed, requester.tsig_context, unix_seconds()) for packed in messages)
 
     # --- records
 
-    def _named(self, pending: Pending, server: int, where: Where) -> Response:
+    def _server_response(self, pending: PendingQuery, server: int, server_address: ServerAddress) -> Response:
         """The records that name a server to this query."""
-        query, (name, host, port) = pending.query, where
+        query, (name, host, port) = pending.query, server_address
         address = records.address(host)
-        if query.type not in NAMING:
+        if query.type not in NAMED_TARGET_TYPES:
             fits = address is not None and address.type == query.type
             if not fits:
-                return self._nothing(pending.place.zone, self._types(pending.place))
-            return Response(answers=[address], zone=pending.place.zone)
-        target = (name, SERVERS_LABEL, *labels_of(pending.place.zone))
-        self._grant(name, server)
-        more = [] if address is None else [Record(address.type, address.data, target)]
+                return self._nodata(pending.name.zone, self._existing_types(pending.name))
+            return Response(answers=[address], zone=pending.name.zone)
+        target = (name, SERVERS_LABEL, *labels_of(pending.name.zone))
+        self._allow_lookup(name, server)
+        additional = [] if address is None else [Record(address.type, address.data, target)]
         if query.type == Type.SRV:
-            return Response(answers=[records.srv(port, target)], additional=more, zone=pending.place.zone)
+            return Response(answers=[records.srv(port, target)], additional=additional, zone=pending.name.zone)
         return Response(
-            answers=[records.service(query.type, port, target, address)], additional=more, zone=pending.place.zone
+            answers=[records.svcb(query.type, port, target, address)], additional=additional, zone=pending.name.zone
         )
 
-    def _grant(self, box: str, server: int) -> None:
+    def _allow_lookup(self, box: str, server: int) -> None:
         """A look-up of this target belongs to the answer just given, and is not charged a second time."""
-        self._granted += 1
-        self._grants[box, self._granted] = (server, self.engine.clock.now() + GRANT)
-        if len(self._grants) > GRANTS:
-            del self._grants[next(iter(self._grants))]
+        self._grant_count += 1
+        self._lookup_grants[box, self._grant_count] = (server, self.engine.clock.now() + LOOKUP_GRANT_TIME)
+        if len(self._lookup_grants) > MAX_LOOKUP_GRANTS:
+            del self._lookup_grants[next(iter(self._lookup_grants))]
 
-    def _box(self, at: ParsedName, query: Query) -> Response:
+    def _server_name_response(self, name: ParsedName, query: Query) -> Response:
         """A server's own name: there only for who was just sent to it, and only while it is ready."""
         now = self.engine.clock.now()
-        for key, (server, until) in list(self._grants.items()):
+        for key, (server, until) in list(self._lookup_grants.items()):
             if until <= now:
-                del self._grants[key]
-            elif key[0] == at.box and (where := self.where(server)) is not None:
-                address = records.address(where[1])
+                del self._lookup_grants[key]
+            elif key[0] == name.server_name and (server_address := self.server_address(server)) is not None:
+                address = records.address(server_address[1])
                 if address is None or query.type != address.type:
-                    return self._nothing(at.zone, (address.type,) if address is not None else ())
-                del self._grants[key]
-                return Response(answers=[address], zone=at.zone)
-        return self._no_name(at.zone)
+                    return self._nodata(name.zone, (address.type,) if address is not None else ())
+                del self._lookup_grants[key]
+                return Response(answers=[address], zone=name.zone)
+        return self._nxdomain(name.zone)
 
-    def _plain(self, query: Query, at: ParsedName) -> Response:
+    def _local_response(self, query: Query, name: ParsedName) -> Response:
         """What needs no server."""
-        if at.kind in (Kind.NONE, Kind.APEX):
-            static = self._static(query, at)
+        if name.kind in (Kind.NONE, Kind.APEX):
+            static = self._static_response(query, name)
             if static is not None:
                 return static
-        if at.kind is Kind.NONE:
-            return self._no_name(at.zone)
-        if at.kind is Kind.BOX:
-            return self._box(at, query)
+        if name.kind is Kind.NONE:
+            return self._nxdomain(name.zone)
+        if name.kind is Kind.SERVER:
+            return self._server_name_response(name, query)
         if query.type == Type.ANY:
-            return self._any(at.zone)
-        if at.kind is Kind.APEX:
-            found = self._apex(at.zone, query.type)
+            return self._any_response(name.zone)
+        if name.kind is Kind.APEX:
+            found = self._apex_records(name.zone, query.type)
             if found:
-                return Response(answers=found, zone=at.zone)
-        return self._nothing(at.zone, self._types(at))
+                return Response(answers=found, zone=name.zone)
+        return self._nodata(name.zone, self._existing_types(name))
 
     @staticmethod
-    def _any(zone: str) -> Response:
+    def _any_response(zone: str) -> Response:
         """RFC 8482, section 4.2: a small answer instead of all there is."""
         return Response(answers=[Record(Type.HINFO, b"\x07RFC8482\x00")], zone=zone)
 
-    def _static(self, query: Query, at: ParsedName) -> Response | None:
+    def _static_response(self, query: Query, name: ParsedName) -> Response | None:
         """What a tenant's static records say of a name; None where they say nothing."""
-        here = self.statics.at(query.name)
-        if here is None:
+        name_records = self.static_records.find(query.name)
+        if name_records is None:
             return None
-        if query.type == Type.ANY and here.sets:
-            return self._any(at.zone)
-        found = self.statics.answer(query.name, query.type)
+        if query.type == Type.ANY and name_records.rrsets:
+            return self._any_response(name.zone)
+        found = self.static_records.answer(query.name, query.type)
         if found:
-            return Response(answers=found, zone=at.zone)
-        return self._nothing(at.zone, tuple(here.sets)) if at.kind is Kind.NONE else None
+            return Response(answers=found, zone=name.zone)
+        return self._nodata(name.zone, tuple(name_records.rrsets)) if name.kind is Kind.NONE else None
 
-    def _apex(self, zone: str, kind: int) -> list[Record]:
+    def _apex_records(self, zone: str, kind: int) -> list[Record]:
         """What stands at a zone's own name."""
         if kind == Type.SOA:
             return [self._soa(zone, apex=True)]
         if kind == Type.NS:
             return [Record(Type.NS, (labels_of(name),)) for name in self.config.nameservers]
-        return self.signer.apex(zone, kind) if self.signer is not None else []
+        return self.signer.key_records(zone, kind) if self.signer is not None else []
 
-    def _types(self, at: ParsedName) -> tuple[int, ...]:
+    def _existing_types(self, name: ParsedName) -> tuple[int, ...]:
         """The types that are at a name, for who denies another one there."""
-        if at.kind is Kind.TARGET:
+        if name.kind is Kind.TARGET:
             family = {4: Type.A, 6: Type.AAAA}
-            return (*(family[version] for version in sorted(self.families())), Type.SVCB, Type.HTTPS)
-        if at.kind is Kind.SERVICE:
+            return (*(family[version] for version in sorted(self.ip_versions())), Type.SVCB, Type.HTTPS)
+        if name.kind is Kind.SERVICE:
             return (Type.SRV,)
-        if at.kind is Kind.APEX:
-            static = self.statics.at(labels_of(at.zone))
+        if name.kind is Kind.APEX:
+            static = self.static_records.find(labels_of(name.zone))
             return (
                 *(
                     kind
                     for kind in (Type.SOA, Type.NS, Type.DNSKEY, Type.CDS, Type.CDNSKEY)
-                    if self._apex(at.zone, kind)
+                    if self._apex_records(name.zone, kind)
                 ),
-                *(static.sets if static is not None else ()),
+                *(static.rrsets if static is not None else ()),
             )
         return ()
 
-    def _nothing(self, zone: str, exists: tuple[int, ...] = ()) -> Response:
+    def _nodata(self, zone: str, exists: tuple[int, ...] = ()) -> Response:
         """The name exists, but nothing of this type; `exists` are those that there are."""
         return Response(authority=[self._soa(zone)], zone=zone, exists=exists)
 
-    def _no_name(self, zone: str) -> Response:
+    def _nxdomain(self, zone: str) -> Response:
         return Response(Code.NXDOMAIN, authority=[self._soa(zone)], zone=zone, exists=())
 
     def _soa(self, zone: str, apex: bool = False) -> Record:
--- a/threadhill/dns/key_commands.py
+++ b/threadhill/dns/key_commands.py
@@ -8,7 +8,7 @@
 
 from threadhill.core.clock import unix_seconds
 from threadhill.dns import keys
-from threadhill.dns.keys import ALGORITHM, FLAGS, KEY_TTL, PROTOCOL, SETTLE, SHA256, Key, Refused, State
+from threadhill.dns.keys import ALGORITHM, FLAGS, KEY_TTL, MIN_STATE_SECONDS, PROTOCOL, SHA256, Key, RollRefused, State
 from threadhill.hostnames import labels_of
 from threadhill.settings import Malformed
 
@@ -17,13 +17,13 @@
     try:
         return ".".join(labels_of(zone))
     except (ValueError, UnicodeError):
-        raise Refused(f"{zone!r} is no domain name") from None
+        raise RollRefused(f"{zone!r} is no domain name") from None
 
 
 def _keys(folder: Path, zone: str) -> list[Key]:
     found = keys.read_folder(folder).get(zone, [])
     if not found:
-        raise Refused(f"{folder}: no key of {zone}; make one with `threadhill dns key generate {zone}`")
+        raise RollRefused(f"{folder}: no key of {zone}; make one with `threadhill dns key generate {zone}`")
     return found
 
 
@@ -42,7 +42,7 @@
         "tag": key.tag,
         "state": key.state.value,
         "created": key.created,
-        "since_s": now - key.changed,
+        "since_s": now - key.state_since,
         "ds": ds_line(key),
         "dnskey": dnskey_line(key),
     }
@@ -53,7 +53,7 @@
     zone = _zone(zone)
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     if keys.read_folder(folder).get(zone):
-        raise Refused(f"{zone} has a key already; `threadhill dns key roll {zone}` makes the next one")
+        raise RollRefused(f"{zone} has a key already; `threadhill dns key roll {zone}` makes the next one")
     key = keys.generate(zone, State.ACTIVE, unix_seconds())
     keys.write(folder, key)
     return key
@@ -61,9 +61,9 @@
 
 def list_keys(folder: Path, zone: str = "") -> list[dict[str, Any]]:
     now = unix_seconds()
-    found = keys.read_folder(folder)
-    chosen = {_zone(zone): _keys(folder, _zone(zone))} if zone else found
-    return [row(key, now) for _, of_zone in sorted(chosen.items()) for key in of_zone]
+    zones = keys.read_folder(folder)
+    chosen = {_zone(zone): _keys(folder, _zone(zone))} if zone else zones
+    return [row(key, now) for _, zone_keys in sorted(chosen.items()) for key in zone_keys]
 
 
 def roll(folder: Path, zone: str) -> Key:
@@ -82,7 +82,7 @@
 
 def remove(folder: Path, zone: str, tag: int, force: bool) -> None:
     zone = _zone(zone)
-    key = keys.removable(_keys(folder, zone), tag, unix_seconds(), force)
+    key = keys.check_removable(_keys(folder, zone), tag, unix_seconds(), force)
     (folder / key.file_name).unlink()
 
 
@@ -92,21 +92,21 @@
         zones = keys.read_folder(folder)
     except (Malformed, OSError) as error:
         return [str(error)]
-    now, told = unix_seconds(), []
-    for zone, of_zone in sorted(zones.items()):
-        for key in of_zone:
-            left = key.changed + SETTLE - now
+    now, messages = unix_seconds(), []
+    for zone, zone_keys in sorted(zones.items()):
+        for key in zone_keys:
+            remaining = key.state_since + MIN_STATE_SECONDS - now
             if key.state is State.PUBLISHED:
-                when = f"in {left} s" if left > 0 else "now"
-                told.append(
+                when = f"in {remaining} s" if remaining > 0 else "now"
+                messages.append(
                     f"{zone}: key {key.tag} is published and may be activated {when}, once the parent has " "its DS"
                 )
             elif key.state is State.RETIRED:
-                when = f"in {left} s" if left > 0 else "now"
-                told.append(
+                when = f"in {remaining} s" if remaining > 0 else "now"
+                messages.append(
                     f"{zone}: key {key.tag} is retired and may be removed {when}, once the parent's old DS is "
                     "gone and has run out"
                 )
             if key.created > now + 300:
-                told.append(f"{zone}: key {key.tag} was made in the future: set this machine's clock")
-    return told
+                messages.append(f"{zone}: key {key.tag} was made in the future: set this machine's clock")
+    return messages
--- a/threadhill/dns/keys.py
+++ b/threadhill/dns/keys.py
@@ -30,9 +30,9 @@
 PROTOCOL = 3
 SHA256 = 2  # digest type of DS records (RFC 4509)
 KEY_TTL = 300  # seconds for which resolvers may keep a DNSKEY set
-SETTLE = 2 * KEY_TTL  # seconds that a published or retired key stays so at the least: all have heard by then
-MOST_FILE = 16 << 10
-MOST_KEYS = 8  # of one zone
+MIN_STATE_SECONDS = 2 * KEY_TTL  # seconds that a published or retired key stays so at the least: all have heard by then
+MAX_FILE_BYTES = 16 << 10
+MAX_KEYS = 8  # of one zone
 
 
 class State(Enum):
@@ -48,7 +48,7 @@
     zone: str
     state: State
     created: int  # Unix seconds
-    changed: int  # when it came into its state
+    state_since: int  # when it came into its state
     private: ec.EllipticCurvePrivateKey
 
     @property
@@ -96,25 +96,25 @@
             "tag": key.tag,
             "state": key.state.value,
             "created": key.created,
-            "changed": key.changed,
+            "changed": key.state_since,
             "private": pem,
         },
         indent=2,
     )
     path = folder / key.file_name
-    beside = path.with_suffix(".new")
-    beside.unlink(missing_ok=True)
-    with os.fdopen(os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as file:
+    temporary = path.with_suffix(".new")
+    temporary.unlink(missing_ok=True)
+    with os.fdopen(os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as file:
         file.write(text + "\n")
         file.flush()
         os.fsync(file.fileno())
-    os.replace(beside, path)
+    os.replace(temporary, path)
     return path
 
 
 def read(path: Path) -> Key:
     """One key file; Malformed says what is wrong with it and what to do."""
-    check_private(path, MOST_FILE)
+    check_private(path, MAX_FILE_BYTES)
     try:
         raw = json.loads(path.read_text())
         private = serialization.load_pem_private_key(raw["private"].encode(), None)
@@ -142,11 +142,11 @@
         key = read(path)
         zones.setdefault(key.zone, []).append(key)
     for zone, keys in zones.items():
-        active = sorted((key for key in keys if key.state is State.ACTIVE), key=lambda key: key.changed)
-        if not active or len(keys) > MOST_KEYS or len({key.tag for key in keys}) < len(keys):
+        active = sorted((key for key in keys if key.state is State.ACTIVE), key=lambda key: key.state_since)
+        if not active or len(keys) > MAX_KEYS or len({key.tag for key in keys}) < len(keys):
             raise Malformed(
                 f"{folder}: zone {zone} has {len(keys)} keys of which {len(active)} are active: one must "
-                f"be, of {MOST_KEYS} at most with different tags"
+                f"be, of {MAX_KEYS} at most with different tags"
             )
         # An activation that was cut off between its two files leaves two: the last one counts.
         keys[:] = [replace(key, state=State.RETIRED) if key in active[:-1] else key for key in keys]
@@ -154,59 +154,59 @@
     return zones
 
 
-class Refused(Exception):
+class RollRefused(Exception):
     """A step of a roll that would leave signatures without their key; the text says when it may be taken."""
 
 
-def _of(keys: list[Key], tag: int) -> Key:
+def _find(keys: list[Key], tag: int) -> Key:
     key = next((key for key in keys if key.tag == tag), None)
     if key is None:
-        raise Refused(f"no key with tag {tag}; there are {', '.join(str(k.tag) for k in keys) or 'none'}")
+        raise RollRefused(f"no key with tag {tag}; there are {', '.join(str(k.tag) for k in keys) or 'none'}")
     return key
 
 
-def _settled(key: Key, now: int, force: bool) -> None:
-    left = key.changed + SETTLE - now
-    if left > 0 and not force:
-        raise Refused(
-            f"key {key.tag} is {key.state.value} since {now - key.changed} s: resolvers may keep older "
-            f"DNSKEY sets for {left} s more"
+def _check_settled(key: Key, now: int, force: bool) -> None:
+    remaining = key.state_since + MIN_STATE_SECONDS - now
+    if remaining > 0 and not force:
+        raise RollRefused(
+            f"key {key.tag} is {key.state.value} since {now - key.state_since} s: resolvers may keep older "
+            f"DNSKEY sets for {remaining} s more"
         )
 
 
 def roll(zone: str, keys: list[Key], now: int) -> list[Key]:
     """The first step: a new key that is published. The keys that changed."""
     if any(key.state is State.PUBLISHED for key in keys):
-        raise Refused(f"a roll of {zone} is under way; activate or remove its published key first")
-    if len(keys) >= MOST_KEYS:
-        raise Refused(f"{zone} has {len(keys)} keys: remove a retired one first")
-    taken = {key.tag for key in keys}
+        raise RollRefused(f"a roll of {zone} is under way; activate or remove its published key first")
+    if len(keys) >= MAX_KEYS:
+        raise RollRefused(f"{zone} has {len(keys)} keys: remove a retired one first")
+    used_tags = {key.tag for key in keys}
     new = generate(zone, State.PUBLISHED, now)
-    while new.tag in taken:  # two keys of one tag could not be told apart by their files
+    while new.tag in used_tags:  # two keys of one tag could not be told apart by their files
         new = generate(zone, State.PUBLISHED, now)
     return [new]
 
 
 def activate(keys: list[Key], tag: int, now: int, force: bool = False) -> list[Key]:
     """The second step: this key signs from now on, the one that did is retired."""
-    key = _of(keys, tag)
+    key = _find(keys, tag)
     if key.state is State.ACTIVE:
         return []
     if key.state is State.PUBLISHED:
-        _settled(key, now, force)
+        _check_settled(key, now, force)
     return [
-        replace(key, state=State.ACTIVE, changed=now),
-        *(replace(k, state=State.RETIRED, changed=now) for k in keys if k.state is State.ACTIVE),
+        replace(key, state=State.ACTIVE, state_since=now),
+        *(replace(k, state=State.RETIRED, state_since=now) for k in keys if k.state is State.ACTIVE),
     ]
 
 
-def removable(keys: list[Key], tag: int, now: int, force: bool = False) -> Key:
+def check_removable(keys: list[Key], tag: int, now: int, force: bool = False) -> Key:
     """The last step: this key is published no more. One that never signed may go at once."""
-    key = _of(keys, tag)
+    key = _find(keys, tag)
     if key.state is State.ACTIVE:
-        raise Refused(f"key {tag} is active: activate another one first")
+        raise RollRefused(f"key {tag} is active: activate another one first")
     if key.state is State.RETIRED:
-        _settled(key, now, force)
+        _check_settled(key, now, force)
     return key
 
 
@@ -215,18 +215,18 @@
 
     def __init__(self, folder: Path, log: Callable[[str], None]) -> None:
         self.folder, self.log = folder, log
-        self._seen = self._stamps()
+        self._file_versions = self._current_versions()
         self.zones: Mapping[str, list[Key]] = read_folder(folder)
 
-    def _stamps(self) -> list[tuple[str, FileVersion | None]]:
+    def _current_versions(self) -> list[tuple[str, FileVersion | None]]:
         return [(path.name, file_version(path)) for path in sorted(self.folder.glob("K*.json"))]
 
     def reload_if_changed(self) -> bool:
         """Whether other keys were taken. A set that cannot be used is told once and changes nothing."""
-        stamps = self._stamps()
-        if stamps == self._seen:
+        versions = self._current_versions()
+        if versions == self._file_versions:
             return False
-        self._seen = stamps
+        self._file_versions = versions
         try:
             self.zones = read_folder(self.folder)
         except (Malformed, OSError) as error:
--- a/threadhill/dns/limits.py
+++ b/threadhill/dns/limits.py
@@ -13,11 +13,11 @@
 from enum import Enum
 
 SECOND = 1_000_000
-KEYS = 8_192  # networks and resolvers whose buckets are kept; the one heard least lately goes first
-AMPLIFICATION = 1.5  # bytes of a response to an unproven address, for each byte of its query, at most
+MAX_BUCKETS = 8_192  # networks and resolvers whose buckets are kept; the one heard least lately goes first
+MAX_AMPLIFICATION = 1.5  # bytes of a response to an unproven address, for each byte of its query, at most
 
 
-class Send(Enum):
+class ResponseAction(Enum):
     ANSWER = "answer"
     SLIP = "slip"  # a truncated answer, which sends a real resolver to TCP and gives a flood nothing
     DROP = "drop"
@@ -46,7 +46,7 @@
             bucket.tokens = min(self.burst, bucket.tokens + self.rate * (now - bucket.at) / SECOND)
             bucket.at = now
         self.buckets[key] = bucket
-        while len(self.buckets) > KEYS:
+        while len(self.buckets) > MAX_BUCKETS:
             self.buckets.popitem(last=False)
         if bucket.tokens < 1:
             bucket.refused += 1
@@ -67,26 +67,26 @@
         self.queries = Buckets(resolver_queries, 2 * resolver_queries) if resolver_queries else None
         self.unproven = Buckets(unproven, unproven) if unproven else None  # of all unproven addresses together
 
-    def response(self, network: str, proven: bool, now: int) -> Send:
+    def check_response(self, network: str, proven: bool, now: int) -> ResponseAction:
         """Whether an answer over UDP to this network is sent, truncated, or dropped."""
         if proven or self.responses is None:
-            return Send.ANSWER
+            return ResponseAction.ANSWER
         if self.responses.take(network, now) is not None:
-            return Send.ANSWER
+            return ResponseAction.ANSWER
         refused = self.responses.buckets[network].refused
-        return Send.SLIP if self.slip and refused % self.slip == 0 else Send.DROP
+        return ResponseAction.SLIP if self.slip and refused % self.slip == 0 else ResponseAction.DROP
 
-    def may_reach(self, now: int) -> bool:
+    def allow_unproven(self, now: int) -> bool:
         """Whether one more query from an address that proved nothing may reach the module now. A flood in the names
         of many networks passes the rate of each; what is over this is told to come over TCP, as real ones can."""
         return self.unproven is None or self.unproven.take("", now) is not None
 
-    def may_ask(self, resolver: str, now: int) -> bool:
+    def allow_resolver(self, resolver: str, now: int) -> bool:
         """Whether one more query of this resolver may reach the module now: a flood of made-up names costs routing
         as real ones do, and must cost only its own resolver's share."""
         return self.queries is None or self.queries.take(resolver, now) is not None
 
 
-def most_bytes(query_size: int, proven: bool, payload: int) -> int:
+def max_response_size(query_size: int, proven: bool, payload: int) -> int:
     """How large a response over UDP may be."""
-    return payload if proven else min(payload, int(AMPLIFICATION * query_size))
+    return payload if proven else min(payload, int(MAX_AMPLIFICATION * query_size))
--- a/threadhill/dns/message.py
+++ b/threadhill/dns/message.py
@@ -7,23 +7,23 @@
 from enum import IntEnum
 
 from threadhill.dns import options
-from threadhill.dns.options import Extended, Option, Options
+from threadhill.dns.options import ExtendedError, Option, Options
 from threadhill.hostnames import MAX_LABEL_BYTES, MAX_NAME_BYTES
 
 HEADER = struct.Struct("!6H")
 POINTER = 0xC0
 IN = 1
-PLAIN_UDP = 512  # bytes of a UDP response without EDNS
-OUR_UDP = 1_232  # what the answering side takes and sends with it
+MIN_UDP_SIZE = 512  # bytes of a UDP response without EDNS
+EDNS_UDP_SIZE = 1_232  # what the answering side takes and sends with it
 DO = 0x8000
 CO = 0x4000  # the asker knows of compact denial and wants NXDOMAIN told with it (RFC 9824, section 5.1)
-JUMPS = 32  # pointers of one name at most
-ADDITIONAL = 8  # records behind a query's question: an OPT and a signature are all that mean anything
-LONGEST = 4 << 10  # bytes of a query: names and an OPT are far smaller
-FARTHEST = 0x3FFF  # where a compression pointer can point to
+MAX_POINTERS = 32  # pointers of one name at most
+MAX_ADDITIONAL = 8  # records behind a query's question: an OPT and a signature are all that mean anything
+MAX_QUERY_BYTES = 4 << 10  # bytes of a query: names and an OPT are far smaller
+MAX_POINTER_OFFSET = 0x3FFF  # where a compression pointer can point to
 NO_OPTIONS = Options()  # of all queries without any
-OPT_HEAD = 11  # bytes of an OPT record before its options
-QUESTION = b"\xc0\x0c"  # a pointer to the question's name
+OPT_HEADER_BYTES = 11  # bytes of an OPT record before its options
+QUESTION_POINTER = b"\xc0\x0c"  # a pointer to the question's name
 Labels = tuple[str, ...]
 
 
@@ -64,11 +64,11 @@
     BADVERS = 16
 
 
-class Ignored(Exception):
+class IgnoredMessage(Exception):
     """Nothing that may be answered: too short for a header, or itself a response."""
 
 
-class Bad(Exception):
+class BadQuery(Exception):
     """A query that gets an error for an answer."""
 
     def __init__(self, code: Code, query: Query) -> None:
@@ -82,16 +82,16 @@
 
     id: int
     opcode: int = 0
-    recursion: bool = False  # desired
-    checking_off: bool = False  # CD, copied to the response (RFC 4035, section 3.1.6)
+    recursion_desired: bool = False  # desired
+    checking_disabled: bool = False  # CD, copied to the response (RFC 4035, section 3.1.6)
     question: bytes = b""  # as it came, to be echoed with its letter case
     name: Labels = ()  # labels in lower case
     type: int = 0
     cls: int = IN
     edns: bool = False
     dnssec: bool = False
-    compact: bool = False  # CO
-    payload: int = PLAIN_UDP
+    compact_denial: bool = False  # CO
+    payload: int = MIN_UDP_SIZE
     options: Options = NO_OPTIONS
     size: int = 0  # bytes that it came in
     tsig_at: int = 0  # where its transaction signature begins; 0: it has none
@@ -121,7 +121,7 @@
     answers: list[Record] = field(default_factory=list)
     authority: list[Record] = field(default_factory=list)
     additional: list[Record] = field(default_factory=list)
-    error: tuple[Extended, str] | None = None  # why, where it is an error (RFC 8914)
+    error: tuple[ExtendedError, str] | None = None  # why, where it is an error (RFC 8914)
     scope: int = 0  # bits of the client's subnet that the answer holds for (RFC 7871)
     nsid: bytes = b""
     keepalive: int | None = None  # tenths of a second that an idle connection stays (RFC 7828)
@@ -148,14 +148,14 @@
 def read_name(raw: bytes, at: int) -> tuple[Labels, int]:
     """The name there and where it ends; pointers lead backwards only, so that none can loop."""
     labels: list[str] = []
-    end, length, lowest, jumps = -1, 0, at, 0
+    end, length, lowest, pointers = -1, 0, at, 0
     while True:
         size = raw[at]
         if size & POINTER == POINTER:
             target = (size & ~POINTER) << 8 | raw[at + 1]
             end = at + 2 if end < 0 else end
-            jumps += 1
-            if target >= lowest or jumps > JUMPS:
+            pointers += 1
+            if target >= lowest or pointers > MAX_POINTERS:
                 raise ValueError("a pointer does not lead backwards, or too many follow each other")
             at = lowest = target
             continue
@@ -187,10 +187,10 @@
     if kind == Type.OPT:
         if query.edns or named:
             raise ValueError("a second OPT, or one with a name")
-        query.edns, query.payload = True, max(PLAIN_UDP, cls)
-        query.dnssec, query.compact = bool(ttl & DO), bool(ttl & CO)
+        query.edns, query.payload = True, max(MIN_UDP_SIZE, cls)
+        query.dnssec, query.compact_denial = bool(ttl & DO), bool(ttl & CO)
         if ttl >> 16 & 0xFF:
-            raise Bad(Code.BADVERS, query)
+            raise BadQuery(Code.BADVERS, query)
         query.options = options.read_options(raw[at + 10 : end])
     return end
 
@@ -212,15 +212,15 @@
 def read_query(raw: bytes) -> Query:
     """The query; Bad tells the error to answer with, Ignored that there is nothing to answer."""
     if len(raw) < HEADER.size:
-        raise Ignored
+        raise IgnoredMessage
     id, flags, questions, answers, authority, additional = HEADER.unpack_from(raw)
     if flags & 0x8000:
-        raise Ignored  # answering responses would let two servers talk for ever
+        raise IgnoredMessage  # answering responses would let two servers talk for ever
     query = Query(id, flags >> 11 & 0xF, bool(flags & 0x0100), bool(flags & 0x0010), size=len(raw))
     if query.opcode:
-        raise Bad(Code.NOTIMP, query)
-    if questions != 1 or answers or authority > 1 or additional > ADDITIONAL or len(raw) > LONGEST:
-        raise Bad(Code.FORMERR, query)
+        raise BadQuery(Code.NOTIMP, query)
+    if questions != 1 or answers or authority > 1 or additional > MAX_ADDITIONAL or len(raw) > MAX_QUERY_BYTES:
+        raise BadQuery(Code.FORMERR, query)
     try:
         query.name, end = read_name(raw, HEADER.size)
         query.type, query.cls = struct.unpack_from("!HH", raw, end)
@@ -233,7 +233,7 @@
         if at != len(raw):
             raise ValueError("bytes follow the message")
     except (ValueError, IndexError, struct.error):
-        raise Bad(Code.FORMERR, query) from None
+        raise BadQuery(Code.FORMERR, query) from None
     return query
 
 
@@ -243,26 +243,26 @@
     def __init__(self, query: Query) -> None:
         self.raw = bytearray(HEADER.size) + query.question
         self.question = query.name
-        self.places: dict[Labels, int] | None = None  # most responses hold no name but the question's
+        self.offsets: dict[Labels, int] | None = None  # most responses hold no name but the question's
 
-    def _first_places(self) -> dict[Labels, int]:
-        places, at = {}, HEADER.size
+    def _question_offsets(self) -> dict[Labels, int]:
+        offsets, at = {}, HEADER.size
         for i, label in enumerate(self.question):
-            places[self.question[i:]] = at
+            offsets[self.question[i:]] = at
             at += len(label) + 1
-        return places
+        return offsets
 
     def name(self, labels: Labels) -> None:
         """Write a name, as a pointer from where it is there already."""
-        if self.places is None:
-            self.places = self._first_places()
+        if self.offsets is None:
+            self.offsets = self._question_offsets()
         for i, label in enumerate(labels):
-            place = self.places.get(labels[i:])
-            if place is not None:
-                self.raw += struct.pack("!H", POINTER << 8 | place)
+            offset = self.offsets.get(labels[i:])
+            if offset is not None:
+                self.raw += struct.pack("!H", POINTER << 8 | offset)
                 return
-            if len(self.raw) <= FARTHEST:
-                self.places[labels[i:]] = len(self.raw)
+            if len(self.raw) <= MAX_POINTER_OFFSET:
+                self.offsets[labels[i:]] = len(self.raw)
             raw = label.encode("latin-1")
             if not 1 <= len(raw) <= MAX_LABEL_BYTES:
                 raise ValueError("a label has 1 to 63 bytes")
@@ -271,7 +271,7 @@
 
     def record(self, record: Record) -> None:
         if record.owner is None:
-            self.raw += QUESTION
+            self.raw += QUESTION_POINTER
         else:
             self.name(record.owner)
         if isinstance(record.data, bytes):
@@ -287,16 +287,16 @@
         struct.pack_into("!H", self.raw, at, len(self.raw) - at - 2)
 
 
-def pack(query: Query, response: Response, most: int) -> bytes:
+def pack(query: Query, response: Response, max_size: int) -> bytes:
     """The response in at most so many bytes. What does not fit goes by whole sets: first additional records, of which
     nobody needs to hear (RFC 2181, section 9), then all, and the header says so."""
     if response.truncated:
         return _pack(query, response, [[], [], []], 0x0200)
     sections = [response.answers, response.authority, response.additional]
     packed = _pack(query, response, sections, 0)
-    if len(packed) > most and sections[2]:
+    if len(packed) > max_size and sections[2]:
         packed = _pack(query, response, [*sections[:2], []], 0)
-    if len(packed) > most:
+    if len(packed) > max_size:
         packed = _pack(query, response, [[], [], []], 0x0200)
     return packed
 
@@ -310,8 +310,8 @@
     if query.edns:
         counts[2] += 1
         writer.raw += _opt(query, response, len(writer.raw))
-    flags |= 0x8000 | query.opcode << 11 | response.authoritative << 10 | query.recursion << 8
-    flags |= query.checking_off << 4 | response.code & 0xF
+    flags |= 0x8000 | query.opcode << 11 | response.authoritative << 10 | query.recursion_desired << 8
+    flags |= query.checking_disabled << 4 | response.code & 0xF
     HEADER.pack_into(writer.raw, 0, query.id, flags, bool(query.question), *counts)
     return bytes(writer.raw)
 
@@ -320,16 +320,18 @@
     """The OPT record of a response (RFC 6891, section 6.1), which is its last and begins at `at`."""
     asked, data = query.options, b""
     if asked.subnet is not None and response.code != Code.FORMERR:
-        data += options.option(Option.SUBNET, asked.subnet.pack(response.scope if asked.subnet.source else 0))
+        data += options.pack_option(
+            Option.SUBNET, asked.subnet.pack(response.scope if asked.subnet.source_prefix else 0)
+        )
     if asked.nsid and response.nsid:
-        data += options.option(Option.NSID, response.nsid)
+        data += options.pack_option(Option.NSID, response.nsid)
     if response.keepalive is not None:
-        data += options.option(Option.KEEPALIVE, struct.pack("!H", response.keepalive))
+        data += options.pack_option(Option.KEEPALIVE, struct.pack("!H", response.keepalive))
     if response.cookie is not None:
-        data += options.option(Option.COOKIE, response.cookie)
+        data += options.pack_option(Option.COOKIE, response.cookie)
     if response.error is not None:
-        data += options.extended_error(*response.error)
+        data += options.pack_extended_error(*response.error)
     if response.padded:  # the option's own four bytes and the record's head count as well
-        data += options.option(Option.PADDING, bytes(-(at + OPT_HEAD + len(data) + 4) % response.padded))
+        data += options.pack_option(Option.PADDING, bytes(-(at + OPT_HEADER_BYTES + len(data) + 4) % response.padded))
     ttl = (response.code >> 4) << 24 | (DO if query.dnssec else 0)
-    return b"\0" + struct.pack("!HHIH", Type.OPT, OUR_UDP, ttl, len(data)) + data
+    return b"\0" + struct.pack("!HHIH", Type.OPT, EDNS_UDP_SIZE, ttl, len(data)) + data
--- a/threadhill/dns/names.py
+++ b/threadhill/dns/names.py
@@ -9,8 +9,8 @@
 from threadhill.core.tenants import Tenants
 from threadhill.hostnames import SERVERS_LABEL, labels_of
 
-HEX = set("0123456789abcdef")
-MOST_PART = 10  # digits
+HEX_DIGITS = set("0123456789abcdef")
+MAX_PART_DIGITS = 10  # digits
 
 
 class Kind(Enum):
@@ -20,7 +20,7 @@
     EMPTY = "empty"  # nothing, but names below it exist: NODATA and not NXDOMAIN (RFC 8020)
     TARGET = "target"
     SERVICE = "service"  # a target behind _service._tcp
-    BOX = "box"
+    SERVER = "box"
     NONE = "none"
 
 
@@ -34,7 +34,7 @@
     cls: str = ""
     object: str = ""
     part: int = 0
-    box: str = ""
+    server_name: str = ""
 
 
 def zone_of(labels: tuple[str, ...], zones: Set[str]) -> str | None:
@@ -48,26 +48,35 @@
 
 def parse_name(labels: tuple[str, ...], zone: str, tenants: Tenants, classes: frozenset[str]) -> ParsedName:
     """What stands there. A tenant's names exist only in its own zones: others see nothing of it."""
-    left = labels[: len(labels) - len(labels_of(zone))]
-    if not left:
+    relative = labels[: len(labels) - len(labels_of(zone))]
+    if not relative:
         return ParsedName(Kind.APEX, zone)
-    none = ParsedName(Kind.NONE, zone)
-    if left[-1] == SERVERS_LABEL:
-        if len(left) > 2:
-            return none
-        return ParsedName(Kind.BOX, zone, box=left[0]) if len(left) == 2 else ParsedName(Kind.EMPTY, zone)
-    tenant = tenants.by_name.get(left[-1])
+    missing = ParsedName(Kind.NONE, zone)
+    if relative[-1] == SERVERS_LABEL:
+        if len(relative) > 2:
+            return missing
+        return (
+            ParsedName(Kind.SERVER, zone, server_name=relative[0])
+            if len(relative) == 2
+            else ParsedName(Kind.EMPTY, zone)
+        )
+    tenant = tenants.by_name.get(relative[-1])
     # From the zone outwards; spelled out, since every query comes through here.
-    n = len(left)
+    n = len(relative)
     if n > 6 or tenant is None or zone not in tenant.zones:
-        return none
-    if n > 1 and left[-2] not in classes or n > 2 and (len(left[-3]) != 16 or not HEX.issuperset(left[-3])):
-        return none
-    if n > 3 and not (left[-4].isascii() and left[-4].isdigit() and len(left[-4]) <= MOST_PART):
-        return none
-    if n > 4 and left[-5] != "_tcp" or n > 5 and not (left[-6].startswith("_") and len(left[-6]) > 1):
-        return none
-    if len(left) in (1, 2, 3, 5):
+        return missing
+    if (
+        n > 1
+        and relative[-2] not in classes
+        or n > 2
+        and (len(relative[-3]) != 16 or not HEX_DIGITS.issuperset(relative[-3]))
+    ):
+        return missing
+    if n > 3 and not (relative[-4].isascii() and relative[-4].isdigit() and len(relative[-4]) <= MAX_PART_DIGITS):
+        return missing
+    if n > 4 and relative[-5] != "_tcp" or n > 5 and not (relative[-6].startswith("_") and len(relative[-6]) > 1):
+        return missing
+    if len(relative) in (1, 2, 3, 5):
         return ParsedName(Kind.EMPTY, zone)
-    part, obj, cls, name = left[-4:]
-    return ParsedName(Kind.TARGET if len(left) == 4 else Kind.SERVICE, zone, name, cls, obj, int(part))
+    part, obj, cls, name = relative[-4:]
+    return ParsedName(Kind.TARGET if len(relative) == 4 else Kind.SERVICE, zone, name, cls, obj, int(part))
--- a/threadhill/dns/operator_file.py
+++ b/threadhill/dns/operator_file.py
@@ -131,7 +131,7 @@
         raise Malformed(f"{at}.{unknown}: no such key")
     node = text(table.get("node"), f"{at}.node")
     networks = tuple(text(n, f"{at}.networks") for n in sequence(table.get("networks"), f"{at}.networks"))
-    then = tuple(text(n, f"{at}.then") for n in sequence(table.get("then"), f"{at}.then"))
+    fallbacks = tuple(text(n, f"{at}.then") for n in sequence(table.get("then"), f"{at}.then"))
     if not node or not networks:
         raise Malformed(f"{at}: a view names its node and at least one network")
     for network in networks:
@@ -139,4 +139,4 @@
             ipaddress.ip_network(network, strict=False)
         except ValueError:
             raise Malformed(f"{at}.networks: not a network: {network[:60]!r}") from None
-    return View(node, networks, then)
+    return View(node, networks, fallbacks)
--- a/threadhill/dns/options.py
+++ b/threadhill/dns/options.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-OPTIONS = 32  # options of one query at most
-EXTRA_TEXT = 120  # bytes of an extended error's text at most
+MAX_OPTIONS = 32  # options of one query at most
+MAX_EXTRA_TEXT_BYTES = 120  # bytes of an extended error's text at most
 
 
 class Option(IntEnum):
@@ -24,7 +24,7 @@
     EXTENDED_ERROR = 15  # RFC 8914
 
 
-class Extended(IntEnum):
+class ExtendedError(IntEnum):
     """Extended errors that are told (RFC 8914, section 4)."""
 
     PROHIBITED = 18
@@ -34,41 +34,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Subnet:
+class ClientSubnet:
     """A client's network as a resolver tells it (RFC 7871, section 6)."""
 
     family: int  # 1: IPv4, 2: IPv6, 0: none told
-    source: int  # bits of it that are told
+    source_prefix: int  # bits of it that are told
     address: bytes  # those bits, in whole bytes
 
     def pack(self, scope: int) -> bytes:
         """The option of a response: the query's, with the bits that the answer holds for."""
-        return struct.pack("!HBB", self.family, self.source, scope) + self.address
+        return struct.pack("!HBB", self.family, self.source_prefix, scope) + self.address
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
     """What a query's options say."""
 
-    subnet: Subnet | None = None
+    subnet: ClientSubnet | None = None
     nsid: bool = False
     keepalive: bool = False
     cookie: bytes | None = None  # the client cookie, and the server cookie where one is brought back (RFC 7873)
     padding: bool = False  # asked by one that pads its query (RFC 7830)
 
 
-def read_subnet(raw: bytes) -> Subnet:
+def read_subnet(raw: bytes) -> ClientSubnet:
     """RFC 7871, section 7.1.2: anything but the shortest form of the prefix is malformed."""
     if len(raw) < 4:
         raise ValueError("a client subnet is cut off")
-    family, source, scope = struct.unpack_from("!HBB", raw)
+    family, source_prefix, scope = struct.unpack_from("!HBB", raw)
     address = raw[4:]
     most = {0: 0, 1: 32, 2: 128}.get(family)
-    if most is None or source > most or scope or len(address) != (source + 7) // 8:
+    if most is None or source_prefix > most or scope or len(address) != (source_prefix + 7) // 8:
         raise ValueError("a client subnet has a wrong length, family or scope")
-    if source % 8 and address[-1] & (0xFF >> source % 8):
+    if source_prefix % 8 and address[-1] & (0xFF >> source_prefix % 8):
         raise ValueError("a client subnet has bits behind its prefix")
-    return Subnet(family, source, address)
+    return ClientSubnet(family, source_prefix, address)
 
 
 def read_options(raw: bytes) -> Options:
@@ -81,7 +81,7 @@
         code, size = struct.unpack_from("!HH", raw, at)
         data = raw[at + 4 : at + 4 + size]
         at, count = at + 4 + size, count + 1
-        if len(data) < size or count > OPTIONS:
+        if len(data) < size or count > MAX_OPTIONS:
             raise ValueError("an option is cut off, or there are too many")
         if code == Option.SUBNET:
             if subnet is not None:
@@ -97,10 +97,10 @@
     return Options(subnet, Option.NSID in seen, Option.KEEPALIVE in seen, cookie, Option.PADDING in seen)
 
 
-def option(code: int, data: bytes) -> bytes:
+def pack_option(code: int, data: bytes) -> bytes:
     return struct.pack("!HH", code, len(data)) + data
 
 
-def extended_error(code: int, text: str) -> bytes:
+def pack_extended_error(code: int, text: str) -> bytes:
     """RFC 8914, section 2: why, for programs and for people."""
-    return option(Option.EXTENDED_ERROR, struct.pack("!H", code) + text.encode()[:EXTRA_TEXT])
+    return pack_option(Option.EXTENDED_ERROR, struct.pack("!H", code) + text.encode()[:MAX_EXTRA_TEXT_BYTES])
--- a/threadhill/dns/records.py
+++ b/threadhill/dns/records.py
@@ -8,7 +8,7 @@
 
 from threadhill.dns.message import Labels, Record, Type, pack_name
 
-PORT, HINT4, HINT6 = 3, 4, 6  # SvcParamKeys (RFC 9460, section 14.3.2)
+PORT_PARAM, IPV4HINT_PARAM, IPV6HINT_PARAM = 3, 4, 6  # SvcParamKeys (RFC 9460, section 14.3.2)
 
 
 @lru_cache(4_096)
@@ -26,11 +26,11 @@
     return Record(Type.SRV, struct.pack("!3H", 0, 0, port) + pack_name(target))
 
 
-def service(kind: int, port: int, target: Labels, hint: Record | None) -> Record:
+def svcb(kind: int, port: int, target: Labels, hint: Record | None) -> Record:
     """A SVCB or HTTPS record in ServiceMode (RFC 9460, section 2.4.3), its parameters in the order of their keys."""
-    data = struct.pack("!H", 1) + pack_name(target) + struct.pack("!3H", PORT, 2, port)
+    data = struct.pack("!H", 1) + pack_name(target) + struct.pack("!3H", PORT_PARAM, 2, port)
     if hint is not None:
-        key = HINT4 if hint.type == Type.A else HINT6
+        key = IPV4HINT_PARAM if hint.type == Type.A else IPV6HINT_PARAM
         data += struct.pack("!2H", key, len(hint.data)) + hint.data
     return Record(kind, data)
 
--- a/threadhill/dns/signing.py
+++ b/threadhill/dns/signing.py
@@ -18,11 +18,15 @@
 from threadhill.dns.message import Code, Labels, Query, Record, Response, Type, pack_name
 from threadhill.hostnames import MAX_NAME_BYTES, labels_of
 
-STEP = 300  # seconds in which signatures of the same records have the same times, so that they can be kept
-SKEW = 3_600  # seconds that a resolver's clock may be behind
-KEPT = 8_192  # signatures kept at most, some 300 bytes each
-BY_ALL = (Type.DNSKEY, Type.CDS, Type.CDNSKEY)  # sets that each of the zone's keys signs: any DS leads to them
-NAMELESS = (Type.RRSIG, Type.NSEC, Type.NXNAME)  # the types at a name that does not exist (RFC 9824, section 2)
+VALIDITY_STEP = 300  # seconds in which signatures of the same records have the same times, so that they can be kept
+CLOCK_SKEW = 3_600  # seconds that a resolver's clock may be behind
+MAX_CACHED_SIGNATURES = 8_192  # signatures kept at most, some 300 bytes each
+SIGNED_BY_ALL_KEYS = (
+    Type.DNSKEY,
+    Type.CDS,
+    Type.CDNSKEY,
+)  # sets that each of the zone's keys signs: any DS leads to them
+NXDOMAIN_TYPES = (Type.RRSIG, Type.NSEC, Type.NXNAME)  # the types at a name that does not exist (RFC 9824, section 2)
 
 
 def canonical(record: Record) -> bytes:
@@ -57,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ready:
+class SigningKey:
     """A key with all that signing needs of it worked out."""
 
     tag: int
@@ -70,24 +74,24 @@
 class Signer:
     """Signs for the zones that have keys."""
 
-    def __init__(self, zones: Mapping[str, list[Key]], life: int = 3_600) -> None:
-        self.life = life  # seconds for which a signature is good at the least
-        self.made = self.found = 0  # signatures made, and found among those kept
+    def __init__(self, zones: Mapping[str, list[Key]], lifetime: int = 3_600) -> None:
+        self.lifetime = lifetime  # seconds for which a signature is good at the least
+        self.signatures_made = self.cache_hits = 0  # signatures made, and found among those kept
         self.set_keys(zones)
 
     def set_keys(self, zones: Mapping[str, list[Key]]) -> None:
         """Sign by these keys from now on; what was signed by others is forgotten."""
         self.zones = {
-            zone: [Ready(key.tag, key.rdata, key.ds, key.state, key.private) for key in keys]
+            zone: [SigningKey(key.tag, key.rdata, key.ds, key.state, key.private) for key in keys]
             for zone, keys in zones.items()
         }
-        self._kept: dict[tuple[int, Labels, int, int, tuple[bytes, ...]], bytes] = {}
+        self._cache: dict[tuple[int, Labels, int, int, tuple[bytes, ...]], bytes] = {}
         self._step = -1
 
-    def signs(self, zone: str) -> bool:
+    def is_signed(self, zone: str) -> bool:
         return zone in self.zones
 
-    def apex(self, zone: str, kind: int) -> list[Record]:
+    def key_records(self, zone: str, kind: int) -> list[Record]:
         """The records at a signed zone's name that tell of its keys."""
         keys = self.zones.get(zone, [])
         if kind in (Type.DNSKEY, Type.CDNSKEY):
@@ -110,8 +114,8 @@
         """That the name has no such type; one that does not exist is one without any (RFC 9824, section 3)."""
         exists = response.exists or ()
         if response.code == Code.NXDOMAIN:
-            types = list(NAMELESS)
-            if not query.compact:  # who does not know of it takes NXDOMAIN with this proof for a fault
+            types = list(NXDOMAIN_TYPES)
+            if not query.compact_denial:  # who does not know of it takes NXDOMAIN with this proof for a fault
                 response.code = Code.NOERROR
         else:
             types = [kind for kind in (*exists, Type.RRSIG, Type.NSEC) if kind != query.type]
@@ -119,51 +123,55 @@
         response.authority.append(Record(Type.NSEC, data))
 
     def _signatures(self, name: Labels, section: list[Record], zone: str, now: int) -> list[Record]:
-        sets: dict[tuple[Labels, int], list[Record]] = {}
+        rrsets: dict[tuple[Labels, int], list[Record]] = {}
         apex = labels_of(zone)
         for record in section:
             owner = record.owner if record.owner is not None else name
             if owner[-len(apex) :] == apex:  # what another zone has is not ours to sign
-                sets.setdefault((owner, record.type), []).append(record)
-        made = []
-        for (owner, kind), records in sets.items():
-            keys = self.zones[zone] if kind in BY_ALL else self.zones[zone][:1]  # the active one comes first
-            made += [
+                rrsets.setdefault((owner, record.type), []).append(record)
+        signatures = []
+        for (owner, kind), records in rrsets.items():
+            keys = (
+                self.zones[zone] if kind in SIGNED_BY_ALL_KEYS else self.zones[zone][:1]
+            )  # the active one comes first
+            signatures += [
                 Record(Type.RRSIG, self._signature(owner, records, apex, key, now), records[0].owner, records[0].ttl)
                 for key in keys
             ]
-        return made
+        return signatures
 
-    def _signature(self, owner: Labels, records: list[Record], apex: Labels, key: Ready, now: int) -> bytes:
+    def _signature(self, owner: Labels, records: list[Record], apex: Labels, key: SigningKey, now: int) -> bytes:
         """The data of one RRSIG record (RFC 4034, section 3.1)."""
-        step = now // STEP
+        step = now // VALIDITY_STEP
         if step != self._step:
-            self._step, self._kept = step, {}
+            self._step, self._cache = step, {}
         kind, ttl = records[0].type, records[0].ttl
-        datas = tuple(sorted(canonical(record) for record in records))
-        place = key.tag, owner, kind, ttl, datas
-        kept = self._kept.get(place)
-        if kept is not None:
-            self.found += 1
-            return kept
-        begin = step * STEP
-        head = struct.pack(
+        rdatas = tuple(sorted(canonical(record) for record in records))
+        cache_key = key.tag, owner, kind, ttl, rdatas
+        cached = self._cache.get(cache_key)
+        if cached is not None:
+            self.cache_hits += 1
+            return cached
+        inception_base = step * VALIDITY_STEP
+        rdata_prefix = struct.pack(
             "!HBBIIIH",
             kind,
             ALGORITHM,
             len(owner),
             ttl,
-            begin + STEP + self.life & 0xFFFFFFFF,
-            begin - SKEW & 0xFFFFFFFF,
+            inception_base + VALIDITY_STEP + self.lifetime & 0xFFFFFFFF,
+            inception_base - CLOCK_SKEW & 0xFFFFFFFF,
             key.tag,
         ) + pack_name(apex)
-        wire = pack_name(owner)
-        fixed = struct.pack("!HHI", kind, 1, ttl)
-        signed = head + b"".join(wire + fixed + struct.pack("!H", len(data)) + data for data in datas)
-        r, s = utils.decode_dss_signature(key.private.sign(signed, ec.ECDSA(hashes.SHA256())))
-        signature = head + r.to_bytes(32, "big") + s.to_bytes(32, "big")
-        if len(self._kept) >= KEPT:
-            del self._kept[next(iter(self._kept))]
-        self._kept[place] = signature
-        self.made += 1
+        owner_wire = pack_name(owner)
+        rr_header = struct.pack("!HHI", kind, 1, ttl)
+        signed_data = rdata_prefix + b"".join(
+            owner_wire + rr_header + struct.pack("!H", len(data)) + data for data in rdatas
+        )
+        r, s = utils.decode_dss_signature(key.private.sign(signed_data, ec.ECDSA(hashes.SHA256())))
+        signature = rdata_prefix + r.to_bytes(32, "big") + s.to_bytes(32, "big")
+        if len(self._cache) >= MAX_CACHED_SIGNATURES:
+            del self._cache[next(iter(self._cache))]
+        self._cache[cache_key] = signature
+        self.signatures_made += 1
         return signature
--- a/threadhill/dns/static.py
+++ b/threadhill/dns/static.py
@@ -8,31 +8,31 @@
 from threadhill.dns.message import Labels, Record, Type
 from threadhill.hostnames import labels_of
 
-CHASE = 8  # aliases of the same zone followed for one answer
+MAX_CNAME_CHAIN = 8  # aliases of the same zone followed for one answer
 
 
 @dataclass(slots=True)
-class Name:
+class NameRecords:
     """What stands at one name; nothing where only names below it exist."""
 
-    sets: dict[int, list[Record]] = field(default_factory=dict)
+    rrsets: dict[int, list[Record]] = field(default_factory=dict)
 
 
-class Statics:
+class StaticRecords:
     """Look-ups by whole name."""
 
     def __init__(self, tenants: Tenants) -> None:
         self.tenants = tenants
         self._version = -1
-        self._names: dict[Labels, Name] = {}
+        self._names: dict[Labels, NameRecords] = {}
 
-    def names(self) -> dict[Labels, Name]:
+    def names(self) -> dict[Labels, NameRecords]:
         if self._version != self.tenants.version:
             self._version, self._names = self.tenants.version, self._read()
         return self._names
 
-    def _read(self) -> dict[Labels, Name]:
-        names: dict[Labels, Name] = {}
+    def _read(self) -> dict[Labels, NameRecords]:
+        names: dict[Labels, NameRecords] = {}
         for tenant in self.tenants.by_name.values():
             if not tenant.records:
                 continue
@@ -41,30 +41,34 @@
             apexes = {labels_of(zone) for zone in tenant.zones}
             for text in tenant.records:
                 record = zonefile.parse_record(text)
-                here = names.setdefault(record.owner, Name())
+                name_records = names.setdefault(record.owner, NameRecords())
                 data = record.data[0] if len(record.data) == 1 and isinstance(record.data[0], bytes) else record.data
-                here.sets.setdefault(record.kind, []).append(Record(record.kind, data, record.owner, record.ttl))
-                above = record.owner
-                while above not in apexes and len(above) > 1:  # names above it exist, with nothing there (RFC 8020)
-                    above = above[1:]
-                    if above not in apexes:
-                        names.setdefault(above, Name())
+                name_records.rrsets.setdefault(record.kind, []).append(
+                    Record(record.kind, data, record.owner, record.ttl)
+                )
+                ancestor = record.owner
+                while (
+                    ancestor not in apexes and len(ancestor) > 1
+                ):  # names above it exist, with nothing there (RFC 8020)
+                    ancestor = ancestor[1:]
+                    if ancestor not in apexes:
+                        names.setdefault(ancestor, NameRecords())
         return names
 
-    def at(self, name: Labels) -> Name | None:
+    def find(self, name: Labels) -> NameRecords | None:
         return self.names().get(name)
 
     def answer(self, name: Labels, kind: int) -> list[Record]:
         """The records that answer a query there: the set, or an alias with what it leads to among ours
         (RFC 1034, section 4.3.2)."""
         answers: list[Record] = []
-        for _ in range(CHASE):
-            here = self.at(name)
-            if here is None:
+        for _ in range(MAX_CNAME_CHAIN):
+            name_records = self.find(name)
+            if name_records is None:
                 return answers
-            if kind in here.sets or kind == Type.CNAME:
-                return answers + here.sets.get(kind, [])
-            alias = here.sets.get(Type.CNAME)
+            if kind in name_records.rrsets or kind == Type.CNAME:
+                return answers + name_records.rrsets.get(kind, [])
+            alias = name_records.rrsets.get(Type.CNAME)
             if not alias:
                 return answers
             answers += alias
@@ -72,12 +76,14 @@
             name = target  # type: ignore[assignment]
         return answers
 
-    def of_zone(self, zone: Labels) -> list[Record]:
+    def zone_records(self, zone: Labels) -> list[Record]:
         """All records of a zone, in the order of their names, for a transfer."""
-        found = [(name[::-1], here) for name, here in self.names().items() if name[-len(zone) :] == zone]
+        found = [
+            (name[::-1], name_records) for name, name_records in self.names().items() if name[-len(zone) :] == zone
+        ]
         return [
             record
-            for _, here in sorted(found, key=lambda pair: pair[0])
-            for _, records in sorted(here.sets.items())
+            for _, name_records in sorted(found, key=lambda pair: pair[0])
+            for _, records in sorted(name_records.rrsets.items())
             for record in records
         ]
--- a/threadhill/dns/tls.py
+++ b/threadhill/dns/tls.py
@@ -44,20 +44,20 @@
 
     def __init__(self, certificate: Path, key: Path, log: Callable[[str], None]) -> None:
         self.certificate, self.key, self.log = certificate, key, log
-        self._seen = self._stamps()
+        self._file_versions = self._current_versions()
         self.context = make_context(certificate, key)
         self.loaded = 1  # pairs taken so far
 
-    def _stamps(self) -> list[FileVersion | None]:
+    def _current_versions(self) -> list[FileVersion | None]:
         return [file_version(self.certificate), file_version(self.key)]
 
     def reload_if_changed(self) -> bool:
         """Whether a new pair was taken. Half of a pair that is being replaced does not fit: it is tried again at the
         next change, and each fault is told once."""
-        stamps = self._stamps()
-        if stamps == self._seen:
+        versions = self._current_versions()
+        if versions == self._file_versions:
             return False
-        self._seen = stamps
+        self._file_versions = versions
         try:
             self.context = make_context(self.certificate, self.key)
         except Malformed as error:
--- a/threadhill/dns/transfer.py
+++ b/threadhill/dns/transfer.py
@@ -15,7 +15,7 @@
 from threadhill.dns.message import Labels, Query, Record, Response
 from threadhill.hostnames import labels_of
 
-MESSAGE = 16 << 10  # bytes of one message, about: several small ones let others in between
+MESSAGE_SIZE = 16 << 10  # bytes of one message, about: several small ones let others in between
 Network = ipaddress.IPv4Network | ipaddress.IPv6Network
 
 
@@ -27,15 +27,17 @@
     keys: dict[Labels, bytes] = field(default_factory=dict)
 
 
-def refusal(query: Query, zone: str, peer: str, stream: bool, signed: bool, networks: tuple[Network, ...]) -> str:
+def refusal_reason(
+    query: Query, zone: str, peer: str, stream: bool, signed: bool, networks: tuple[Network, ...]
+) -> str:
     """Why this transfer is not given; "" where it is."""
     if not stream:
         return "zone transfers are given over TCP only"
     try:
-        listed = any(ipaddress.ip_address(peer) in network for network in networks)
+        allowed = any(ipaddress.ip_address(peer) in network for network in networks)
     except ValueError:
-        listed = False
-    if not listed:
+        allowed = False
+    if not allowed:
         return "zone transfers are not served to this address"
     if not signed:
         return "zone transfers are given to who signs the query with a shared key (TSIG) only"
@@ -44,16 +46,16 @@
     return ""
 
 
-def messages(query: Query, soa: Record, inside: list[Record] | None) -> Iterator[bytes]:
+def messages(query: Query, soa: Record, zone_records: list[Record] | None) -> Iterator[bytes]:
     """The messages: the SOA first and last, what is in the zone between. None: the asker's copy is as new as ours."""
-    left = [soa] if inside is None else [soa, *inside, soa]
-    while left:
+    remaining = [soa] if zone_records is None else [soa, *zone_records, soa]
+    while remaining:
         batch: list[Record] = []
         size = 0
-        while left and size < MESSAGE:
+        while remaining and size < MESSAGE_SIZE:
             size += 300 + sum(
                 len(piece) if isinstance(piece, bytes) else 255
-                for piece in ((left[0].data,) if isinstance(left[0].data, bytes) else left[0].data)
+                for piece in ((remaining[0].data,) if isinstance(remaining[0].data, bytes) else remaining[0].data)
             )
-            batch.append(left.pop(0))
+            batch.append(remaining.pop(0))
         yield dns.pack(query, Response(answers=batch), 65_000)
--- a/threadhill/dns/transport.py
+++ b/threadhill/dns/transport.py
@@ -15,14 +15,14 @@
 if TYPE_CHECKING:
     from threadhill.dns.tls import Certificate
 
-MOST = 4 << 10  # bytes of a query at most: names and an OPT are far smaller
-OUTBOUND = 64 << 10
-IDLE = 10_000_000  # microseconds without a query after which a connection is closed
-CERTIFICATE_LOOK = 500_000  # microseconds between looks whether the certificate's files changed
-OPEN = 64  # queries of one connection under way
+MAX_QUERY_BYTES = 4 << 10  # bytes of a query at most: names and an OPT are far smaller
+MAX_OUTBOUND_BYTES = 64 << 10
+IDLE_TIMEOUT = 10_000_000  # microseconds without a query after which a connection is closed
+CERTIFICATE_CHECK_INTERVAL = 500_000  # microseconds between looks whether the certificate's files changed
+MAX_PENDING_QUERIES = 64  # queries of one connection under way
 
 
-class Udp(asyncio.DatagramProtocol):
+class UdpServer(asyncio.DatagramProtocol):
     """All queries over UDP."""
 
     def __init__(self, front: DnsFront) -> None:
@@ -33,86 +33,88 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, peer: Any) -> None:
-        self.front.take(data, lambda response: self.transport.sendto(response, peer), stream=False, peer=peer[0])
+        self.front.receive(data, lambda response: self.transport.sendto(response, peer), stream=False, peer=peer[0])
 
     def error_received(self, error: Exception) -> None:
         """A resolver that is no longer there: it asks again or does not."""
         self.front.engine.stats.count("dns", "unreachable")
 
 
-class Tcp(AcceptedConnection):
+class StreamConnection(AcceptedConnection):
     """One connection; queries may follow each other without waiting, answers come as they are ready."""
 
-    idle = IDLE
+    idle = IDLE_TIMEOUT
 
-    def __init__(self, front: DnsFront, door: Listener, secure: bool = False) -> None:
-        super().__init__(door, MOST + 2, OUTBOUND)
+    def __init__(self, front: DnsFront, listener: Listener, secure: bool = False) -> None:
+        super().__init__(listener, MAX_QUERY_BYTES + 2, MAX_OUTBOUND_BYTES)
         self.front, self.secure = front, secure
-        self.open: set[int] = set()
+        self.pending: set[int] = set()
         self._reading = True
-        self._more: deque[Iterator[bytes]] = deque()  # messages still to be made, as the peer takes them
+        self._streams: deque[Iterator[bytes]] = deque()  # messages still to be made, as the peer takes them
 
     def disconnected(self) -> None:
-        for ref in self.open:
-            self.front.forget(ref)
-        self.open.clear()
+        for ref in self.pending:
+            self.front.cancel(ref)
+        self.pending.clear()
 
     def answer_pending(self) -> bool:
-        return bool(self.open) or bool(self._more) or self.backlog() > 0
+        return bool(self.pending) or bool(self._streams) or self.backlog() > 0
 
     def message_incomplete(self) -> bool:
         return self._reading and len(self.inbound) > 0
 
     def parse(self) -> None:
-        while not self._closing and not self.slow and len(self.open) < OPEN and len(self.inbound) >= 2:
+        while (
+            not self._closing and not self.slow and len(self.pending) < MAX_PENDING_QUERIES and len(self.inbound) >= 2
+        ):
             size = struct.unpack("!H", self.inbound.peek(2))[0]
-            if size > MOST or size < 12:
+            if size > MAX_QUERY_BYTES or size < 12:
                 self.front.engine.stats.count("malformed", "dns")
                 self.abort()
                 return
             if len(self.inbound) < size + 2:
                 return
             self.message_received()
-            self._take(self.inbound.take(size + 2)[2:])
+            self._receive(self.inbound.take(size + 2)[2:])
         self._throttle()
 
-    def _take(self, raw: bytes) -> None:
+    def _receive(self, raw: bytes) -> None:
         refs: list[int] = []
 
         def reply(response: bytes) -> None:
-            self.open.difference_update(refs)
+            self.pending.difference_update(refs)
             if self.transport is not None and not self.write(struct.pack("!H", len(response)), response):
                 self.abort()
             self._throttle()
 
         peer = self.transport.get_extra_info("peername") if self.transport is not None else None
-        ref = self.front.take(
-            raw, reply, stream=True, peer=peer[0] if peer else "", secure=self.secure, several=self._several
+        ref = self.front.receive(
+            raw, reply, stream=True, peer=peer[0] if peer else "", secure=self.secure, send_stream=self._send_stream
         )
         if ref is not None:
             refs.append(ref)
-            self.open.add(ref)
+            self.pending.add(ref)
 
-    def _several(self, messages: Iterator[bytes]) -> None:
-        self._more.append(messages)
-        self._feed()
+    def _send_stream(self, messages: Iterator[bytes]) -> None:
+        self._streams.append(messages)
+        self._write_streams()
 
-    def _feed(self) -> None:
+    def _write_streams(self) -> None:
         """Write on while the peer reads: a transfer is never held whole in memory."""
-        while self._more and not self.slow and self.transport is not None and not self._closing:
-            message = next(self._more[0], None)
+        while self._streams and not self.slow and self.transport is not None and not self._closing:
+            message = next(self._streams[0], None)
             if message is None:
-                self._more.popleft()
+                self._streams.popleft()
             else:
                 self.write(struct.pack("!H", len(message)), message)
 
     def backlog_changed(self) -> None:
-        self._feed()
+        self._write_streams()
         self._throttle()
 
     def _throttle(self) -> None:
         """Read on while there is room for answers: what is not taken must not fill the ring."""
-        reading = not self.slow and len(self.open) < OPEN
+        reading = not self.slow and len(self.pending) < MAX_PENDING_QUERIES
         if reading == self._reading or self.transport is None or self._closing:
             return
         self._reading = reading
@@ -133,29 +135,29 @@
     def __init__(self, front: DnsFront, log: Callable[[str], None]) -> None:
         self.front = front
         config = front.config
-        group = front.group if config.per_network else None
-        self.door = Listener(
+        group = front.connection_group if config.per_network else None
+        self.listener = Listener(
             front.engine,
             "dns client",
             config.connections,
-            lambda door: Tcp(front, door),
+            lambda listener: StreamConnection(front, listener),
             log,
             group=group,
             max_per_group=config.per_network,
         )
-        self.secure: Listener | None = None
+        self.tls_listener: Listener | None = None
         self.certificate: Certificate | None = None
         if config.tls is not None:
             from threadhill.dns.tls import Certificate
 
-            self.certificate = own = Certificate(config.tls.certificate, config.tls.key, log)
-            self.secure = Listener(
+            self.certificate = certificate = Certificate(config.tls.certificate, config.tls.key, log)
+            self.tls_listener = Listener(
                 front.engine,
                 "dns tls client",
                 config.connections,
-                lambda door: Tcp(front, door, secure=True),
+                lambda listener: StreamConnection(front, listener, secure=True),
                 log,
-                tls_context=lambda: own.context,
+                tls_context=lambda: certificate.context,
                 group=group,
                 max_per_group=config.per_network,
             )
@@ -164,26 +166,28 @@
         """Listen; where the port is 0, TCP takes the one that UDP was given."""
         loop = asyncio.get_running_loop()
         host, port = self.front.config.listen
-        for left in reversed(range(1 if port else 20)):
-            udp, _ = await loop.create_datagram_endpoint(lambda: Udp(self.front), local_addr=(host, port))
-            given = udp.get_extra_info("sockname")[1]
+        for attempts_left in reversed(range(1 if port else 20)):
+            udp, _ = await loop.create_datagram_endpoint(lambda: UdpServer(self.front), local_addr=(host, port))
+            bound_port = udp.get_extra_info("sockname")[1]
             try:
-                await self.door.listen(host, given)
+                await self.listener.listen(host, bound_port)
                 break
             except OSError:  # a port that is free for UDP may be in use for TCP: another is asked for
                 udp.close()
-                if not left:
+                if not attempts_left:
                     raise
-        return f"{host}:{given}"
+        return f"{host}:{bound_port}"
 
     async def listen_tls(self) -> str:
         """Listen for TLS, and look for new certificates from then on."""
         host, port = self.front.config.tls.listen
-        given = await self.secure.listen(host, port)
-        self._look()
-        return f"{host}:{given}"
+        bound_port = await self.tls_listener.listen(host, port)
+        self._poll_certificate()
+        return f"{host}:{bound_port}"
 
-    def _look(self) -> None:
+    def _poll_certificate(self) -> None:
         if self.certificate.reload_if_changed():
             self.front.engine.stats.count("dns", "certificate taken")
-        self.front.engine.deadlines.add(self.front.engine.clock.now() + CERTIFICATE_LOOK, self._look)
+        self.front.engine.deadlines.add(
+            self.front.engine.clock.now() + CERTIFICATE_CHECK_INTERVAL, self._poll_certificate
+        )
--- a/threadhill/dns/tsig.py
+++ b/threadhill/dns/tsig.py
@@ -16,8 +16,8 @@
 
 ALGORITHM = ("hmac-sha256",)
 FUDGE = 300  # seconds that clocks may differ
-ANY = 255
-FIELDS = struct.Struct("!HIHH")  # time, in two parts, fudge and the MAC's length
+CLASS_ANY = 255
+TIME_FIELDS = struct.Struct("!HIHH")  # time, in two parts, fudge and the MAC's length
 
 
 class Error(IntEnum):
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Signed:
+class TsigContext:
     """What a query's signature said, and the MAC that the next message of the answer builds on."""
 
     key: Labels
@@ -41,71 +41,71 @@
     first: bool = True  # of the answer's messages: later ones are signed with fewer fields (section 5.3.1)
 
 
-def _variables(key: Labels, time: int, fudge: int, error: int, other: bytes) -> bytes:
+def _variables(key: Labels, time: int, fudge: int, error: int, other_data: bytes) -> bytes:
     return (
         pack_name(key)
-        + struct.pack("!HI", ANY, 0)
+        + struct.pack("!HI", CLASS_ANY, 0)
         + pack_name(ALGORITHM)
-        + struct.pack("!HIHHH", time >> 32, time & 0xFFFFFFFF, fudge, error, len(other))
-        + other
+        + struct.pack("!HIHHH", time >> 32, time & 0xFFFFFFFF, fudge, error, len(other_data))
+        + other_data
     )
 
 
-def check(raw: bytes, query: Query, keys: Mapping[Labels, bytes], now: int) -> Signed:
+def check(raw: bytes, query: Query, keys: Mapping[Labels, bytes], now: int) -> TsigContext:
     """Whether the signature at the query's end holds; ValueError where it cannot be read."""
     start = query.tsig_at
     key, at = read_name(raw, start)
     _, cls, ttl, size = struct.unpack_from("!HHIH", raw, at)
     algorithm, at = read_name(raw, at + 10)
-    high, low, fudge, length = FIELDS.unpack_from(raw, at)
-    at += FIELDS.size
+    high, low, fudge, length = TIME_FIELDS.unpack_from(raw, at)
+    at += TIME_FIELDS.size
     mac = raw[at : at + length]
-    original, error, more = struct.unpack_from("!3H", raw, at + length)
-    other = raw[at + length + 6 :]
-    if cls != ANY or ttl or len(mac) != length or len(other) != more:
+    original_id, error, other_size = struct.unpack_from("!3H", raw, at + length)
+    other_data = raw[at + length + 6 :]
+    if cls != CLASS_ANY or ttl or len(mac) != length or len(other_data) != other_size:
         raise ValueError("a TSIG record has a wrong class, TTL or length")
     time = high << 32 | low
     secret = keys.get(key)
     if secret is None or algorithm != ALGORITHM:
-        return Signed(key, b"", b"", time, Error.BADKEY)
+        return TsigContext(key, b"", b"", time, Error.BADKEY)
     header = bytearray(raw[: HEADER.size])
-    struct.pack_into("!H", header, 0, original)
+    struct.pack_into("!H", header, 0, original_id)
     struct.pack_into("!H", header, 10, struct.unpack_from("!H", header, 10)[0] - 1)
-    signed = bytes(header) + raw[HEADER.size : start] + _variables(key, time, fudge, error, other)
+    signed_data = bytes(header) + raw[HEADER.size : start] + _variables(key, time, fudge, error, other_data)
     # A shorter MAC would be allowed by the RFC down to half; whoever has the key has all of it.
-    if not hmac.compare_digest(hmac.digest(secret, signed, hashlib.sha256), mac):
-        return Signed(key, b"", b"", time, Error.BADSIG)
-    late = abs(now - time) > fudge
-    return Signed(key, secret, mac, time, Error.BADTIME if late else Error.NONE)
+    if not hmac.compare_digest(hmac.digest(secret, signed_data, hashlib.sha256), mac):
+        return TsigContext(key, b"", b"", time, Error.BADSIG)
+    bad_time = abs(now - time) > fudge
+    return TsigContext(key, secret, mac, time, Error.BADTIME if bad_time else Error.NONE)
 
 
-def sign(packed: bytes, signed: Signed, now: int) -> bytes:
+def sign(packed: bytes, context: TsigContext, now: int) -> bytes:
     """A message of the answer with its signature; unsigned, with the reason, where the query's did not hold
     (section 5.3.2). Where the clocks differ ours is told."""
-    other = struct.pack("!HI", now >> 32, now & 0xFFFFFFFF) if signed.error is Error.BADTIME else b""
-    time = signed.time if signed.error is Error.BADTIME else now
+    other_data = struct.pack("!HI", now >> 32, now & 0xFFFFFFFF) if context.error is Error.BADTIME else b""
+    time = context.time if context.error is Error.BADTIME else now
     mac = b""
-    if signed.secret:
-        before = struct.pack("!H", len(signed.mac)) + signed.mac + packed
-        if signed.first:
-            before += _variables(signed.key, time, FUDGE, signed.error, other)
+    if context.secret:
+        signed_data = struct.pack("!H", len(context.mac)) + context.mac + packed
+        if context.first:
+            signed_data += _variables(context.key, time, FUDGE, context.error, other_data)
         else:
-            before += struct.pack("!HIH", time >> 32, time & 0xFFFFFFFF, FUDGE)
-        mac = hmac.digest(signed.secret, before, hashlib.sha256)
-        signed.mac, signed.first = mac, False
+            signed_data += struct.pack("!HIH", time >> 32, time & 0xFFFFFFFF, FUDGE)
+        mac = hmac.digest(context.secret, signed_data, hashlib.sha256)
+        context.mac, context.first = mac, False
     data = (
         pack_name(ALGORITHM)
-        + FIELDS.pack(time >> 32, time & 0xFFFFFFFF, FUDGE, len(mac))
+        + TIME_FIELDS.pack(time >> 32, time & 0xFFFFFFFF, FUDGE, len(mac))
         + mac
         + packed[:2]
-        + struct.pack("!HH", signed.error, len(other))
-        + other
+        + struct.pack("!HH", context.error, len(other_data))
+        + other_data
     )
     raw = bytearray(packed)
     struct.pack_into("!H", raw, 10, struct.unpack_from("!H", raw, 10)[0] + 1)
-    return bytes(raw) + pack_name(signed.key) + struct.pack("!HHIH", Type.TSIG, ANY, 0, len(data)) + data
+    return bytes(raw) + pack_name(context.key) + struct.pack("!HHIH", Type.TSIG, CLASS_ANY, 0, len(data)) + data
 
 
-def room(signed: Signed) -> int:
+def max_record_size(context: TsigContext) -> int:
     """Bytes that the signature of an answer takes at most."""
-    return len(pack_name(signed.key)) + 10 + len(pack_name(ALGORITHM)) + FIELDS.size + 32 + 6 + 6
+    return len(pack_name(context.key)) + 10 + len(pack_name(ALGORITHM)) + TIME_FIELDS.size + 32 + 6 + 6
--- a/threadhill/dns/views.py
+++ b/threadhill/dns/views.py
@@ -20,7 +20,7 @@
 
     node: str
     networks: tuple[str, ...]
-    then: tuple[str, ...] = ()
+    fallbacks: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,8 +34,8 @@
 class Views:
     """The operator's table, looked up by prefix length from the longest down: at most 33 or 129 looks."""
 
-    def __init__(self, views: list[View], home: str) -> None:
-        self.home = home  # this proxy's own node: for who falls in no view
+    def __init__(self, views: list[View], home_node: str) -> None:
+        self.home_node = home_node  # this proxy's own node: for who falls in no view
         self.tables: dict[int, dict[int, dict[Network, View]]] = {4: {}, 6: {}}  # family -> length -> network -> view
         for view in views:
             for text in view.networks:
@@ -45,32 +45,38 @@
                     raise ValueError(f"{network} stands in two views ({by_length[network].node}, {view.node})")
                 by_length[network] = view
         self.lengths = {family: sorted(table, reverse=True) for family, table in self.tables.items()}
-        self.nodes = {view.node for view in views} | {then for view in views for then in view.then}
+        self.nodes = {view.node for view in views} | {node for view in views for node in view.fallbacks}
 
-    def choose(self, address: str, told: int | None = None) -> Choice:
+    def choose(self, address: str, prefix_length: int | None = None) -> Choice:
         """For a client at `address`; `told`: the bits of it that the resolver told, None where it told no subnet."""
         if not self.nodes:  # no views: every client gets the same, and the answer holds for all
-            return Choice((self.home,), 0)
+            return Choice((self.home_node,), 0)
         try:
             found = ipaddress.ip_address(address)
         except ValueError:
-            return Choice((self.home,), 0)
-        bits = found.max_prefixlen if told is None else told
+            return Choice((self.home_node,), 0)
+        announced_bits = found.max_prefixlen if prefix_length is None else prefix_length
         # Views inside the part that was told would answer some of its clients otherwise: the answer holds for no
         # network wider than theirs.
-        finer = next(
-            (length for length in self.lengths[found.version] if length > bits and self._inside(found, bits, length)),
+        longer_prefix = next(
+            (
+                length
+                for length in self.lengths[found.version]
+                if length > announced_bits and self._has_subnetwork(found, announced_bits, length)
+            ),
             None,
         )
         for length in self.lengths[found.version]:
-            if length > bits:
+            if length > announced_bits:
                 continue  # what is not told can't choose
             view = self.tables[found.version][length].get(ipaddress.ip_network(f"{found}/{length}", strict=False))
             if view is not None:
-                nodes = tuple(dict.fromkeys((view.node, *view.then)))
-                return Choice(nodes, finer or length)
-        return Choice((self.home,), finer or (bits if told is not None else 0))
+                nodes = tuple(dict.fromkeys((view.node, *view.fallbacks)))
+                return Choice(nodes, longer_prefix or length)
+        return Choice((self.home_node,), longer_prefix or (announced_bits if prefix_length is not None else 0))
 
-    def _inside(self, found: ipaddress.IPv4Address | ipaddress.IPv6Address, bits: int, length: int) -> bool:
-        told = ipaddress.ip_network(f"{found}/{bits}", strict=False)
-        return any(network.subnet_of(told) for network in self.tables[found.version][length])  # type: ignore[arg-type]
+    def _has_subnetwork(
+        self, found: ipaddress.IPv4Address | ipaddress.IPv6Address, announced_bits: int, length: int
+    ) -> bool:
+        announced = ipaddress.ip_network(f"{found}/{announced_bits}", strict=False)
+        return any(network.subnet_of(announced) for network in self.tables[found.version][length])  # type: ignore[arg-type]
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -208,7 +208,7 @@
 
         nodes = {}
         home = self.config.settings.zone
-        for node in sorted(({v.node for v in config.views} | {n for v in config.views for n in v.then}) - {home}):
+        for node in sorted(({v.node for v in config.views} | {n for v in config.views for n in v.fallbacks}) - {home}):
             # Each node's clients are answered by a decision module of its own, which gets the same list.
             settings = replace(self.config.settings, zone=node)
             nodes[node] = Engine(
