--- a/tests/test_charging.py
+++ b/tests/test_charging.py
@@ -54,11 +54,11 @@
             self.charges.record_report(server, inflight, self.now)
 
 
-@pytest.mark.parametrize("report_delay", [0, 4 * SECOND])
-def test_estimates_settle_on_what_each_resolvers_answers_bring(report_delay: int) -> None:
+@pytest.mark.parametrize("late", [0, 4 * SECOND])
+def test_estimates_settle_on_what_each_resolvers_answers_bring(late: int) -> None:
     """A resolver of 200 clients, one of a single client and one that asks three names for each; their answers name
     servers by the objects asked, some the same for two of them. Requests are short: most reports see none of them."""
-    simulation = SimulatedResolvers({"big": 200, "small": 1, "idle": 1 / 3}, report_delay)
+    simulation = SimulatedResolvers({"big": 200, "small": 1, "idle": 1 / 3}, late)
     for n in range(4_000):
         simulation.step({"big": (7, 8)[n // 20 % 2], "small": (7, 9)[n // 20 % 2], "idle": 10}, (7, 8, 9, 10))
     weights = {
