--- a/tests/test_charging.py
+++ b/tests/test_charging.py
@@ -1,4 +1,4 @@
-"""What an answer is charged: estimates per resolver from servers' reports, resolvers that hold, and a cold box."""
+"""The weight of answers: estimates per resolver from servers' reports, caching resolvers, and cold servers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from threadhill.dns.charging import Charging, resolver_key
 
 
-def test_a_resolver_is_its_network_or_the_subnet_it_tells() -> None:
+def test_a_resolver_is_identified_by_its_network_or_the_client_subnet() -> None:
     assert resolver_key("192.0.2.77") == resolver_key("192.0.2.3") == "192.0.2.0/24"
     assert resolver_key("2001:db8:0:1::53") == "2001:db8::/56"
     assert resolver_key("192.0.2.77", (1, 24, bytes([198, 51, 100]))) == "198.51.100.0/24"
@@ -19,8 +19,8 @@
 
 
 class SimulatedResolvers:
-    """Resolvers whose answers each bring so many requests to the server that they name, each there for `HOLD`; a
-    server's reports tell what it has in hand when they are made, or `late` after."""
+    """Resolvers whose answers each bring `requests_per_answer` requests to the server that they name, each in flight
+    for `SERVICE_TIME`. Reports of requests in flight arrive `report_delay` after they were measured."""
 
     SERVICE_TIME = 50 * MS
 
@@ -36,7 +36,8 @@
         self.reports: list[tuple[int, int, float]] = []
 
     def step(self, queries: dict[str, int], servers: tuple[int, ...], interval_ms: int = 200) -> None:
-        """10 ms: who asks in this one, by resolver to the server named, and a report of each server."""
+        """Advance by 10 ms. At each `interval_ms`, every resolver in `queries` is answered with its server. Each of
+        `servers` makes a report."""
         self.now += 10 * MS
         self.n += 1
         if self.n * 10 % interval_ms == 0:
@@ -56,8 +57,8 @@
 
 @pytest.mark.parametrize("late", [0, 4 * SECOND])
 def test_estimates_settle_on_what_each_resolvers_answers_bring(late: int) -> None:
-    """A resolver of 200 clients, one of a single client and one that asks three names for each; their answers name
-    servers by the objects asked, some the same for two of them. Requests are short: most reports see none of them."""
+    """A resolver with 200 clients, one with a single client, and one that makes three queries per client request. Two
+    of them share a server at times. Requests are short, so most reports see none in flight."""
     simulation = SimulatedResolvers({"big": 200, "small": 1, "idle": 1 / 3}, late)
     for n in range(4_000):
         simulation.step({"big": (7, 8)[n // 20 % 2], "small": (7, 9)[n // 20 % 2], "idle": 10}, (7, 8, 9, 10))
@@ -71,20 +72,20 @@
     )
 
 
-def test_a_busy_resolver_of_single_clients_is_charged_for_no_more() -> None:
+def test_a_busy_resolver_with_one_request_per_answer_is_charged_one() -> None:
     simulation = SimulatedResolvers({"busy": 1})
     for _ in range(1_500):
         simulation.step({"busy": 7}, (7,), interval_ms=10)  # a hundred answers a second
     assert 0.6 <= simulation.charges.weight("busy", "c", simulation.now) <= 1.6
 
 
-def test_a_resolver_that_keeps_answers_is_known_by_the_load_that_stays() -> None:
+def test_a_caching_resolver_is_detected_by_the_load_that_remains() -> None:
     charges, now = Charging(), 0
     for _ in range(5):
         now += 100 * MS
         charges.record_answer("keeper", "c", 7, now)
         charges.record_answer("honest", "c", 8, now)
-    now += 6 * SECOND  # nothing named 7 for long: still, it has clients in hand
+    now += 6 * SECOND  # no answer has named server 7 for long, but it still reports requests in flight
     for _ in range(4):
         now += 500 * MS
         charges.record_report(7, 20, now)
@@ -97,8 +98,8 @@
     )  # it is forgotten when it stops
 
 
-def test_reports_that_come_4_s_late_make_no_honest_resolver_a_holder() -> None:
-    """It asks steadily and stops; what its clients brought is reported 4 s later, when nothing names the server."""
+def test_reports_that_are_4_s_late_do_not_mark_a_resolver_as_caching() -> None:
+    """A resolver stops asking. Its clients' load is reported 4 s later, when no answer names the server."""
     charges, now = Charging(), 0
     for n in range(200):
         now += 100 * MS
@@ -110,8 +111,8 @@
         assert not charges.caches_answers("honest", "c", now)
 
 
-def test_a_resolver_that_never_asks_again_within_a_second_holds_if_it_brings_many() -> None:
-    """The holder's 400 clients come all through the three seconds for which it keeps an answer."""
+def test_a_resolver_that_never_repeats_a_query_within_a_second_is_caching_if_its_weight_is_high() -> None:
+    """The holder caches each answer for three seconds, during which its 400 clients send requests."""
     simulation = SimulatedResolvers({"honest": 400, "quiet": 1})
     for n in range(9_000):
         simulation.step({"honest": 2, "quiet": 3} if n % 300 == 19 else {"honest": 2}, (2, 3))
@@ -137,14 +138,14 @@
     assert sum(len(recipients) for recipients in charges.by_server.values()) <= charging.MAX_ESTIMATES
 
 
-def test_a_cold_box_gets_no_answer_of_a_resolver_that_stands_for_200_clients() -> None:
-    """The estimate learnt from warm boxes' reports keeps the crowd of one resolver off a box that starts cold, while
-    answers to resolvers of one client each still warm it."""
+def test_a_cold_server_is_not_named_to_a_resolver_with_200_clients() -> None:
+    """The estimate learnt from warm servers' reports keeps the clients of one resolver away from a cold server, while
+    answers to resolvers with one client each still warm it up."""
     script, charges = Script(), Charging()
     for n in range(400):
         script.serve(f"o{n % 80}")
         script.wait(25 * MS)
-    for n in range(50):  # warm boxes report what the crowd brings
+    for n in range(50):  # warm servers report the load of the crowd
         (action,) = script.ask(f"w{n}", hand_over=True, weight=charges.weight("crowd", "reads", script.now))
         if isinstance(action, api.HandOver):
             charges.record_answer("crowd", "reads", action.server, script.now)
@@ -161,8 +162,8 @@
     assert to_cold["crowd"] == 0 and to_cold["single"] > 0
 
 
-def test_what_a_server_has_without_our_answers_is_nobodys_answer() -> None:
-    """Other proxies send to the same server: its level before any answer of ours named it is not put down to ours."""
+def test_load_of_other_proxies_is_not_charged_to_resolvers() -> None:
+    """Other proxies send to the same server: its load before any answer named it is not attributed to a resolver."""
     charges, now = Charging(), 0
     for _ in range(50):
         now += 100 * MS
--- a/threadhill/dns/charging.py
+++ b/threadhill/dns/charging.py
@@ -1,9 +1,10 @@
-"""What an answer is worth: how many requests the clients behind one resolver bring to the server that it names.
+"""Estimates the weight of a DNS answer: how many requests the clients of a resolver send to the server in it.
 
-Each resolver (by the client subnet that it tells, else by its own address) and class has an estimate, moved by what
-servers report they have in hand beyond this proxy's own attempts there. Resolvers that keep answers of TTL 0 are known
-by the load that stays on a server after nothing named it any more, and by never asking for a name again within a second
-though their answers bring many. Decisions only: no I/O, no clock of its own.
+There is an estimate for each resolver (identified by the client subnet in its queries, or by its own network) and
+request class. It is corrected by the servers' reports of requests in flight beyond this proxy's own attempts. Resolvers
+that cache answers despite TTL 0 are detected in two ways: load stays on a server after no answer has named it for some
+time, or a resolver never repeats a query within a second although its answers bring many requests. No I/O and no clock:
+the time is a parameter.
 """
 
 from __future__ import annotations
@@ -15,42 +16,33 @@
 from functools import lru_cache
 
 SECOND = 1_000_000
-MAX_ESTIMATES = 4_096  # resolvers and classes whose estimates are kept; the one heard least lately goes first
-# Requests that an answer may stand for; under one where many are asked for one client's request (A, AAAA, HTTPS).
+MAX_ESTIMATES = 4_096  # estimates kept; the least recently used one is dropped first
+# Requests per answer. Below 1 because a client may cause several queries (A, AAAA, HTTPS) for one request.
 MIN_WEIGHT, MAX_WEIGHT = 0.125, 256.0
-AVERAGING_TIME = SECOND  # microseconds over which answers are counted, and reports smoothed to be compared with them
-RISE_TIME, FALL_TIME = SECOND, 4 * SECOND  # microseconds of reports that move an estimate most of the way up, and down
-MAX_CORRECTION = 8.0  # the most that an estimate is taken to be wrong by at once: reports are few and late
-QUIET_TIME = (
-    5 * SECOND
-)  # microseconds without an answer before load that stays says anything: reports may come 4 s late
-ATTRIBUTION_TIME = 15 * SECOND  # microseconds after an answer in which load that stays may still be its resolver's
-MAX_NAMES = 16  # names of one resolver whose last query is remembered
-REQUERY_TIME = SECOND  # microseconds within which who keeps nothing asks for a popular name again
-SLOW_REQUERY_LIMIT = (
-    20  # times in a row that no name came again so soon, from which on a resolver is taken to hold answers ...
-)
-MIN_CACHING_WEIGHT = 4.0  # ... if its answers bring so many requests: one of few clients asks seldom by itself
-EVALUATION_INTERVAL = (
-    200_000  # microseconds between two judgements of a server's reports: each looks at all who were sent there
-)
-MAX_SERVERS_PER_RESOLVER = 32  # servers remembered of one resolver, those named last
-CACHED_LOAD_LIMIT = (
-    8.0  # requests of load that stayed, put down to a resolver, from which on it is taken to hold answers
-)
-CACHING_WEIGHT = 64.0  # the least that an answer to a resolver that holds is charged: it goes to no cold server
-CACHED_LOAD_HALF_LIFE = 60 * SECOND  # microseconds in which what a resolver held is forgotten by half
-BASE_LEARNING_RATE = 0.1  # part of the way that a server's load without any answer of ours moves its base at once
-MAX_SERVERS = 4_096  # servers whose base is kept
-V4_BITS, V6_BITS = 24, 56  # of an address that name one resolver
-
-
-@lru_cache(
-    MAX_ESTIMATES
-)  # the same few resolvers ask again and again, and reading addresses costs more than all else here
+# All times are in microseconds.
+AVERAGING_TIME = SECOND  # time constant for smoothing reports and for counting the answers they are compared with
+RISE_TIME, FALL_TIME = SECOND, 4 * SECOND  # time constants with which an estimate rises and falls
+MAX_CORRECTION = 8.0  # limit of the ratio of reported to expected load, because reports are few and late
+QUIET_TIME = 5 * SECOND  # load is taken for cached answers only so long after the last answer: reports may be 4 s late
+ATTRIBUTION_TIME = 15 * SECOND  # time after an answer for which remaining load is attributed to its resolver
+MAX_NAMES = 16  # names per resolver whose last query is remembered
+REQUERY_TIME = SECOND  # a resolver that does not cache repeats the query for a popular name within this time
+SLOW_REQUERY_LIMIT = 20  # repeated queries in a row, all slower than that, after which a resolver counts as caching ...
+MIN_CACHING_WEIGHT = 4.0  # ... if its weight is at least this: a resolver with few clients asks rarely anyway
+EVALUATION_INTERVAL = 200_000  # minimum time between evaluations of a server's reports: each visits all its resolvers
+MAX_SERVERS_PER_RESOLVER = 32  # servers remembered per resolver, the most recent ones
+CACHED_LOAD_LIMIT = 8.0  # requests attributed to cached answers from which a resolver counts as caching
+CACHING_WEIGHT = 64.0  # minimum weight of an answer to a caching resolver, so that it goes to no cold server
+CACHED_LOAD_HALF_LIFE = 60 * SECOND
+BASE_LEARNING_RATE = 0.1  # share by which one report moves the base load of a server that no answer of ours named
+MAX_SERVERS = 4_096  # servers whose base load is kept
+V4_BITS, V6_BITS = 24, 56  # prefix lengths of the network that counts as one resolver
+
+
+@lru_cache(MAX_ESTIMATES)  # the same few resolvers ask repeatedly, and parsing addresses is the largest cost here
 def resolver_key(peer: str, subnet: tuple[int, int, bytes] | None = None) -> str:
-    """The network that a query speaks for: the client subnet that the resolver told, else the resolver's own.
-    `subnet` is (family, prefix length, address bytes) as RFC 7871 carries it."""
+    """The network that a query is made for: the client subnet in the query, or the resolver's own network.
+    `subnet` is (family, prefix length, address bytes) as in RFC 7871."""
     if subnet is not None and subnet[0] in (1, 2) and subnet[1]:
         family, bits, raw = subnet
         size = 4 if family == 1 else 16
@@ -67,16 +59,16 @@
 
 @dataclass(slots=True)
 class Estimate:
-    """One resolver's and class's."""
+    """The state of one resolver and request class."""
 
     weight: float = MIN_WEIGHT
-    cached_load: float = 0.0  # requests of load that stayed after its answers, fading
+    cached_load: float = 0.0  # requests in flight attributed to cached answers, decaying since cached_load_at
     cached_load_at: int = 0
-    last_query: int = 0  # when it last asked
+    last_query: int = 0  # time
     query_count: int = 0
-    names: OrderedDict[str, int] = field(default_factory=OrderedDict)  # when it last asked for each
-    slow_requeries: int = 0  # names that came again, none within SOON, in a row
-    # By server: the microseconds that one request each of its answers there takes, those of the last second, fading.
+    names: OrderedDict[str, int] = field(default_factory=OrderedDict)  # name -> time of its last query
+    slow_requeries: int = 0  # repeated queries in a row, each later than REQUERY_TIME
+    # Server -> (decaying sum of the service times of one request per answer that named it, time of the sum).
     named_servers: OrderedDict[int, tuple[float, int]] = field(default_factory=OrderedDict)
 
     def record_answer(self, server: int, service_time: int, now: int) -> None:
@@ -86,12 +78,12 @@
             self.named_servers.popitem(last=False)
 
     def expected_load(self, server: int, now: int) -> float:
-        """Requests in hand there on the mean of the last second, were each answer worth one."""
+        """Mean number of requests in flight at the server over the last second, if each answer brought one."""
         amount, at = self.named_servers.get(server, (0.0, now))
         return amount * math.exp((at - now) / AVERAGING_TIME) / AVERAGING_TIME
 
     def record_query(self, name: str, now: int) -> None:
-        """It asks for a name: whether again, and how soon."""
+        """Record a query and whether it repeats an earlier one within REQUERY_TIME."""
         self.last_query, self.query_count = now, self.query_count + 1
         last = self.names.pop(name, None)
         self.names[name] = now
@@ -101,7 +93,7 @@
             self.slow_requeries = min(SLOW_REQUERY_LIMIT, self.slow_requeries + 1) if now - last >= REQUERY_TIME else 0
 
     def caches_answers(self, now: int) -> bool:
-        """Whether it is taken to keep answers of TTL 0."""
+        """Whether the resolver is considered to cache answers despite TTL 0."""
         return (
             self.decayed_cached_load(now) >= CACHED_LOAD_LIMIT
             or self.slow_requeries >= SLOW_REQUERY_LIMIT
@@ -117,15 +109,16 @@
 
 
 class Charging:
-    """The estimates of all resolvers, bounded."""
+    """The estimates of all resolvers. Every table is bounded."""
 
     def __init__(self) -> None:
         self.estimates: OrderedDict[tuple[str, str], Estimate] = OrderedDict()
-        self.by_server: dict[int, OrderedDict[tuple[str, str], int]] = {}  # who named a server, and when last
-        # What a server has in hand beyond this proxy's attempts while no answer of ours named it: other proxies' work,
-        # which is nobody's answer.
+        # Server -> resolvers and classes that got it as an answer, with the time of the last one.
+        self.by_server: dict[int, OrderedDict[tuple[str, str], int]] = {}
+        # A server's requests in flight beyond this proxy's attempts while no answer named it. This is the work of other
+        # proxies, which no resolver is charged for.
         self.base_load: OrderedDict[int, float] = OrderedDict()
-        # What is over it, smoothed; when that was told last, and when it was judged last.
+        # Server -> (smoothed load above the base load, time of the last report, time of the last evaluation).
         self.smoothed_load: OrderedDict[int, tuple[float, int, int]] = OrderedDict()
 
     def _estimate(self, key: tuple[str, str]) -> Estimate:
@@ -148,7 +141,7 @@
                     del self.by_server[server]
 
     def weight(self, resolver: str, cls: str, now: int, name: str = "") -> float:
-        """What an answer to this resolver, which asks for this name, is charged now, in requests."""
+        """Record a query for this name and return the weight of its answer, in requests."""
         estimate = self._estimate((resolver, cls))
         estimate.record_query(name, now)
         return max(CACHING_WEIGHT, estimate.weight) if estimate.caches_answers(now) else estimate.weight
@@ -158,7 +151,7 @@
         return estimate is not None and estimate.caches_answers(now)
 
     def record_answer(self, resolver: str, cls: str, server: int, now: int, service_time: int = AVERAGING_TIME) -> None:
-        """An answer named this server, where a request takes so long."""
+        """Record that an answer named this server, where a request takes `service_time`."""
         key = (resolver, cls)
         estimate = self._estimate(key)
         estimate.record_answer(server, service_time, now)
@@ -169,8 +162,8 @@
             recipients.popitem(last=False)
 
     def record_report(self, server: int, excess: float, now: int) -> None:
-        """A server has `brought` requests in hand beyond this proxy's own: what is over its usual level without our
-        answers is shared out over those that named it."""
+        """A server reports `excess` requests in flight beyond this proxy's own. The load above its base load is
+        attributed to the resolvers whose answers named it."""
         recipients = self.by_server.get(server)
         if not recipients:
             base_load = self.base_load.pop(server, excess)
@@ -183,7 +176,7 @@
             return
         self.smoothed_load[server] = excess, now, now
         active: list[Estimate] = []
-        expected = 0.0  # requests in hand on the mean of the last second
+        expected = 0.0  # mean number of requests in flight over the last second
         recent: list[Estimate] = []
         for key, at in list(recipients.items()):
             estimate = self.estimates.get(key)
@@ -203,7 +196,7 @@
             for estimate in active:
                 estimate.weight = min(MAX_WEIGHT, max(MIN_WEIGHT, estimate.weight * step))
         elif excess > 0.5 and recent:
-            # Nothing named it lately enough to explain this: answers that were kept are.
+            # No recent answer explains the load, so it comes from cached answers.
             for estimate in recent:
                 estimate.cached_load = estimate.decayed_cached_load(now) + excess * elapsed / AVERAGING_TIME / len(
                     recent
@@ -211,8 +204,8 @@
                 estimate.cached_load_at = now
 
     def _smooth(self, server: int, excess: float, now: int) -> tuple[float, int]:
-        """The mean of what was brought lately, and the microseconds since that was judged. One report says what was so
-        at an instant; requests are short, and most instants see none."""
+        """The smoothed excess load and the microseconds since its last evaluation. A single report is a sample at one
+        instant; requests are short, so most samples see none."""
         mean, at, evaluated = self.smoothed_load.pop(server, (excess, now, now - EVALUATION_INTERVAL))
         mean += math.expm1((at - now) / AVERAGING_TIME) * (mean - excess)
         self.smoothed_load[server] = mean, now, evaluated
@@ -221,7 +214,7 @@
         return mean, min(AVERAGING_TIME, now - evaluated)
 
     def resolvers(self, now: int) -> list[dict[str, object]]:
-        """What is known of each resolver and class, those that hold first, then the heaviest."""
+        """A row for each resolver and class: caching resolvers first, then by descending weight."""
         rows = [
             {
                 "resolver": resolver,
--- a/threadhill/dns/front.py
+++ b/threadhill/dns/front.py
@@ -1,4 +1,4 @@
-"""The DNS front: each query is a request to the core, whose answer names the server of that very moment."""
+"""The DNS front: each query becomes a request to the core, and the response names the server the core chose for it."""
 
 from __future__ import annotations
 
@@ -32,21 +32,20 @@
 if TYPE_CHECKING:  # the cryptography package is loaded where a zone is signed
     from threadhill.dns.signing import Signer
 
-LOOKUP_GRANT_TIME = (
-    200_000  # microseconds in which a server that a record named may be looked up; under the drain limit
-)
-MAX_LOOKUP_GRANTS = 4_096  # of them remembered at most
+# Microseconds for which a server's name from an SRV, SVCB or HTTPS answer can be looked up; below the drain limit.
+LOOKUP_GRANT_TIME = 200_000
+MAX_LOOKUP_GRANTS = 4_096
 SOA_TIMES = (3_600, 600, 86_400, 0)  # refresh, retry, expire, and 0: no negative answer is kept
-PADDING_BLOCK = 468  # bytes that a padded response is a multiple of (RFC 8467, section 4.1)
-KEEPALIVE_TIMEOUT = 100  # tenths of a second that an idle connection is kept, as clients are told (RFC 7828)
-NAMED_TARGET_TYPES = (Type.SRV, Type.SVCB, Type.HTTPS)  # types whose records name a server by a name of its own
+PADDING_BLOCK = 468  # bytes; the length of a padded response is a multiple of this (RFC 8467, section 4.1)
+KEEPALIVE_TIMEOUT = 100  # idle timeout of connections announced to clients, in tenths of a second (RFC 7828)
+NAMED_TARGET_TYPES = (Type.SRV, Type.SVCB, Type.HTTPS)  # types whose records refer to a server by its own name
 SendReply = Callable[[bytes], None]
 ServerAddress = tuple[str, str, int]  # a server's name, host and port
 
 
 @dataclass(frozen=True, slots=True)
 class TlsConfig:
-    """DNS over TLS, as the operator's file has it."""
+    """Settings of DNS over TLS in the operator's file."""
 
     listen: tuple[str, int]
     certificate: Path
@@ -55,38 +54,38 @@
 
 @dataclass(frozen=True, slots=True)
 class DnsConfig:
-    """What the operator's file says of this front."""
+    """Settings of the DNS front in the operator's file."""
 
     listen: tuple[str, int]
     deadline: int = 1_000_000  # microseconds
     nameservers: tuple[str, ...] = ()
     connections: int = 64
-    nsid: bytes = b""  # who answered, for those who ask (RFC 5001)
-    fallback: str = ""  # where resolvers that keep answers of TTL 0 are sent instead of to a server, by CNAME
-    responses_per_s: float = 100.0  # over UDP, to one network without a cookie of ours; 0: no limit
-    slip: int = 2  # of the responses that are over it, every so many is sent truncated; 0: none
-    resolver_qps: float = 500.0  # queries of one resolver that reach the module each second; 0: no limit
-    unproven_qps: float = 1_000.0  # queries that reach the module from all unproven addresses together; 0: no limit
+    nsid: bytes = b""  # server identifier, returned to clients that ask for it (RFC 5001)
+    fallback: str = ""  # CNAME target sent, instead of a server, to resolvers that cache answers of TTL 0
+    responses_per_s: float = 100.0  # UDP responses per second to one network without a valid cookie; 0: no limit
+    slip: int = 2  # every nth response over that limit is sent truncated, the others are dropped; 0: all are dropped
+    resolver_qps: float = 500.0  # queries per second of one resolver that reach the decision module; 0: no limit
+    unproven_qps: float = 1_000.0  # the same, for all clients with unproven addresses together; 0: no limit
     trusted: tuple[str, ...] = ()  # networks whose addresses count as proven: the operator's own resolvers
-    views: tuple[View, ...] = ()  # which clients are answered with which node's servers
-    tls: TlsConfig | None = None  # where it answers over TLS as well, and with which certificate
-    transfer: TransferConfig = field(default_factory=TransferConfig)  # who may copy zones
-    keys: Path | None = None  # the folder of the zones' signing keys; a zone without one is not signed
-    signature_life: int = 3_600  # seconds for which a signature is good at the least
-    per_network: int = 32  # connections that one network may hold at once, over TCP and over TLS each; 0: no limit
+    views: tuple[View, ...] = ()  # maps client networks to the nodes whose servers they are sent to
+    tls: TlsConfig | None = None  # None: no DNS over TLS
+    transfer: TransferConfig = field(default_factory=TransferConfig)  # who may transfer zones
+    keys: Path | None = None  # folder of the zones' signing keys; a zone without a key is not signed
+    signature_life: int = 3_600  # minimum validity of a signature, in seconds
+    per_network: int = 32  # connections open at once from one network, over TCP and over TLS each; 0: no limit
 
 
 @dataclass(slots=True)
 class Peer:
-    """Who asked, and how an answer reaches it."""
+    """The sender of a query, and how a response is sent to it."""
 
     address: str
-    stream: bool  # over a connection: its address is proven by the handshake
+    stream: bool  # over a TCP or TLS connection: the handshake proves the address
     reply: SendReply
-    proven: bool = False  # by the handshake, or by a cookie that this server made for it
+    proven: bool = False  # the address is not spoofed: TCP handshake, valid server cookie, or trusted network
     secure: bool = False  # over TLS
-    tsig_context: TsigContext | None = None  # by a key that is shared with it; the answer is signed too
-    send_stream: Callable[[Iterator[bytes]], None] | None = None  # sends one message after another, as it takes them
+    tsig_context: TsigContext | None = None  # set if the query has a TSIG record: the response gets one too
+    send_stream: Callable[[Iterator[bytes]], None] | None = None  # sends several messages, as fast as the peer reads
 
 
 @dataclass(slots=True)
@@ -96,14 +95,14 @@
     query: Query
     name: ParsedName
     peer: Peer
-    resolver: str = ""  # whose clients it is for: the client subnet told, else the resolver's network
+    resolver: str = ""  # key of the clients it is for: the client subnet in the query, or the resolver's network
     handle: int = -1
-    engine: Engine | None = None  # that of the node it is answered for
-    scope: int = 0  # bits of the client subnet that the answer holds for
+    engine: Engine | None = None  # of the node whose servers it is answered with
+    scope: int = 0  # scope prefix length of the response, in bits (RFC 7871)
 
 
 class DnsFront:
-    """Answers queries over any transport; plugs into the core as a front."""
+    """Answers DNS queries from any transport. Implements the core's Front interface."""
 
     name = "dns"
 
@@ -119,14 +118,14 @@
     ) -> None:
         self.engine, self.config, self.classes = engine, config, classes
         self.views = Views(list(config.views), engine.router.settings.zone)
-        self.nodes = {engine.router.settings.zone: engine, **(nodes or {})}  # an engine of its own for each view's node
+        self.nodes = {engine.router.settings.zone: engine, **(nodes or {})}  # one engine for each node used in a view
         self.server_address, self.ip_versions, self.signer = server_address, ip_versions, signer
         self.pending: Slots[PendingQuery] = Slots()
-        self._lookup_grants: dict[tuple[str, int], tuple[int, int]] = {}  # (box, number) -> (server, until when)
+        self._lookup_grants: dict[tuple[str, int], tuple[int, int]] = {}  # (server name, number) -> (server, expiry)
         self._grant_count = 0
         self.static_records = StaticRecords(engine.tenants)
         self.charging = Charging()
-        self.cookies = Cookies(os.urandom(16))  # a new secret at each start: cookies of the old one are made anew
+        self.cookies = Cookies(os.urandom(16))  # a new secret at each start: clients get new cookies after a restart
         self.limits = Limits(config.responses_per_s, config.slip, config.resolver_qps, config.unproven_qps)
         self._trusted = lru_cache(4_096)(self._is_trusted)
         self._trusted_networks = [ipaddress.ip_network(network, strict=False) for network in config.trusted]
@@ -145,7 +144,7 @@
         secure: bool = False,
         send_stream: Callable[[Iterator[bytes]], None] | None = None,
     ) -> int | None:
-        """One message from a resolver at `peer`. Returns what `cancel` takes, if its answer is still to come."""
+        """Handle one message from a resolver at `peer`. Returns a reference for `cancel` if the answer is pending."""
         try:
             query = dns.read_query(raw)
         except dns.IgnoredMessage:
@@ -163,7 +162,7 @@
         requester = Peer(peer, stream, reply, proven, secure, send_stream=send_stream)
         if not stream:
             sent = self.limits.check_response(resolver_key(peer), proven, now)
-            if sent is not ResponseAction.ANSWER:  # a flood, most likely from addresses that are not the askers'
+            if sent is not ResponseAction.ANSWER:  # most likely a flood from spoofed addresses
                 self.engine.stats.count("dns", f"rate limited, {sent.value}")
                 if sent is ResponseAction.SLIP:
                     self._reply(query, Response(truncated=True), requester)
@@ -192,8 +191,8 @@
             announced = (subnet.family, subnet.source_prefix, subnet.address) if subnet is not None else None
             resolver = resolver_key(peer, announced)
             if not proven and query.type not in (Type.A, Type.AAAA):
-                # A name with its target and hints is more than half as large again as what asked for it: whoever
-                # asks from an address that is not proven is told to come over TCP, or with the cookie it is sent.
+                # A response with a target name and address hints exceeds the amplification limit for unproven
+                # addresses. TC makes the client retry over TCP, or with the cookie in this response.
                 self._reply(query, Response(truncated=True), requester)
                 return None
             if not proven and not self.limits.allow_unproven(now):
@@ -210,7 +209,7 @@
         return None
 
     def connection_group(self, peer: str) -> str:
-        """Whose quota of connections one from this address counts on; "" for the operator's own resolvers."""
+        """The group in whose connection quota this address is counted; "" (no quota) for trusted networks."""
         return "" if self._trusted(peer) else resolver_key(peer)
 
     def _is_trusted(self, peer: str) -> bool:
@@ -223,32 +222,32 @@
         return any(address in network for network in self._trusted_networks)
 
     def cancel(self, ref: int) -> None:
-        """The resolver went away."""
+        """The resolver's connection was lost: cancel the pending request."""
         pending = self.pending.free(ref)
         if pending is not None and pending.engine is not None:
             pending.engine.client_gone(pending.handle)
 
     def _needs_server(self, query: Query, name: ParsedName) -> bool:
-        """Whether the answer names a server; where it can't, none may be charged for it."""
+        """Whether the answer names a server. If it cannot, no server may be charged for it."""
         if query.type == Type.SRV or query.type in NAMED_TARGET_TYPES and name.kind is Kind.TARGET:
             return True
-        family, there = {Type.A: 4, Type.AAAA: 6}.get(query.type), self.ip_versions()
-        # With no server at all the name still has addresses, only none to be told now: SERVFAIL, not NODATA.
-        return name.kind is Kind.TARGET and family is not None and (family in there or not there)
+        family, versions = {Type.A: 4, Type.AAAA: 6}.get(query.type), self.ip_versions()
+        # With no servers at all the name still has addresses, but none can be given now: SERVFAIL, not NODATA.
+        return name.kind is Kind.TARGET and family is not None and (family in versions or not versions)
 
     @staticmethod
     def _client_address(peer: str, subnet: ClientSubnet | None) -> tuple[str, int | None]:
-        """The client's address as far as it is told, and how many bits of it; the resolver's where none is."""
+        """The address and prefix length of the client subnet in the query, or the resolver's address and None."""
         if subnet is None or subnet.family not in (1, 2):
             return peer, None
         size = 4 if subnet.family == 1 else 16
         return str(ipaddress.ip_address(subnet.address.ljust(size, b"\0"))), subnet.source_prefix
 
     def _choose_engine(self, pending: PendingQuery, client: tuple[str, int | None]) -> Engine | None:
-        """The engine of the first node of the client's view that has a server ready; None where none has."""
+        """The engine of the first node of the client's view that has a cache; None if no node has one."""
         choice = self.views.choose(*client)
         pending.scope = choice.scope
-        if not self.views.nodes:  # no views: the module alone decides what there is, the origin included
+        if not self.views.nodes:  # no views: the decision module alone chooses, and may also choose the origin
             return self.engine
         for node in choice.nodes:
             engine = self.nodes.get(node)
@@ -266,14 +265,15 @@
             return None
         pending.engine = engine
         if self.config.fallback and self.charging.caches_answers(pending.resolver, name.cls, now):
-            # It keeps what it is told past any drain: only a name of the operator's that does not drain will do.
+            # Clients of this resolver would be sent to a server long after it began to drain, so the resolver gets
+            # the operator's fallback name, which does not drain.
             self.engine.stats.count("dns", "fallback")
             fallback = Record(Type.CNAME, (labels_of(self.config.fallback),))
             self._reply(pending.query, Response(answers=[fallback], zone=name.zone), pending.peer)
             return None
         weight = self.charging.weight(pending.resolver, name.cls, now, f"{name.object}/{name.part}")
         ref = self.pending.add(pending)
-        # Without an id of its own: no server's line sees it.
+        # The request id is empty because the request is never sent to a server.
         handle = engine.submit(
             self,
             ref,
@@ -295,7 +295,7 @@
         return ref
 
     def answer(self, ref: int, answer: Answer) -> None:
-        """The core's answer: the server it names, or SERVFAIL at once, which a resolver may try again."""
+        """Respond with the server that the core chose, or with SERVFAIL, after which a resolver may retry."""
         pending = self.pending.free(ref)
         if pending is None:
             return
@@ -317,8 +317,9 @@
     # --- replies
 
     def _reply(self, query: Query, response: Response, peer: Peer) -> None:
-        """Send the response, with what EDNS asks for; to an address that is not proven, no more than half as many
-        bytes again as it sent, so that nobody can be flooded by queries in his name."""
+        """Send the response with the EDNS options that the query asked for. A UDP response to an unproven address has
+        at most MAX_AMPLIFICATION times the bytes of its query, so that spoofed queries cannot be used for
+        amplification attacks."""
         self.engine.stats.count("dns", response.code.name)
         response.nsid = self.config.nsid
         if peer.stream and query.options.keepalive:  # over UDP there is no connection to keep (RFC 7828, 3.2.1)
@@ -328,8 +329,8 @@
                 query.options.cookie, peer.address, self.engine.clock.now() // SECOND
             )
         if self.signer is not None and query.dnssec and response.zone:
-            self.signer.sign(query, response, unix_seconds())  # others' clocks judge it: the Unix time of now
-        if peer.secure and query.options.padding:  # never in the clear (RFC 7830, section 6)
+            self.signer.sign(query, response, unix_seconds())  # validators compare it with the wall clock
+        if peer.secure and query.options.padding:  # only over an encrypted transport (RFC 7830, section 6)
             response.padded = PADDING_BLOCK
         context = peer.tsig_context
         tsig_bytes = tsig.max_record_size(context) if context is not None else 0
@@ -338,7 +339,7 @@
             return
         max_size = max_response_size(query.size, peer.proven, min(query.payload, dns.EDNS_UDP_SIZE)) - tsig_bytes
         packed = dns.pack(query, response, max_size)
-        if len(packed) > max_size:  # even the bare truncated answer is too large with all that EDNS adds
+        if len(packed) > max_size:  # the truncated response is still too large because of its EDNS options
             response.nsid, response.error = b"", None
             packed = dns.pack(query, Response(truncated=True, cookie=response.cookie), max_size)
         self._send(packed, peer)
@@ -347,10 +348,10 @@
     def _send(packed: bytes, peer: Peer) -> None:
         peer.reply(tsig.sign(packed, peer.tsig_context, unix_seconds()) if peer.tsig_context is not None else packed)
 
-    # --- who holds a key
+    # --- TSIG and zone transfers
 
     def _verify_tsig(self, raw: bytes, query: Query, requester: Peer) -> bool:
-        """Check a query's transaction signature (RFC 8945, section 5.2); where it does not hold that is answered."""
+        """Verify a query's TSIG record (RFC 8945, section 5.2). If it is invalid, send the error and return False."""
         try:
             requester.tsig_context = tsig.check(raw, query, self.config.transfer.keys, unix_seconds())
         except (ValueError, IndexError, struct.error):
@@ -363,7 +364,8 @@
         return False
 
     def _transfer(self, query: Query, zone: str, requester: Peer) -> None:
-        """A zone's static part, whole, to who is listed and holds a key (RFC 5936). The steered names have no list."""
+        """Answer a zone transfer (RFC 5936) with the zone's static records. Steered names cannot be enumerated, so they
+        are not in it."""
         refusal = transfer.refusal_reason(
             query,
             zone,
@@ -389,12 +391,12 @@
     # --- records
 
     def _server_response(self, pending: PendingQuery, server: int, server_address: ServerAddress) -> Response:
-        """The records that name a server to this query."""
+        """The response that names this server."""
         query, (name, host, port) = pending.query, server_address
         address = records.address(host)
         if query.type not in NAMED_TARGET_TYPES:
-            fits = address is not None and address.type == query.type
-            if not fits:
+            matches = address is not None and address.type == query.type
+            if not matches:
                 return self._nodata(pending.name.zone, self._existing_types(pending.name))
             return Response(answers=[address], zone=pending.name.zone)
         target = (name, SERVERS_LABEL, *labels_of(pending.name.zone))
@@ -406,15 +408,15 @@
             answers=[records.svcb(query.type, port, target, address)], additional=additional, zone=pending.name.zone
         )
 
-    def _allow_lookup(self, box: str, server: int) -> None:
-        """A look-up of this target belongs to the answer just given, and is not charged a second time."""
+    def _allow_lookup(self, server_name: str, server: int) -> None:
+        """Allow one lookup of this server's name. It belongs to the answer just given and is not charged again."""
         self._grant_count += 1
-        self._lookup_grants[box, self._grant_count] = (server, self.engine.clock.now() + LOOKUP_GRANT_TIME)
+        self._lookup_grants[server_name, self._grant_count] = (server, self.engine.clock.now() + LOOKUP_GRANT_TIME)
         if len(self._lookup_grants) > MAX_LOOKUP_GRANTS:
             del self._lookup_grants[next(iter(self._lookup_grants))]
 
     def _server_name_response(self, name: ParsedName, query: Query) -> Response:
-        """A server's own name: there only for who was just sent to it, and only while it is ready."""
+        """The response for a server's own name, which exists only while a lookup is allowed and the server is ready."""
         now = self.engine.clock.now()
         for key, (server, until) in list(self._lookup_grants.items()):
             if until <= now:
@@ -428,7 +430,7 @@
         return self._nxdomain(name.zone)
 
     def _local_response(self, query: Query, name: ParsedName) -> Response:
-        """What needs no server."""
+        """The response to a query that names no server."""
         if name.kind in (Kind.NONE, Kind.APEX):
             static = self._static_response(query, name)
             if static is not None:
@@ -447,11 +449,11 @@
 
     @staticmethod
     def _any_response(zone: str) -> Response:
-        """RFC 8482, section 4.2: a small answer instead of all there is."""
+        """A small answer to ANY instead of all records (RFC 8482, section 4.2)."""
         return Response(answers=[Record(Type.HINFO, b"\x07RFC8482\x00")], zone=zone)
 
     def _static_response(self, query: Query, name: ParsedName) -> Response | None:
-        """What a tenant's static records say of a name; None where they say nothing."""
+        """The response from the tenants' static records; None if there are none for the name."""
         name_records = self.static_records.find(query.name)
         if name_records is None:
             return None
@@ -463,7 +465,7 @@
         return self._nodata(name.zone, tuple(name_records.rrsets)) if name.kind is Kind.NONE else None
 
     def _apex_records(self, zone: str, kind: int) -> list[Record]:
-        """What stands at a zone's own name."""
+        """The records of this type that the server itself makes at the zone's apex."""
         if kind == Type.SOA:
             return [self._soa(zone, apex=True)]
         if kind == Type.NS:
@@ -471,7 +473,7 @@
         return self.signer.key_records(zone, kind) if self.signer is not None else []
 
     def _existing_types(self, name: ParsedName) -> tuple[int, ...]:
-        """The types that are at a name, for who denies another one there."""
+        """The types that exist at a name, for the NSEC record of a negative answer."""
         if name.kind is Kind.TARGET:
             family = {4: Type.A, 6: Type.AAAA}
             return (*(family[version] for version in sorted(self.ip_versions())), Type.SVCB, Type.HTTPS)
@@ -490,7 +492,7 @@
         return ()
 
     def _nodata(self, zone: str, exists: tuple[int, ...] = ()) -> Response:
-        """The name exists, but nothing of this type; `exists` are those that there are."""
+        """A NODATA response; `exists` lists the types that the name has."""
         return Response(authority=[self._soa(zone)], zone=zone, exists=exists)
 
     def _nxdomain(self, zone: str) -> Response:
