--- a/threadhill/dns/__init__.py
+++ b/threadhill/dns/__init__.py
@@ -1,1 +1,1 @@
-"""DNS-based request routing: names in, one server's address out, chosen by the same core."""
+"""DNS-based request routing: answers names with the address of a server that the core chooses."""
--- a/threadhill/dns/cookies.py
+++ b/threadhill/dns/cookies.py
@@ -1,8 +1,8 @@
-"""DNS cookies (RFC 7873), server cookies as RFC 9018 makes them: version, reserved, time, and SipHash-2-4 of the
-client cookie, those and the client's address under a secret. A query that brings back a cookie made here for its
-address proves that address: it is no spoofed one, and limits for unproven peers don't bind it.
+"""DNS cookies (RFC 7873) with server cookies in the format of RFC 9018: version, reserved bytes, timestamp, and a keyed
+SipHash-2-4 over the client cookie, these fields and the client's address. A query with a valid server cookie proves
+that its address is not spoofed, so the limits for unproven addresses don't apply to it.
 
-No I/O: the secret and the time are given.
+No I/O: the secret and the time are parameters.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from enum import Enum
 
 VERSION = 1
-CLIENT_COOKIE_BYTES = 8  # bytes of a client cookie
-SERVER_COOKIE_BYTES = 16  # bytes of a server cookie made here
-MAX_AGE = 3_600  # seconds for which a server cookie is good (RFC 9018, section 4.3)
-MAX_CLOCK_LEAD = 300  # seconds that its time may be ahead of ours: clocks of a cluster differ
-RENEWAL_AGE = 1_800  # seconds after which a good one is replaced by a new one
+CLIENT_COOKIE_BYTES = 8
+SERVER_COOKIE_BYTES = 16  # of server cookies made here
+MAX_AGE = 3_600  # seconds for which a server cookie is valid (RFC 9018, section 4.3)
+MAX_CLOCK_LEAD = 300  # seconds by which its timestamp may be in the future: the clocks of a cluster differ
+RENEWAL_AGE = 1_800  # seconds after which a valid server cookie is replaced
 MASK = (1 << 64) - 1
 
 
@@ -59,9 +59,9 @@
 
 
 class CookieStatus(Enum):
-    NONE = "none"  # no cookie at all
-    CLIENT_ONLY = "client only"  # a first contact, or one that lost what it was given
-    BAD = "bad"  # a server cookie that this server did not make for this address, or that is too old
+    NONE = "none"
+    CLIENT_ONLY = "client only"  # a first query, or the client lost its server cookie
+    BAD = "bad"  # not made here for this address, or expired
     GOOD = "good"
 
 
@@ -91,13 +91,13 @@
             return CookieStatus.BAD
         try:
             expected = self.make(client, peer, created_at)
-        except ValueError:  # not an address: nothing can be proved of it
+        except ValueError:  # the peer is not an IP address
             return CookieStatus.BAD
         return CookieStatus.GOOD if hmac.compare_digest(expected, server) else CookieStatus.BAD
 
     def response_cookie(self, cookie: bytes, peer: str, now: int) -> bytes:
-        """The cookie option of a response: the client's, and a server cookie, the one it brought while that is young
-        enough (RFC 9018, section 4.3), else a new one."""
+        """The cookie option of a response: the client cookie and a server cookie, which is the query's until
+        RENEWAL_AGE (RFC 9018, section 4.3)."""
         client = cookie[:CLIENT_COOKIE_BYTES]
         if (
             len(cookie) == CLIENT_COOKIE_BYTES + SERVER_COOKIE_BYTES
--- a/threadhill/dns/message.py
+++ b/threadhill/dns/message.py
@@ -1,4 +1,4 @@
-"""DNS messages (RFC 1035, EDNS of RFC 6891): what a query says, and the bytes of a response."""
+"""Parses DNS queries and serializes responses (RFC 1035, EDNS of RFC 6891)."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 HEADER = struct.Struct("!6H")
 POINTER = 0xC0
 IN = 1
-MIN_UDP_SIZE = 512  # bytes of a UDP response without EDNS
-EDNS_UDP_SIZE = 1_232  # what the answering side takes and sends with it
+MIN_UDP_SIZE = 512  # maximum bytes of a UDP response without EDNS, minimum payload size with it
+EDNS_UDP_SIZE = 1_232  # payload size that this server announces, and the maximum that it sends
 DO = 0x8000
-CO = 0x4000  # the asker knows of compact denial and wants NXDOMAIN told with it (RFC 9824, section 5.1)
-MAX_POINTERS = 32  # pointers of one name at most
-MAX_ADDITIONAL = 8  # records behind a query's question: an OPT and a signature are all that mean anything
-MAX_QUERY_BYTES = 4 << 10  # bytes of a query: names and an OPT are far smaller
-MAX_POINTER_OFFSET = 0x3FFF  # where a compression pointer can point to
-NO_OPTIONS = Options()  # of all queries without any
-OPT_HEADER_BYTES = 11  # bytes of an OPT record before its options
-QUESTION_POINTER = b"\xc0\x0c"  # a pointer to the question's name
+CO = 0x4000  # compact answers OK: the client wants NXDOMAIN with compact denial (RFC 9824, section 5.1)
+MAX_POINTERS = 32  # compression pointers in one name
+MAX_ADDITIONAL = 8  # additional records of a query: only an OPT and a TSIG record have a meaning
+MAX_QUERY_BYTES = 4 << 10  # names and an OPT are far smaller
+MAX_POINTER_OFFSET = 0x3FFF  # the largest offset that fits into a compression pointer
+NO_OPTIONS = Options()  # shared by all queries without options
+OPT_HEADER_BYTES = 11  # size of an OPT record before its options
+QUESTION_POINTER = b"\xc0\x0c"  # compression pointer to the question's name
 Labels = tuple[str, ...]
 
 
@@ -45,7 +45,7 @@
     CDNSKEY = 60
     SVCB = 64
     HTTPS = 65
-    NXNAME = 128  # stands in denials only (RFC 9824)
+    NXNAME = 128  # appears only in NSEC bitmaps (RFC 9824)
     TSIG = 250
     IXFR = 251
     AXFR = 252
@@ -60,16 +60,16 @@
     NXDOMAIN = 3
     NOTIMP = 4
     REFUSED = 5
-    NOTAUTH = 9  # a transaction signature does not hold (RFC 8945)
+    NOTAUTH = 9  # TSIG verification failed (RFC 8945)
     BADVERS = 16
 
 
 class IgnoredMessage(Exception):
-    """Nothing that may be answered: too short for a header, or itself a response."""
+    """The message must not be answered: it is too short for a header, or is itself a response."""
 
 
 class BadQuery(Exception):
-    """A query that gets an error for an answer."""
+    """The query is answered with this error code."""
 
     def __init__(self, code: Code, query: Query) -> None:
         super().__init__(code.name)
@@ -78,13 +78,13 @@
 
 @dataclass(slots=True)
 class Query:
-    """One question, with what EDNS said."""
+    """One question with its header flags and EDNS data."""
 
     id: int
     opcode: int = 0
-    recursion_desired: bool = False  # desired
+    recursion_desired: bool = False  # RD, copied to the response
     checking_disabled: bool = False  # CD, copied to the response (RFC 4035, section 3.1.6)
-    question: bytes = b""  # as it came, to be echoed with its letter case
+    question: bytes = b""  # as received, to be echoed with its letter case
     name: Labels = ()  # labels in lower case
     type: int = 0
     cls: int = IN
@@ -93,17 +93,17 @@
     compact_denial: bool = False  # CO
     payload: int = MIN_UDP_SIZE
     options: Options = NO_OPTIONS
-    size: int = 0  # bytes that it came in
-    tsig_at: int = 0  # where its transaction signature begins; 0: it has none
-    serial: int | None = None  # of the copy that the asker of an incremental transfer has (RFC 1995)
+    size: int = 0  # bytes of the whole message
+    tsig_at: int = 0  # offset of its TSIG record; 0: none
+    serial: int | None = None  # serial of the requester's copy in an IXFR query (RFC 1995)
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """A record. What names a server has the TTL 0: no answer may outlive a drain.
+    """A resource record. Records that name a server have TTL 0, because no answer may outlive a drain.
 
-    `data` is bytes, or pieces of which those that are labels may be compressed (RFC 3597, section 4: only in the types
-    of RFC 1035). `owner` is its name; none stands for the question's.
+    `data` is bytes, or a sequence of bytes and names. Names may be compressed, which RFC 3597, section 4 allows only in
+    the types of RFC 1035. An `owner` of None means the question's name.
     """
 
     type: int
@@ -114,26 +114,26 @@
 
 @dataclass(slots=True)
 class Response:
-    """What a query is answered with."""
+    """The contents of a response."""
 
     code: Code = Code.NOERROR
     authoritative: bool = True
     answers: list[Record] = field(default_factory=list)
     authority: list[Record] = field(default_factory=list)
     additional: list[Record] = field(default_factory=list)
-    error: tuple[ExtendedError, str] | None = None  # why, where it is an error (RFC 8914)
-    scope: int = 0  # bits of the client's subnet that the answer holds for (RFC 7871)
+    error: tuple[ExtendedError, str] | None = None  # the reason of an error (RFC 8914)
+    scope: int = 0  # scope prefix length of the client subnet option (RFC 7871)
     nsid: bytes = b""
-    keepalive: int | None = None  # tenths of a second that an idle connection stays (RFC 7828)
-    cookie: bytes | None = None  # the client's cookie and the server's (RFC 7873, section 5.2)
-    padded: int = 0  # the response's length is a multiple of so many bytes (RFC 8467, section 4.1); 0: not padded
-    zone: str = ""  # whose records these are, for who signs them
-    exists: tuple[int, ...] | None = None  # of a negative answer: the types that are at the name; () where none
-    truncated: bool = False  # nothing but the header and the question, and TC set: ask again over TCP
+    keepalive: int | None = None  # idle timeout in tenths of a second (RFC 7828)
+    cookie: bytes | None = None  # client cookie and server cookie (RFC 7873, section 5.2)
+    padded: int = 0  # pad to a multiple of this many bytes (RFC 8467, section 4.1); 0: no padding
+    zone: str = ""  # the zone of the records, which selects the signing keys
+    exists: tuple[int, ...] | None = None  # in a negative answer: the types that the name has
+    truncated: bool = False  # only header and question are sent, with TC set, so that the client retries over TCP
 
 
 def pack_name(labels: Labels) -> bytes:
-    """A name without compression; ValueError where it is none."""
+    """A name in wire format without compression. Raises ValueError if it is too long."""
     packed = b""
     for label in labels:
         raw = label.encode("latin-1")
@@ -146,7 +146,7 @@
 
 
 def read_name(raw: bytes, at: int) -> tuple[Labels, int]:
-    """The name there and where it ends; pointers lead backwards only, so that none can loop."""
+    """The name at this offset and the offset behind it. Pointers must point backwards, so none can loop."""
     labels: list[str] = []
     end, length, lowest, pointers = -1, 0, at, 0
     while True:
@@ -173,7 +173,7 @@
 
 
 def _read_additional(query: Query, raw: bytes, start: int, last: bool) -> int:
-    """One record of the additional section; an OPT sets what EDNS said. Returns where the record ends."""
+    """Read one record of the additional section into the query. Returns the offset behind the record."""
     owner, at = read_name(raw, start)
     named = bool(owner)
     kind, cls, ttl, size = struct.unpack_from("!HHIH", raw, at)
@@ -196,8 +196,8 @@
 
 
 def _read_serial(query: Query, raw: bytes, at: int) -> int:
-    """The SOA of the copy that the asker of an incremental transfer has: the only record that a query may have before
-    its additional ones (RFC 1995, section 3)."""
+    """Read the SOA record of an IXFR query, which has the serial of the requester's copy. It is the only record that a
+    query may have in its authority section (RFC 1995, section 3)."""
     _, at = read_name(raw, at)
     kind, _, _, size = struct.unpack_from("!HHIH", raw, at)
     end = at + 10 + size
@@ -210,12 +210,12 @@
 
 
 def read_query(raw: bytes) -> Query:
-    """The query; Bad tells the error to answer with, Ignored that there is nothing to answer."""
+    """Parse a query. Raises BadQuery with the error to answer with, or IgnoredMessage if there must be no answer."""
     if len(raw) < HEADER.size:
         raise IgnoredMessage
     id, flags, questions, answers, authority, additional = HEADER.unpack_from(raw)
     if flags & 0x8000:
-        raise IgnoredMessage  # answering responses would let two servers talk for ever
+        raise IgnoredMessage  # answering responses could make two servers answer each other forever
     query = Query(id, flags >> 11 & 0xF, bool(flags & 0x0100), bool(flags & 0x0010), size=len(raw))
     if query.opcode:
         raise BadQuery(Code.NOTIMP, query)
@@ -238,12 +238,13 @@
 
 
 class Writer:
-    """A message's bytes, with the places of names that later ones may point to (RFC 1035, section 4.1.4)."""
+    """Writes a message with name compression (RFC 1035, section 4.1.4)."""
 
     def __init__(self, query: Query) -> None:
         self.raw = bytearray(HEADER.size) + query.question
         self.question = query.name
-        self.offsets: dict[Labels, int] | None = None  # most responses hold no name but the question's
+        # Offsets of names already written. Made on first use: most responses have no name but the question's.
+        self.offsets: dict[Labels, int] | None = None
 
     def _question_offsets(self) -> dict[Labels, int]:
         offsets, at = {}, HEADER.size
@@ -253,7 +254,7 @@
         return offsets
 
     def name(self, labels: Labels) -> None:
-        """Write a name, as a pointer from where it is there already."""
+        """Write a name, with a compression pointer for the part that was written before."""
         if self.offsets is None:
             self.offsets = self._question_offsets()
         for i, label in enumerate(labels):
@@ -288,8 +289,8 @@
 
 
 def pack(query: Query, response: Response, max_size: int) -> bytes:
-    """The response in at most so many bytes. What does not fit goes by whole sets: first additional records, of which
-    nobody needs to hear (RFC 2181, section 9), then all, and the header says so."""
+    """Serialize the response in at most `max_size` bytes. If it does not fit, the additional section is dropped, which
+    needs no TC bit (RFC 2181, section 9). If that is not enough, all sections are dropped and TC is set."""
     if response.truncated:
         return _pack(query, response, [[], [], []], 0x0200)
     sections = [response.answers, response.authority, response.additional]
@@ -317,7 +318,7 @@
 
 
 def _opt(query: Query, response: Response, at: int) -> bytes:
-    """The OPT record of a response (RFC 6891, section 6.1), which is its last and begins at `at`."""
+    """The OPT record of a response (RFC 6891, section 6.1): its last record, at offset `at`."""
     asked, data = query.options, b""
     if asked.subnet is not None and response.code != Code.FORMERR:
         data += options.pack_option(
@@ -331,7 +332,7 @@
         data += options.pack_option(Option.COOKIE, response.cookie)
     if response.error is not None:
         data += options.pack_extended_error(*response.error)
-    if response.padded:  # the option's own four bytes and the record's head count as well
+    if response.padded:  # the option's own four bytes and the record's header count too
         data += options.pack_option(Option.PADDING, bytes(-(at + OPT_HEADER_BYTES + len(data) + 4) % response.padded))
     ttl = (response.code >> 4) << 24 | (DO if query.dnssec else 0)
     return b"\0" + struct.pack("!HHIH", Type.OPT, EDNS_UDP_SIZE, ttl, len(data)) + data
--- a/threadhill/dns/names.py
+++ b/threadhill/dns/names.py
@@ -1,4 +1,4 @@
-"""What a name under a zone asks for: part, object, class and tenant, read from left to right."""
+"""Parses names below a zone: part, object, class and tenant, from left to right."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from threadhill.hostnames import SERVERS_LABEL, labels_of
 
 HEX_DIGITS = set("0123456789abcdef")
-MAX_PART_DIGITS = 10  # digits
+MAX_PART_DIGITS = 10
 
 
 class Kind(Enum):
-    """What stands at a name of a zone."""
+    """What exists at a name of a zone."""
 
     APEX = "apex"
-    EMPTY = "empty"  # nothing, but names below it exist: NODATA and not NXDOMAIN (RFC 8020)
+    EMPTY = "empty"  # an empty non-terminal: NODATA, not NXDOMAIN (RFC 8020)
     TARGET = "target"
-    SERVICE = "service"  # a target behind _service._tcp
-    SERVER = "box"
+    SERVICE = "service"  # _service._tcp before a target
+    SERVER = "box"  # a server's own name
     NONE = "none"
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedName:
-    """A name within a zone."""
+    """A name within a zone and what it stands for."""
 
     kind: Kind
     zone: str
@@ -38,7 +38,7 @@
 
 
 def zone_of(labels: tuple[str, ...], zones: Set[str]) -> str | None:
-    """The longest of the zones that the name is in."""
+    """The longest of the zones that contain the name."""
     for i in range(len(labels)):
         zone = ".".join(labels[i:])
         if zone in zones:
@@ -47,7 +47,7 @@
 
 
 def parse_name(labels: tuple[str, ...], zone: str, tenants: Tenants, classes: frozenset[str]) -> ParsedName:
-    """What stands there. A tenant's names exist only in its own zones: others see nothing of it."""
+    """What exists at a name. A tenant's names exist only in its own zones."""
     relative = labels[: len(labels) - len(labels_of(zone))]
     if not relative:
         return ParsedName(Kind.APEX, zone)
@@ -61,7 +61,7 @@
             else ParsedName(Kind.EMPTY, zone)
         )
     tenant = tenants.by_name.get(relative[-1])
-    # From the zone outwards; spelled out, since every query comes through here.
+    # Checked label by label from the zone outwards, without a loop because every query takes this path.
     n = len(relative)
     if n > 6 or tenant is None or zone not in tenant.zones:
         return missing
--- a/threadhill/dns/options.py
+++ b/threadhill/dns/options.py
@@ -1,6 +1,6 @@
-"""EDNS options (RFC 6891, section 6.1.2): what a query's say, and the bytes of a response's.
+"""Parses and serializes EDNS options (RFC 6891, section 6.1.2).
 
-An option that cannot be used makes the query malformed, as the RFC of each asks; one that is not known is skipped.
+A malformed option makes the query malformed, as its RFC requires. Unknown options are skipped.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-MAX_OPTIONS = 32  # options of one query at most
-MAX_EXTRA_TEXT_BYTES = 120  # bytes of an extended error's text at most
+MAX_OPTIONS = 32  # in one query
+MAX_EXTRA_TEXT_BYTES = 120  # EXTRA-TEXT of an extended error
 
 
 class Option(IntEnum):
-    """Codes in use (IANA, DNS EDNS0 Option Codes)."""
+    """Option codes that this server knows (IANA, DNS EDNS0 Option Codes)."""
 
     NSID = 3  # RFC 5001
     SUBNET = 8  # RFC 7871
@@ -25,7 +25,7 @@
 
 
 class ExtendedError(IntEnum):
-    """Extended errors that are told (RFC 8914, section 4)."""
+    """Extended DNS errors that this server sends (RFC 8914, section 4)."""
 
     PROHIBITED = 18
     NOT_READY = 14
@@ -35,30 +35,30 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientSubnet:
-    """A client's network as a resolver tells it (RFC 7871, section 6)."""
+    """The client subnet option of a query (RFC 7871, section 6)."""
 
-    family: int  # 1: IPv4, 2: IPv6, 0: none told
-    source_prefix: int  # bits of it that are told
-    address: bytes  # those bits, in whole bytes
+    family: int  # 1: IPv4, 2: IPv6, 0: no address
+    source_prefix: int  # source prefix length in bits
+    address: bytes  # the prefix, in whole bytes
 
     def pack(self, scope: int) -> bytes:
-        """The option of a response: the query's, with the bits that the answer holds for."""
+        """The option data of a response: that of the query with this scope prefix length."""
         return struct.pack("!HBB", self.family, self.source_prefix, scope) + self.address
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """What a query's options say."""
+    """The options of a query."""
 
     subnet: ClientSubnet | None = None
     nsid: bool = False
     keepalive: bool = False
-    cookie: bytes | None = None  # the client cookie, and the server cookie where one is brought back (RFC 7873)
-    padding: bool = False  # asked by one that pads its query (RFC 7830)
+    cookie: bytes | None = None  # client cookie, followed by the server cookie if the client has one (RFC 7873)
+    padding: bool = False  # the query is padded, so the response is padded too (RFC 7830)
 
 
 def read_subnet(raw: bytes) -> ClientSubnet:
-    """RFC 7871, section 7.1.2: anything but the shortest form of the prefix is malformed."""
+    """Parse a client subnet. Anything but the shortest form is malformed (RFC 7871, section 7.1.2)."""
     if len(raw) < 4:
         raise ValueError("a client subnet is cut off")
     family, source_prefix, scope = struct.unpack_from("!HBB", raw)
@@ -72,7 +72,7 @@
 
 
 def read_options(raw: bytes) -> Options:
-    """All options of an OPT record; ValueError where one is malformed."""
+    """All options of an OPT record. Raises ValueError if one is malformed."""
     subnet, seen, at, count = None, set(), 0, 0
     cookie: bytes | None = None
     while at < len(raw):
@@ -102,5 +102,5 @@
 
 
 def pack_extended_error(code: int, text: str) -> bytes:
-    """RFC 8914, section 2: why, for programs and for people."""
+    """An extended DNS error option (RFC 8914, section 2)."""
     return pack_option(Option.EXTENDED_ERROR, struct.pack("!H", code) + text.encode()[:MAX_EXTRA_TEXT_BYTES])
--- a/threadhill/dns/static.py
+++ b/threadhill/dns/static.py
@@ -1,4 +1,4 @@
-"""Tenants' static records beside the steered names, by name, made anew with each version of the tenants."""
+"""Tenants' static records by name, rebuilt with each version of the tenants."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from threadhill.dns.message import Labels, Record, Type
 from threadhill.hostnames import labels_of
 
-MAX_CNAME_CHAIN = 8  # aliases of the same zone followed for one answer
+MAX_CNAME_CHAIN = 8  # CNAME records followed for one answer
 
 
 @dataclass(slots=True)
 class NameRecords:
-    """What stands at one name; nothing where only names below it exist."""
+    """The record sets of one name, by type. An empty non-terminal has none."""
 
     rrsets: dict[int, list[Record]] = field(default_factory=dict)
 
 
 class StaticRecords:
-    """Look-ups by whole name."""
+    """Looks up static records by their full name."""
 
     def __init__(self, tenants: Tenants) -> None:
         self.tenants = tenants
@@ -36,7 +36,7 @@
         for tenant in self.tenants.by_name.values():
             if not tenant.records:
                 continue
-            from threadhill import zonefile  # few tenants have any
+            from threadhill import zonefile  # imported here because few tenants have static records
 
             apexes = {labels_of(zone) for zone in tenant.zones}
             for text in tenant.records:
@@ -47,9 +47,7 @@
                     Record(record.kind, data, record.owner, record.ttl)
                 )
                 ancestor = record.owner
-                while (
-                    ancestor not in apexes and len(ancestor) > 1
-                ):  # names above it exist, with nothing there (RFC 8020)
+                while ancestor not in apexes and len(ancestor) > 1:  # empty non-terminals (RFC 8020)
                     ancestor = ancestor[1:]
                     if ancestor not in apexes:
                         names.setdefault(ancestor, NameRecords())
@@ -59,7 +57,7 @@
         return self.names().get(name)
 
     def answer(self, name: Labels, kind: int) -> list[Record]:
-        """The records that answer a query there: the set, or an alias with what it leads to among ours
+        """The records that answer a query: the record set, or a CNAME with the static records it leads to
         (RFC 1034, section 4.3.2)."""
         answers: list[Record] = []
         for _ in range(MAX_CNAME_CHAIN):
@@ -77,7 +75,7 @@
         return answers
 
     def zone_records(self, zone: Labels) -> list[Record]:
-        """All records of a zone, in the order of their names, for a transfer."""
+        """All static records of a zone in the order of their names, for a zone transfer."""
         found = [
             (name[::-1], name_records) for name, name_records in self.names().items() if name[-len(zone) :] == zone
         ]
--- a/threadhill/dns/views.py
+++ b/threadhill/dns/views.py
@@ -1,9 +1,9 @@
-"""Views: which node's servers a query is answered with, by the network of its client, longest prefix first.
+"""Views choose the node whose servers a query is answered with, by longest prefix match on the client's network.
 
-A resolver that tells a client subnet (RFC 7871) is answered for that subnet; one that tells none, for its own address.
-The scope of the answer is the length of the prefix that chose it, so that a resolver gives it to that network and no
-wider; where no view holds, the answer holds for the subnet told and no more. A node whose servers all drain falls to
-the next one that its view allows, in the file's order. Decisions only: no I/O.
+The client's network is the client subnet in the query (RFC 7871), or the resolver's own address. The answer's scope
+is the length of the matching prefix, so that a resolver reuses the answer only within that network. If no view matches,
+the scope is the client subnet itself. If all servers of a node drain, the view's next node is used, in the order of the
+operator's file. No I/O.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """Clients of these networks are sent to this node, and where it has nothing, to the next of `then`."""
+    """Clients of these networks are sent to this node, or to the first of `fallbacks` that has a server."""
 
     node: str
     networks: tuple[str, ...]
@@ -25,18 +25,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """The nodes to try in order, and the scope that the answer holds for."""
+    """The nodes to try in order, and the scope prefix length of the answer."""
 
     nodes: tuple[str, ...]
     scope: int
 
 
 class Views:
-    """The operator's table, looked up by prefix length from the longest down: at most 33 or 129 looks."""
+    """The operator's views, looked up from the longest prefix length down: at most 33 or 129 lookups."""
 
     def __init__(self, views: list[View], home_node: str) -> None:
-        self.home_node = home_node  # this proxy's own node: for who falls in no view
-        self.tables: dict[int, dict[int, dict[Network, View]]] = {4: {}, 6: {}}  # family -> length -> network -> view
+        self.home_node = home_node  # this proxy's own node, for clients in no view
+        # IP version -> prefix length -> network -> view
+        self.tables: dict[int, dict[int, dict[Network, View]]] = {4: {}, 6: {}}
         for view in views:
             for text in view.networks:
                 network = ipaddress.ip_network(text, strict=False)
@@ -48,16 +49,16 @@
         self.nodes = {view.node for view in views} | {node for view in views for node in view.fallbacks}
 
     def choose(self, address: str, prefix_length: int | None = None) -> Choice:
-        """For a client at `address`; `told`: the bits of it that the resolver told, None where it told no subnet."""
-        if not self.nodes:  # no views: every client gets the same, and the answer holds for all
+        """Choose for a client at `address`. `prefix_length` is that of the query's client subnet, if it has one."""
+        if not self.nodes:  # no views: the answer is the same for all clients
             return Choice((self.home_node,), 0)
         try:
             found = ipaddress.ip_address(address)
         except ValueError:
             return Choice((self.home_node,), 0)
         announced_bits = found.max_prefixlen if prefix_length is None else prefix_length
-        # Views inside the part that was told would answer some of its clients otherwise: the answer holds for no
-        # network wider than theirs.
+        # Views inside the client subnet give some of its clients another answer, so the scope must be no wider than
+        # the prefix of such a view.
         longer_prefix = next(
             (
                 length
@@ -68,7 +69,7 @@
         )
         for length in self.lengths[found.version]:
             if length > announced_bits:
-                continue  # what is not told can't choose
+                continue  # the query does not have that many bits of the address
             view = self.tables[found.version][length].get(ipaddress.ip_network(f"{found}/{length}", strict=False))
             if view is not None:
                 nodes = tuple(dict.fromkeys((view.node, *view.fallbacks)))
