--- a/threadhill/dns/key_commands.py
+++ b/threadhill/dns/key_commands.py
@@ -1,4 +1,4 @@
-"""The commands for zones' signing keys: `threadhill dns key ...`. A running proxy takes up each change by itself."""
+"""The commands for zones' signing keys: `threadhill dns key ...`. A running proxy loads each change by itself."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def ds_line(key: Key) -> str:
-    """The DS record as a parent's zone file has it."""
+    """The DS record in zone file format, for the parent zone."""
     return f"{key.zone}. IN DS {key.tag} {ALGORITHM} {SHA256} {key.ds[4:].hex().upper()}"
 
 
@@ -49,7 +49,7 @@
 
 
 def generate(folder: Path, zone: str) -> Key:
-    """The first key of a zone, which signs from now on."""
+    """Generate the first key of a zone. It is active at once."""
     zone = _zone(zone)
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     if keys.read_folder(folder).get(zone):
@@ -76,7 +76,7 @@
 def activate(folder: Path, zone: str, tag: int, force: bool) -> None:
     zone = _zone(zone)
     changed = keys.activate(_keys(folder, zone), tag, unix_seconds(), force)
-    for key in changed:  # the new one first: with both active, whoever reads takes the one that was last
+    for key in changed:  # the new one first: if both are active, readers use the newer one
         keys.write(folder, key)
 
 
@@ -87,7 +87,7 @@
 
 
 def check(folder: Path) -> list[str]:
-    """What is wrong with the keys of a folder, and what waits for its next step; nothing where all is well."""
+    """Errors in the keys of a folder, and pending steps of key rollovers."""
     try:
         zones = keys.read_folder(folder)
     except (Malformed, OSError) as error:
--- a/threadhill/dns/keys.py
+++ b/threadhill/dns/keys.py
@@ -1,8 +1,9 @@
-"""Zones' signing keys: ECDSA P-256 (RFC 6605), one key a zone that signs both its records and its DNSKEY set.
+"""Signing keys of zones: ECDSA P-256 (RFC 6605), with one active key per zone that signs its records and DNSKEY set.
 
 A key is one JSON file, readable by its owner only. It is `published` (resolvers learn it, it signs the DNSKEY set),
-`active` (it signs everything) or `retired` (still published, for who keeps older sets). Rolling goes through these
-states by command, each no sooner than what resolvers keep has run out: a signature must always find its key.
+`active` (it signs everything) or `retired` (still published, for resolvers with cached signatures). A key rollover
+passes through these states by command, each step only after older DNSKEY sets have expired from resolvers' caches, so
+that a resolver can always find the key of a signature.
 """
 
 from __future__ import annotations
@@ -26,13 +27,13 @@
 from threadhill.settings import Malformed
 
 ALGORITHM = 13  # ECDSAP256SHA256 (RFC 6605, section 4)
-FLAGS = 257  # a zone key that is a secure entry point
+FLAGS = 257  # zone key, secure entry point
 PROTOCOL = 3
 SHA256 = 2  # digest type of DS records (RFC 4509)
-KEY_TTL = 300  # seconds for which resolvers may keep a DNSKEY set
-MIN_STATE_SECONDS = 2 * KEY_TTL  # seconds that a published or retired key stays so at the least: all have heard by then
+KEY_TTL = 300  # seconds for which resolvers may cache a DNSKEY set
+MIN_STATE_SECONDS = 2 * KEY_TTL  # minimum time as published or retired; older DNSKEY sets have expired by then
 MAX_FILE_BYTES = 16 << 10
-MAX_KEYS = 8  # of one zone
+MAX_KEYS = 8  # per zone
 
 
 class State(Enum):
@@ -48,12 +49,12 @@
     zone: str
     state: State
     created: int  # Unix seconds
-    state_since: int  # when it came into its state
+    state_since: int  # Unix seconds
     private: ec.EllipticCurvePrivateKey
 
     @property
     def rdata(self) -> bytes:
-        """Of its DNSKEY record (RFC 4034, section 2.1; RFC 6605, section 4)."""
+        """The data of its DNSKEY record (RFC 4034, section 2.1; RFC 6605, section 4)."""
         numbers = self.private.public_key().public_numbers()
         return (
             struct.pack("!HBB", FLAGS, PROTOCOL, ALGORITHM)
@@ -63,14 +64,14 @@
 
     @property
     def tag(self) -> int:
-        """RFC 4034, appendix B."""
+        """The key tag (RFC 4034, appendix B)."""
         data = self.rdata
         total = sum(byte << 8 if i % 2 == 0 else byte for i, byte in enumerate(data))
         return total + (total >> 16) & 0xFFFF
 
     @property
     def ds(self) -> bytes:
-        """The data of the DS record that its parent zone is to have (RFC 4034, section 5.1.4)."""
+        """The data of the DS record for the parent zone (RFC 4034, section 5.1.4)."""
         digest = hashlib.sha256(pack_name(labels_of(self.zone)) + self.rdata).digest()
         return struct.pack("!HBB", self.tag, ALGORITHM, SHA256) + digest
 
@@ -80,12 +81,12 @@
 
 
 def generate(zone: str, state: State, now: int) -> Key:
-    """A new key."""
+    """Generate a new key."""
     return Key(".".join(labels_of(zone)), state, now, now, ec.generate_private_key(ec.SECP256R1()))
 
 
 def write(folder: Path, key: Key) -> Path:
-    """Put the key's file in place, whole and readable by its owner only from its first byte on."""
+    """Write the key's file atomically, readable by its owner only from the start."""
     pem = key.private.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     ).decode()
@@ -113,7 +114,7 @@
 
 
 def read(path: Path) -> Key:
-    """One key file; Malformed says what is wrong with it and what to do."""
+    """Read one key file. Raises Malformed with the error and what to do about it."""
     check_private(path, MAX_FILE_BYTES)
     try:
         raw = json.loads(path.read_text())
@@ -134,7 +135,7 @@
 
 
 def read_folder(folder: Path) -> dict[str, list[Key]]:
-    """All keys by zone, the active one first; Malformed where the set of a zone cannot be used."""
+    """All keys by zone, the active one first. Raises Malformed if the keys of a zone cannot be used."""
     if not folder.is_dir():
         raise Malformed(f"{folder}: no such folder; make one with `threadhill dns key generate ZONE --keys {folder}`")
     zones: dict[str, list[Key]] = {}
@@ -148,14 +149,14 @@
                 f"{folder}: zone {zone} has {len(keys)} keys of which {len(active)} are active: one must "
                 f"be, of {MAX_KEYS} at most with different tags"
             )
-        # An activation that was cut off between its two files leaves two: the last one counts.
+        # An activation that was interrupted between its two files leaves two active keys: the newer one counts.
         keys[:] = [replace(key, state=State.RETIRED) if key in active[:-1] else key for key in keys]
         keys.sort(key=lambda key: (key.state is not State.ACTIVE, key.created, key.tag))
     return zones
 
 
 class RollRefused(Exception):
-    """A step of a roll that would leave signatures without their key; the text says when it may be taken."""
+    """The key command cannot be carried out now, for example because resolvers would lack the key of a signature."""
 
 
 def _find(keys: list[Key], tag: int) -> Key:
@@ -175,20 +176,20 @@
 
 
 def roll(zone: str, keys: list[Key], now: int) -> list[Key]:
-    """The first step: a new key that is published. The keys that changed."""
+    """The first step of a rollover: a new published key. Returns the keys that changed."""
     if any(key.state is State.PUBLISHED for key in keys):
         raise RollRefused(f"a roll of {zone} is under way; activate or remove its published key first")
     if len(keys) >= MAX_KEYS:
         raise RollRefused(f"{zone} has {len(keys)} keys: remove a retired one first")
     used_tags = {key.tag for key in keys}
     new = generate(zone, State.PUBLISHED, now)
-    while new.tag in used_tags:  # two keys of one tag could not be told apart by their files
+    while new.tag in used_tags:  # the file name has only zone and tag
         new = generate(zone, State.PUBLISHED, now)
     return [new]
 
 
 def activate(keys: list[Key], tag: int, now: int, force: bool = False) -> list[Key]:
-    """The second step: this key signs from now on, the one that did is retired."""
+    """The second step: this key becomes active, the active one is retired. Returns the keys that changed."""
     key = _find(keys, tag)
     if key.state is State.ACTIVE:
         return []
@@ -201,7 +202,7 @@
 
 
 def check_removable(keys: list[Key], tag: int, now: int, force: bool = False) -> Key:
-    """The last step: this key is published no more. One that never signed may go at once."""
+    """The last step: the key to be removed, if it can be. A key that never signed can be removed at once."""
     key = _find(keys, tag)
     if key.state is State.ACTIVE:
         raise RollRefused(f"key {tag} is active: activate another one first")
@@ -211,7 +212,7 @@
 
 
 class KeyFolder:
-    """The keys of a folder as they are in use; `reload_if_changed` takes them anew when a file changed."""
+    """The keys of a folder that are in use. `reload_if_changed` reads them again after a file changed."""
 
     def __init__(self, folder: Path, log: Callable[[str], None]) -> None:
         self.folder, self.log = folder, log
@@ -222,7 +223,7 @@
         return [(path.name, file_version(path)) for path in sorted(self.folder.glob("K*.json"))]
 
     def reload_if_changed(self) -> bool:
-        """Whether other keys were taken. A set that cannot be used is told once and changes nothing."""
+        """Whether new keys were loaded. Keys that cannot be used are logged once, and the loaded ones stay in use."""
         versions = self._current_versions()
         if versions == self._file_versions:
             return False
--- a/threadhill/dns/signing.py
+++ b/threadhill/dns/signing.py
@@ -1,8 +1,8 @@
-"""Signatures made as answers are (RFC 4034, 4035), with compact denial (RFC 9824): the name that is asked for is
-proved to have no such type, or none at all, by one NSEC record made for it.
+"""Online DNSSEC signing (RFC 4034, RFC 4035) with compact denial of existence (RFC 9824): one NSEC record made for the
+query name proves that the name lacks the type, or does not exist.
 
-What is signed is the records alone, so a signature that is kept for the next answer of the same records names no
-server by itself: which records are answered with is decided before, each time. Decisions only: keys and time are given.
+A signature covers records only, so it can be cached and reused without delaying a drain: which records are in an answer
+is decided each time before they are signed. No I/O: keys and time are parameters.
 """
 
 from __future__ import annotations
@@ -18,19 +18,15 @@
 from threadhill.dns.message import Code, Labels, Query, Record, Response, Type, pack_name
 from threadhill.hostnames import MAX_NAME_BYTES, labels_of
 
-VALIDITY_STEP = 300  # seconds in which signatures of the same records have the same times, so that they can be kept
-CLOCK_SKEW = 3_600  # seconds that a resolver's clock may be behind
-MAX_CACHED_SIGNATURES = 8_192  # signatures kept at most, some 300 bytes each
-SIGNED_BY_ALL_KEYS = (
-    Type.DNSKEY,
-    Type.CDS,
-    Type.CDNSKEY,
-)  # sets that each of the zone's keys signs: any DS leads to them
-NXDOMAIN_TYPES = (Type.RRSIG, Type.NSEC, Type.NXNAME)  # the types at a name that does not exist (RFC 9824, section 2)
+VALIDITY_STEP = 300  # seconds; signature times are rounded to this, so that signatures can be cached
+CLOCK_SKEW = 3_600  # seconds by which a resolver's clock may be behind
+MAX_CACHED_SIGNATURES = 8_192  # some 300 bytes each
+SIGNED_BY_ALL_KEYS = (Type.DNSKEY, Type.CDS, Type.CDNSKEY)  # signed by each key, so that any DS record matches one
+NXDOMAIN_TYPES = (Type.RRSIG, Type.NSEC, Type.NXNAME)  # NSEC types of a name that does not exist (RFC 9824, section 2)
 
 
 def canonical(record: Record) -> bytes:
-    """The record's data in canonical form (RFC 4034, section 6.2): names whole and in lower case."""
+    """The record's data in canonical form (RFC 4034, section 6.2): names uncompressed and in lower case."""
     if isinstance(record.data, bytes):
         return record.data
     return b"".join(
@@ -53,7 +49,7 @@
 
 
 def successor(name: Labels) -> Labels:
-    """The next name in canonical order, so that a denial covers this one only (RFC 9824, section 3.1)."""
+    """The next name in canonical order, so that the NSEC record covers only this name (RFC 9824, section 3.1)."""
     if sum(len(label) + 1 for label in name) + 3 <= MAX_NAME_BYTES:
         return ("\0", *name)
     first = name[0].rstrip("\xff") or name[0]
@@ -62,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SigningKey:
-    """A key with all that signing needs of it worked out."""
+    """A key with the values needed for signing, computed once."""
 
     tag: int
     rdata: bytes
@@ -72,15 +68,15 @@
 
 
 class Signer:
-    """Signs for the zones that have keys."""
+    """Signs the records of all zones that have keys."""
 
     def __init__(self, zones: Mapping[str, list[Key]], lifetime: int = 3_600) -> None:
-        self.lifetime = lifetime  # seconds for which a signature is good at the least
-        self.signatures_made = self.cache_hits = 0  # signatures made, and found among those kept
+        self.lifetime = lifetime  # minimum validity of a signature, in seconds
+        self.signatures_made = self.cache_hits = 0
         self.set_keys(zones)
 
     def set_keys(self, zones: Mapping[str, list[Key]]) -> None:
-        """Sign by these keys from now on; what was signed by others is forgotten."""
+        """Sign with these keys from now on and clear the cache."""
         self.zones = {
             zone: [SigningKey(key.tag, key.rdata, key.ds, key.state, key.private) for key in keys]
             for zone, keys in zones.items()
@@ -92,16 +88,16 @@
         return zone in self.zones
 
     def key_records(self, zone: str, kind: int) -> list[Record]:
-        """The records at a signed zone's name that tell of its keys."""
+        """The DNSKEY, CDS or CDNSKEY records at the apex of a signed zone."""
         keys = self.zones.get(zone, [])
         if kind in (Type.DNSKEY, Type.CDNSKEY):
             return [Record(kind, key.rdata, ttl=KEY_TTL) for key in keys]
-        if kind == Type.CDS:  # what the parent is to have: also what a roll is about to need (RFC 7344)
+        if kind == Type.CDS:  # the DS records that the parent should have, including the next key's (RFC 7344)
             return [Record(kind, key.ds, ttl=KEY_TTL) for key in keys if key.state is not State.RETIRED]
         return []
 
     def sign(self, query: Query, response: Response, now: int) -> None:
-        """Add signatures to each set of a zone of ours, and the denial where there is nothing else to prove it."""
+        """Add signatures to each record set of a signed zone, and an NSEC record to a negative answer."""
         zone = response.zone
         if zone not in self.zones or response.code not in (Code.NOERROR, Code.NXDOMAIN) or response.truncated:
             return
@@ -111,11 +107,12 @@
             section.extend(self._signatures(query.name, section, zone, now))
 
     def _deny(self, query: Query, response: Response) -> None:
-        """That the name has no such type; one that does not exist is one without any (RFC 9824, section 3)."""
+        """Add the NSEC record of a negative answer. A name that does not exist gets one too, with the NXNAME type
+        (RFC 9824, section 3)."""
         exists = response.exists or ()
         if response.code == Code.NXDOMAIN:
             types = list(NXDOMAIN_TYPES)
-            if not query.compact_denial:  # who does not know of it takes NXDOMAIN with this proof for a fault
+            if not query.compact_denial:  # other resolvers consider NXDOMAIN with this proof bogus
                 response.code = Code.NOERROR
         else:
             types = [kind for kind in (*exists, Type.RRSIG, Type.NSEC) if kind != query.type]
@@ -127,13 +124,11 @@
         apex = labels_of(zone)
         for record in section:
             owner = record.owner if record.owner is not None else name
-            if owner[-len(apex) :] == apex:  # what another zone has is not ours to sign
+            if owner[-len(apex) :] == apex:  # records of other zones are not signed
                 rrsets.setdefault((owner, record.type), []).append(record)
         signatures = []
         for (owner, kind), records in rrsets.items():
-            keys = (
-                self.zones[zone] if kind in SIGNED_BY_ALL_KEYS else self.zones[zone][:1]
-            )  # the active one comes first
+            keys = self.zones[zone] if kind in SIGNED_BY_ALL_KEYS else self.zones[zone][:1]  # the active key is first
             signatures += [
                 Record(Type.RRSIG, self._signature(owner, records, apex, key, now), records[0].owner, records[0].ttl)
                 for key in keys
--- a/threadhill/dns/tls.py
+++ b/threadhill/dns/tls.py
@@ -1,7 +1,7 @@
-"""The certificate of DNS over TLS (RFC 7858): read from files, checked, and taken anew when the files change.
+"""The certificate of DNS over TLS (RFC 7858): loaded from files, and reloaded when they change.
 
-Connections keep the context that they began with, so a new certificate ends none of them. A pair that cannot be used
-is told in the log and changes nothing: the old one goes on.
+Connections keep the TLS context that they began with, so a new certificate closes none of them. If the new certificate
+or key cannot be used, the error is logged and the old pair stays in use.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def make_context(certificate: Path, key: Path) -> ssl.SSLContext:
-    """A server's context of this pair; Malformed tells what is wrong with it."""
+    """A server's TLS context for this certificate and key. Raises Malformed if they cannot be used."""
     try:
         check_private(key)
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -40,20 +40,20 @@
 
 
 class Certificate:
-    """The pair in use. `reload_if_changed` takes a new one when a file changed."""
+    """The certificate and key in use. `reload_if_changed` reads them again after a file changed."""
 
     def __init__(self, certificate: Path, key: Path, log: Callable[[str], None]) -> None:
         self.certificate, self.key, self.log = certificate, key, log
         self._file_versions = self._current_versions()
         self.context = make_context(certificate, key)
-        self.loaded = 1  # pairs taken so far
+        self.loaded = 1  # number of loads so far
 
     def _current_versions(self) -> list[FileVersion | None]:
         return [file_version(self.certificate), file_version(self.key)]
 
     def reload_if_changed(self) -> bool:
-        """Whether a new pair was taken. Half of a pair that is being replaced does not fit: it is tried again at the
-        next change, and each fault is told once."""
+        """Whether a new pair was loaded. While the files are being replaced, certificate and key do not match; they are
+        tried again after the next change. Each error is logged once."""
         versions = self._current_versions()
         if versions == self._file_versions:
             return False
--- a/threadhill/dns/transfer.py
+++ b/threadhill/dns/transfer.py
@@ -1,8 +1,8 @@
-"""Zone transfers (RFC 5936): who may have one, and the messages of it.
+"""Zone transfers (RFC 5936): access control and messages.
 
-Only a zone's static records have a list. The steered names are made for each query, so a copy of a zone is for audits
-and backups and cannot stand in for this server. Incremental transfers (RFC 1995) are answered whole, or with the SOA
-alone where the copy is at the present version. Decisions only: no I/O.
+Only a zone's static records are transferred. Steered names are made for each query, so a copy of a zone serves audits
+and backups and cannot replace this server. Incremental transfers (RFC 1995) are answered with the full zone, or with
+the SOA alone if the copy is current. No I/O.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from threadhill.dns.message import Labels, Query, Record, Response
 from threadhill.hostnames import labels_of
 
-MESSAGE_SIZE = 16 << 10  # bytes of one message, about: several small ones let others in between
+MESSAGE_SIZE = 16 << 10  # approximate bytes per message: between small messages other work can run
 Network = ipaddress.IPv4Network | ipaddress.IPv6Network
 
 
 @dataclass(frozen=True, slots=True)
 class TransferConfig:
-    """Who may copy zones, and the keys (name to secret) that they are known by."""
+    """The networks that may transfer zones, and the TSIG keys (name to secret)."""
 
     networks: tuple[Network, ...] = ()
     keys: dict[Labels, bytes] = field(default_factory=dict)
@@ -30,7 +30,7 @@
 def refusal_reason(
     query: Query, zone: str, peer: str, stream: bool, signed: bool, networks: tuple[Network, ...]
 ) -> str:
-    """Why this transfer is not given; "" where it is."""
+    """Why this transfer is refused; "" if it is allowed."""
     if not stream:
         return "zone transfers are given over TCP only"
     try:
@@ -47,7 +47,8 @@
 
 
 def messages(query: Query, soa: Record, zone_records: list[Record] | None) -> Iterator[bytes]:
-    """The messages: the SOA first and last, what is in the zone between. None: the asker's copy is as new as ours."""
+    """The messages of a transfer: the SOA, the zone's records, and the SOA again. With None for the records, as the
+    requester's copy is current, the SOA alone."""
     remaining = [soa] if zone_records is None else [soa, *zone_records, soa]
     while remaining:
         batch: list[Record] = []
--- a/threadhill/dns/transport.py
+++ b/threadhill/dns/transport.py
@@ -1,5 +1,5 @@
-"""The DNS front on sockets: UDP datagrams, and messages behind their length over TCP (RFC 7766) and TLS (RFC 7858),
-which share one path: the same guest, only its door has a certificate."""
+"""The sockets of the DNS front: UDP, and length-prefixed messages over TCP (RFC 7766) and TLS (RFC 7858). TCP and TLS
+share their code and differ only in the listener."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 if TYPE_CHECKING:
     from threadhill.dns.tls import Certificate
 
-MAX_QUERY_BYTES = 4 << 10  # bytes of a query at most: names and an OPT are far smaller
+MAX_QUERY_BYTES = 4 << 10  # names and an OPT are far smaller
 MAX_OUTBOUND_BYTES = 64 << 10
 IDLE_TIMEOUT = 10_000_000  # microseconds without a query after which a connection is closed
-CERTIFICATE_CHECK_INTERVAL = 500_000  # microseconds between looks whether the certificate's files changed
-MAX_PENDING_QUERIES = 64  # queries of one connection under way
+CERTIFICATE_CHECK_INTERVAL = 500_000  # microseconds between checks whether the certificate's files changed
+MAX_PENDING_QUERIES = 64  # per connection
 
 
 class UdpServer(asyncio.DatagramProtocol):
-    """All queries over UDP."""
+    """The UDP socket."""
 
     def __init__(self, front: DnsFront) -> None:
         self.front = front
@@ -36,12 +36,12 @@
         self.front.receive(data, lambda response: self.transport.sendto(response, peer), stream=False, peer=peer[0])
 
     def error_received(self, error: Exception) -> None:
-        """A resolver that is no longer there: it asks again or does not."""
+        """An ICMP error: the resolver is gone. It may ask again."""
         self.front.engine.stats.count("dns", "unreachable")
 
 
 class StreamConnection(AcceptedConnection):
-    """One connection; queries may follow each other without waiting, answers come as they are ready."""
+    """One TCP or TLS connection. Queries may be pipelined; responses are sent as they are ready, in any order."""
 
     idle = IDLE_TIMEOUT
 
@@ -50,7 +50,7 @@
         self.front, self.secure = front, secure
         self.pending: set[int] = set()
         self._reading = True
-        self._streams: deque[Iterator[bytes]] = deque()  # messages still to be made, as the peer takes them
+        self._streams: deque[Iterator[bytes]] = deque()  # transfers in progress; messages are made as the peer reads
 
     def disconnected(self) -> None:
         for ref in self.pending:
@@ -100,7 +100,7 @@
         self._write_streams()
 
     def _write_streams(self) -> None:
-        """Write on while the peer reads: a transfer is never held whole in memory."""
+        """Write messages of transfers while the peer reads, so that a transfer is never held in memory as a whole."""
         while self._streams and not self.slow and self.transport is not None and not self._closing:
             message = next(self._streams[0], None)
             if message is None:
@@ -113,7 +113,8 @@
         self._throttle()
 
     def _throttle(self) -> None:
-        """Read on while there is room for answers: what is not taken must not fill the ring."""
+        """Pause or resume reading. It is paused while too many queries are pending or the peer reads too slowly, so that the input buffer does
+        not fill up."""
         reading = not self.slow and len(self.pending) < MAX_PENDING_QUERIES
         if reading == self._reading or self.transport is None or self._closing:
             return
@@ -130,7 +131,7 @@
 
 
 class DnsServer:
-    """UDP and TCP on one address, TLS on another where the operator's file names a certificate."""
+    """Serves UDP and TCP on one address, and TLS on another if the operator's file has a certificate."""
 
     def __init__(self, front: DnsFront, log: Callable[[str], None]) -> None:
         self.front = front
@@ -163,7 +164,7 @@
             )
 
     async def listen(self) -> str:
-        """Listen; where the port is 0, TCP takes the one that UDP was given."""
+        """Listen on UDP and TCP. If the port is 0, TCP uses the port that UDP was given."""
         loop = asyncio.get_running_loop()
         host, port = self.front.config.listen
         for attempts_left in reversed(range(1 if port else 20)):
@@ -172,14 +173,14 @@
             try:
                 await self.listener.listen(host, bound_port)
                 break
-            except OSError:  # a port that is free for UDP may be in use for TCP: another is asked for
+            except OSError:  # a port that is free for UDP may be in use for TCP: retry with another one
                 udp.close()
                 if not attempts_left:
                     raise
         return f"{host}:{bound_port}"
 
     async def listen_tls(self) -> str:
-        """Listen for TLS, and look for new certificates from then on."""
+        """Listen for TLS and start polling for new certificates."""
         host, port = self.front.config.tls.listen
         bound_port = await self.tls_listener.listen(host, port)
         self._poll_certificate()
--- a/threadhill/dns/tsig.py
+++ b/threadhill/dns/tsig.py
@@ -1,6 +1,6 @@
-"""Transaction signatures (RFC 8945), HMAC-SHA256: who asks is who holds a key, and what comes back was not changed.
+"""TSIG transaction signatures (RFC 8945) with HMAC-SHA256, which authenticate queries and responses by a shared key.
 
-No I/O: keys and the time are given.
+No I/O: keys and the time are parameters.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from threadhill.dns.message import HEADER, Labels, Query, Type, pack_name, read_name
 
 ALGORITHM = ("hmac-sha256",)
-FUDGE = 300  # seconds that clocks may differ
+FUDGE = 300  # seconds by which clocks may differ
 CLASS_ANY = 255
-TIME_FIELDS = struct.Struct("!HIHH")  # time, in two parts, fudge and the MAC's length
+TIME_FIELDS = struct.Struct("!HIHH")  # time signed (upper 16 and lower 32 bits), fudge, MAC size
 
 
 class Error(IntEnum):
-    """RFC 8945, section 3."""
+    """TSIG error codes (RFC 8945, section 3)."""
 
     NONE = 0
     BADSIG = 16
@@ -31,14 +31,16 @@
 
 @dataclass(slots=True)
 class TsigContext:
-    """What a query's signature said, and the MAC that the next message of the answer builds on."""
+    """The verified TSIG record of a query, and the MAC that goes into that of the next response message."""
 
     key: Labels
     secret: bytes
     mac: bytes
     time: int
     error: Error = Error.NONE
-    first: bool = True  # of the answer's messages: later ones are signed with fewer fields (section 5.3.1)
+    first: bool = (
+        True  # the next response message is the first: later ones are signed with fewer fields (section 5.3.1)
+    )
 
 
 def _variables(key: Labels, time: int, fudge: int, error: int, other_data: bytes) -> bytes:
@@ -52,7 +54,7 @@
 
 
 def check(raw: bytes, query: Query, keys: Mapping[Labels, bytes], now: int) -> TsigContext:
-    """Whether the signature at the query's end holds; ValueError where it cannot be read."""
+    """Verify the TSIG record at the end of a query. Raises ValueError if the record is malformed."""
     start = query.tsig_at
     key, at = read_name(raw, start)
     _, cls, ttl, size = struct.unpack_from("!HHIH", raw, at)
@@ -72,7 +74,7 @@
     struct.pack_into("!H", header, 0, original_id)
     struct.pack_into("!H", header, 10, struct.unpack_from("!H", header, 10)[0] - 1)
     signed_data = bytes(header) + raw[HEADER.size : start] + _variables(key, time, fudge, error, other_data)
-    # A shorter MAC would be allowed by the RFC down to half; whoever has the key has all of it.
+    # The RFC allows MACs truncated down to half their length; this server accepts only full ones.
     if not hmac.compare_digest(hmac.digest(secret, signed_data, hashlib.sha256), mac):
         return TsigContext(key, b"", b"", time, Error.BADSIG)
     bad_time = abs(now - time) > fudge
@@ -80,8 +82,8 @@
 
 
 def sign(packed: bytes, context: TsigContext, now: int) -> bytes:
-    """A message of the answer with its signature; unsigned, with the reason, where the query's did not hold
-    (section 5.3.2). Where the clocks differ ours is told."""
+    """Append a TSIG record to a response message. It has an error and no MAC if the query's key or MAC was invalid
+    (section 5.3.2). A BADTIME response has this server's time."""
     other_data = struct.pack("!HI", now >> 32, now & 0xFFFFFFFF) if context.error is Error.BADTIME else b""
     time = context.time if context.error is Error.BADTIME else now
     mac = b""
@@ -107,5 +109,5 @@
 
 
 def max_record_size(context: TsigContext) -> int:
-    """Bytes that the signature of an answer takes at most."""
+    """Maximum bytes of the TSIG record of a response."""
     return len(pack_name(context.key)) + 10 + len(pack_name(ALGORITHM)) + TIME_FIELDS.size + 32 + 6 + 6
--- a/threadhill/zonefile.py
+++ b/threadhill/zonefile.py
@@ -1,5 +1,5 @@
-"""Static records as text, in the form of zone files (RFC 1035, section 5.1): `OWNER [TTL] TYPE DATA`, one a line, each
-name whole. Read with every fault told, written in one canonical way, and turned into the bytes that answers hold.
+"""Static records in zone file format (RFC 1035, section 5.1): `OWNER [TTL] TYPE DATA`, one per line, with fully
+qualified names. Parses and checks them, and returns their canonical text and wire format.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 from threadhill.hostnames import SERVERS_LABEL, labels_of
 
 Labels = tuple[str, ...]
-DEFAULT_TTL = 300  # seconds, where a record says none
-MAX_TTL = 86_400
-MAX_RECORDS = 256  # of one tenant
-MAX_DATA_BYTES = 4_096  # bytes of a record's data
+DEFAULT_TTL = 300  # seconds
+MAX_TTL = 86_400  # seconds
+MAX_RECORDS = 256  # per tenant
+MAX_DATA_BYTES = 4_096  # per record
 A, CNAME, MX, TXT, AAAA, SRV, CAA = 1, 5, 15, 16, 28, 33, 257
 TYPE_CODES = {"A": A, "CNAME": CNAME, "MX": MX, "TXT": TXT, "AAAA": AAAA, "SRV": SRV, "CAA": CAA}
 UNSUPPORTED_TYPES = {
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StaticRecord:
-    """One record. `data` is bytes and names, as answers hold it."""
+    """One record. `data` is a sequence of bytes and names, as in message.Record."""
 
     owner: Labels
     ttl: int
@@ -56,7 +56,7 @@
 
 
 def _unescape(quoted: str) -> bytes:
-    """The bytes of a character string: `\\"`, `\\\\` and `\\DDD` stand for one each."""
+    """The bytes of a character string. The escapes `\\"`, `\\\\` and `\\DDD` stand for one byte each."""
 
     def unescape(match: re.Match[str]) -> str:
         if match[1] is not None and int(match[1]) > 255:
@@ -86,7 +86,7 @@
 
 
 def _parse_data(kind: int, words: list[str]) -> tuple[tuple[bytes | Labels, ...], str]:
-    """A record's data and how it is written."""
+    """A record's data and its canonical text."""
     expected_words = {A: 1, AAAA: 1, CNAME: 1, MX: 2, SRV: 4, CAA: 3}.get(kind)
     if expected_words is not None and len(words) != expected_words:
         raise ValueError(f"its data has {expected_words} words, not {len(words)}")
@@ -102,7 +102,7 @@
     if kind == MX:
         rank, name = _parse_number(words[0], 65_535, "the preference"), _parse_name(words[1])
         return (struct.pack("!H", rank), name), f"{rank} {_format_name(name)}"
-    if kind == SRV:  # its target is not compressed (RFC 2782): as bytes
+    if kind == SRV:  # RFC 2782 forbids compression of the target, so it is bytes here
         numbers = [
             _parse_number(word, 65_535, what)
             for word, what in zip(words, ("the priority", "the weight", "the port"), strict=False)
@@ -126,7 +126,7 @@
 
 
 def parse_record(text: str) -> StaticRecord:
-    """One record; ValueError says what is wrong with it."""
+    """Parse one record. Raises ValueError with the error."""
     if not isinstance(text, str) or len(text) > 2 * MAX_DATA_BYTES:
         raise ValueError("a record is a text of `NAME [TTL] TYPE DATA`")
     parsed = [(match[1] if match[1] is not None else match[2], match[1] is not None) for match in WORD.finditer(text)]
@@ -151,13 +151,13 @@
 
 
 def zone_of(owner: Labels, zones: Iterable[str]) -> Labels | None:
-    """The longest of these zones that the name is in."""
+    """The longest of these zones that contain the name."""
     inside = [labels for zone in zones if owner[-len(labels := labels_of(zone)) :] == labels]
     return max(inside, key=len, default=None)
 
 
 def check_records(records: list[StaticRecord], zones: Iterable[str], tenant: str) -> list[tuple[int, str]]:
-    """What is wrong with a tenant's records together: each fault with the record's place."""
+    """Check a tenant's records against each other and its zones. Returns errors with the record's index."""
     faults, zones = [], list(zones)
     seen: dict[Labels, dict[int, int]] = {}  # owner -> type -> TTL
     texts: set[str] = set()
