--- a/threadhill/dns/key_commands.py
+++ b/threadhill/dns/key_commands.py
@@ -99,14 +99,14 @@
             if key.state is State.PUBLISHED:
                 when = f"in {remaining} s" if remaining > 0 else "now"
                 messages.append(
-                    f"{zone}: key {key.tag} is published and may be activated {when}, once the parent has " "its DS"
+                    f"{zone}: key {key.tag} is published and may be activated {when}, once the parent has its DS"
                 )
             elif key.state is State.RETIRED:
                 when = f"in {remaining} s" if remaining > 0 else "now"
                 messages.append(
-                    f"{zone}: key {key.tag} is retired and may be removed {when}, once the parent's old DS is "
-                    "gone and has run out"
+                    f"{zone}: key {key.tag} is retired and may be removed {when}, once the parent's old DS record is "
+                    "removed and has expired from caches"
                 )
             if key.created > now + 300:
-                messages.append(f"{zone}: key {key.tag} was made in the future: set this machine's clock")
+                messages.append(f"{zone}: key {key.tag} has a creation time in the future: check this machine's clock")
     return messages
--- a/threadhill/dns/keys.py
+++ b/threadhill/dns/keys.py
@@ -126,7 +126,7 @@
         )
     except (ValueError, KeyError, TypeError, AttributeError, UnsupportedAlgorithm) as error:
         raise Malformed(
-            f"{path}: not a key file ({str(error)[:120] or type(error).__name__}); put back a copy of it, "
+            f"{path}: not a key file ({str(error)[:120] or type(error).__name__}); restore a copy of it, "
             "or remove it and roll the zone's key"
         ) from None
     if raw.get("algorithm") != ALGORITHM or raw.get("tag") != key.tag or path.name != key.file_name:
@@ -231,7 +231,7 @@
         try:
             self.zones = read_folder(self.folder)
         except (Malformed, OSError) as error:
-            self.log(f"dns keys: {error}; the keys taken before stay in use")
+            self.log(f"dns keys: {error}; the keys loaded before stay in use")
             return False
         self.log(
             "dns keys: "
--- a/threadhill/dns/message.py
+++ b/threadhill/dns/message.py
@@ -156,7 +156,7 @@
             end = at + 2 if end < 0 else end
             pointers += 1
             if target >= lowest or pointers > MAX_POINTERS:
-                raise ValueError("a pointer does not lead backwards, or too many follow each other")
+                raise ValueError("a compression pointer does not point backwards, or a name has too many")
             at = lowest = target
             continue
         if size & POINTER:
--- a/threadhill/dns/operator_file.py
+++ b/threadhill/dns/operator_file.py
@@ -99,7 +99,7 @@
             raise Malformed(f"{at}: {path}: must hold at least 16 bytes in base64, as `openssl rand -base64 32` makes")
         keys[labels_of(text(key.get("name"), f"{at}.name"))] = secret
     if not networks or not keys:
-        raise Malformed("dns.transfer: names the networks it is open `to` and at least one of `keys`")
+        raise Malformed("dns.transfer: needs at least one network in `to` and one of `keys`")
     return TransferConfig(tuple(networks), keys)
 
 
--- a/threadhill/dns/tls.py
+++ b/threadhill/dns/tls.py
@@ -36,7 +36,7 @@
 
 
 def _no_password() -> bytes:
-    raise OSError(0, "the key is under a password, which nobody is there to type")
+    raise OSError(0, "the key is encrypted with a password; write it to the file without one")
 
 
 class Certificate:
@@ -61,7 +61,7 @@
         try:
             self.context = make_context(self.certificate, self.key)
         except Malformed as error:
-            self.log(f"dns tls: {error}; the certificate taken before stays in use")
+            self.log(f"dns tls: {error}; the certificate loaded before stays in use")
             return False
         self.loaded += 1
         self.log(f"dns tls: new certificate taken from {self.certificate} at {time.strftime('%FT%TZ', time.gmtime())}")
--- a/threadhill/dns/views.py
+++ b/threadhill/dns/views.py
@@ -43,7 +43,7 @@
                 network = ipaddress.ip_network(text, strict=False)
                 by_length = self.tables[network.version].setdefault(network.prefixlen, {})
                 if network in by_length:
-                    raise ValueError(f"{network} stands in two views ({by_length[network].node}, {view.node})")
+                    raise ValueError(f"{network} is in two views ({by_length[network].node}, {view.node})")
                 by_length[network] = view
         self.lengths = {family: sorted(table, reverse=True) for family, table in self.tables.items()}
         self.nodes = {view.node for view in views} | {node for view in views for node in view.fallbacks}
--- a/threadhill/zonefile.py
+++ b/threadhill/zonefile.py
@@ -20,9 +20,9 @@
 A, CNAME, MX, TXT, AAAA, SRV, CAA = 1, 5, 15, 16, 28, 33, 257
 TYPE_CODES = {"A": A, "CNAME": CNAME, "MX": MX, "TXT": TXT, "AAAA": AAAA, "SRV": SRV, "CAA": CAA}
 UNSUPPORTED_TYPES = {
-    "NS": "name servers stand in the operator's file (dns.nameservers)",
+    "NS": "name servers are set in the operator's file (dns.nameservers)",
     "SOA": "the SOA is made by the server",
-    "DS": "a signed zone's DS belongs into its parent",
+    "DS": "the DS record of a signed zone belongs in its parent zone",
     **dict.fromkeys(
         ("DNSKEY", "RRSIG", "NSEC", "CDS", "CDNSKEY"), "keys and signatures are made by " "`threadhill dns key`"
     ),
@@ -66,7 +66,7 @@
     try:
         return ESCAPE.sub(unescape, quoted).encode("latin-1")
     except UnicodeEncodeError:
-        raise ValueError("a string holds bytes; write others than ASCII as \\DDD") from None
+        raise ValueError("a string is bytes: write non-ASCII characters as \\DDD") from None
 
 
 def _quote(raw: bytes) -> str:
@@ -170,7 +170,7 @@
         if relative and relative[-1] in (tenant, SERVERS_LABEL):
             faults.append((i, f"names under {relative[-1]}.{'.'.join(zone)} are steered: choose another"))
         if not relative and record.kind == CNAME:
-            faults.append((i, "a zone's own name can't be an alias: its SOA stands there"))
+            faults.append((i, "a zone's own name can't be an alias: it has an SOA record"))
         types_at_owner = seen.setdefault(record.owner, {})
         if types_at_owner.get(record.kind, record.ttl) != record.ttl:
             faults.append((i, "records of one name and type have one TTL"))
@@ -180,9 +180,9 @@
             or record.kind == CNAME
             and CNAME in types_at_owner
         ):
-            faults.append((i, f"{_format_name(record.owner)} is an alias: nothing else can stand there"))
+            faults.append((i, f"{_format_name(record.owner)} is an alias: nothing else can exist at this name"))
         if record.text in texts:
-            faults.append((i, "stands twice"))
+            faults.append((i, "is listed twice"))
         texts.add(record.text)
         types_at_owner[record.kind] = record.ttl
     return faults
