--- a/threadhill/dns/transport.py
+++ b/threadhill/dns/transport.py
@@ -113,8 +113,8 @@
         self._throttle()
 
     def _throttle(self) -> None:
-        """Pause or resume reading. It is paused while too many queries are pending or the peer reads too slowly, so that the input buffer does
-        not fill up."""
+        """Pause reading while too many queries are pending or the peer reads too slowly, so that the input buffer does
+        not fill up. Resume it afterwards."""
         reading = not self.slow and len(self.pending) < MAX_PENDING_QUERIES
         if reading == self._reading or self.transport is None or self._closing:
             return
