--- a/threadhill/dns/key_commands.py
+++ b/threadhill/dns/key_commands.py
@@ -1,4 +1,4 @@
-"""The commands for zones' signing keys: `threadhill dns key ...`. A running proxy takes up each change by itself."""
+"""The commands for zones' signing keys: `threadhill dns key ...`. A running proxy loads each change by itself."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from threadhill.core.clock import unix_seconds
 from threadhill.dns import keys
-from threadhill.dns.keys import ALGORITHM, FLAGS, KEY_TTL, PROTOCOL, SETTLE, SHA256, Key, Refused, State
+from threadhill.dns.keys import ALGORITHM, FLAGS, KEY_TTL, MIN_STATE_SECONDS, PROTOCOL, SHA256, Key, RollRefused, State
 from threadhill.hostnames import labels_of
 from threadhill.settings import Malformed
 
@@ -17,18 +17,18 @@
     try:
         return ".".join(labels_of(zone))
     except (ValueError, UnicodeError):
-        raise Refused(f"{zone!r} is no domain name") from None
+        raise RollRefused(f"{zone!r} is no domain name") from None
 
 
 def _keys(folder: Path, zone: str) -> list[Key]:
     found = keys.read_folder(folder).get(zone, [])
     if not found:
-        raise Refused(f"{folder}: no key of {zone}; make one with `threadhill dns key generate {zone}`")
+        raise RollRefused(f"{folder}: no key of {zone}; make one with `threadhill dns key generate {zone}`")
     return found
 
 
 def ds_line(key: Key) -> str:
-    """The DS record as a parent's zone file has it."""
+    """The DS record in zone file format, for the parent zone."""
     return f"{key.zone}. IN DS {key.tag} {ALGORITHM} {SHA256} {key.ds[4:].hex().upper()}"
 
 
@@ -42,28 +42,28 @@
         "tag": key.tag,
         "state": key.state.value,
         "created": key.created,
-        "since_s": now - key.changed,
+        "since_s": now - key.state_since,
         "ds": ds_line(key),
         "dnskey": dnskey_line(key),
     }
 
 
 def generate(folder: Path, zone: str) -> Key:
-    """The first key of a zone, which signs from now on."""
+    """Generate the first key of a zone. It is active at once."""
     zone = _zone(zone)
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     if keys.read_folder(folder).get(zone):
-        raise Refused(f"{zone} has a key already; `threadhill dns key roll {zone}` makes the next one")
+        raise RollRefused(f"{zone} has a key already; `threadhill dns key roll {zone}` makes the next one")
     key = keys.generate(zone, State.ACTIVE, unix_seconds())
     keys.write(folder, key)
     return key
 
 
-def listed(folder: Path, zone: str = "") -> list[dict[str, Any]]:
+def list_keys(folder: Path, zone: str = "") -> list[dict[str, Any]]:
     now = unix_seconds()
-    found = keys.read_folder(folder)
-    chosen = {_zone(zone): _keys(folder, _zone(zone))} if zone else found
-    return [row(key, now) for _, of_zone in sorted(chosen.items()) for key in of_zone]
+    zones = keys.read_folder(folder)
+    chosen = {_zone(zone): _keys(folder, _zone(zone))} if zone else zones
+    return [row(key, now) for _, zone_keys in sorted(chosen.items()) for key in zone_keys]
 
 
 def roll(folder: Path, zone: str) -> Key:
@@ -76,37 +76,37 @@
 def activate(folder: Path, zone: str, tag: int, force: bool) -> None:
     zone = _zone(zone)
     changed = keys.activate(_keys(folder, zone), tag, unix_seconds(), force)
-    for key in changed:  # the new one first: with both active, whoever reads takes the one that was last
+    for key in changed:  # the new one first: if both are active, readers use the newer one
         keys.write(folder, key)
 
 
 def remove(folder: Path, zone: str, tag: int, force: bool) -> None:
     zone = _zone(zone)
-    key = keys.removable(_keys(folder, zone), tag, unix_seconds(), force)
+    key = keys.check_removable(_keys(folder, zone), tag, unix_seconds(), force)
     (folder / key.file_name).unlink()
 
 
 def check(folder: Path) -> list[str]:
-    """What is wrong with the keys of a folder, and what waits for its next step; nothing where all is well."""
+    """Errors in the keys of a folder, and pending steps of key rollovers."""
     try:
         zones = keys.read_folder(folder)
     except (Malformed, OSError) as error:
         return [str(error)]
-    now, told = unix_seconds(), []
-    for zone, of_zone in sorted(zones.items()):
-        for key in of_zone:
-            left = key.changed + SETTLE - now
+    now, messages = unix_seconds(), []
+    for zone, zone_keys in sorted(zones.items()):
+        for key in zone_keys:
+            remaining = key.state_since + MIN_STATE_SECONDS - now
             if key.state is State.PUBLISHED:
-                when = f"in {left} s" if left > 0 else "now"
-                told.append(
-                    f"{zone}: key {key.tag} is published and may be activated {when}, once the parent has " "its DS"
+                when = f"in {remaining} s" if remaining > 0 else "now"
+                messages.append(
+                    f"{zone}: key {key.tag} is published and may be activated {when}, once the parent has its DS"
                 )
             elif key.state is State.RETIRED:
-                when = f"in {left} s" if left > 0 else "now"
-                told.append(
-                    f"{zone}: key {key.tag} is retired and may be removed {when}, once the parent's old DS is "
-                    "gone and has run out"
+                when = f"in {remaining} s" if remaining > 0 else "now"
+                messages.append(
+                    f"{zone}: key {key.tag} is retired and may be removed {when}, once the parent's old DS record is "
+                    "removed and has expired from caches"
                 )
             if key.created > now + 300:
-                told.append(f"{zone}: key {key.tag} was made in the future: set this machine's clock")
-    return told
+                messages.append(f"{zone}: key {key.tag} has a creation time in the future: check this machine's clock")
+    return messages
--- a/threadhill/dns/transfer.py
+++ b/threadhill/dns/transfer.py
@@ -1,8 +1,8 @@
-"""Zone transfers (RFC 5936): who may have one, and the messages of it.
+"""Zone transfers (RFC 5936): access control and messages.
 
-Only a zone's static records have a list. The steered names are made for each query, so a copy of a zone is for audits
-and backups and cannot stand in for this server. Incremental transfers (RFC 1995) are answered whole, or with the SOA
-alone where the copy is at the present version. Decisions only: no I/O.
+Only a zone's static records are transferred. Steered names are made for each query, so a copy of a zone serves audits
+and backups and cannot replace this server. Incremental transfers (RFC 1995) are answered with the full zone, or with
+the SOA alone if the copy is current. No I/O.
 """
 
 from __future__ import annotations
@@ -15,27 +15,29 @@
 from threadhill.dns.message import Labels, Query, Record, Response
 from threadhill.hostnames import labels_of
 
-MESSAGE = 16 << 10  # bytes of one message, about: several small ones let others in between
+MESSAGE_SIZE = 16 << 10  # approximate bytes per message: between small messages other work can run
 Network = ipaddress.IPv4Network | ipaddress.IPv6Network
 
 
 @dataclass(frozen=True, slots=True)
 class TransferConfig:
-    """Who may copy zones, and the keys (name to secret) that they are known by."""
+    """The networks that may transfer zones, and the TSIG keys (name to secret)."""
 
     networks: tuple[Network, ...] = ()
     keys: dict[Labels, bytes] = field(default_factory=dict)
 
 
-def refusal(query: Query, zone: str, peer: str, stream: bool, signed: bool, networks: tuple[Network, ...]) -> str:
-    """Why this transfer is not given; "" where it is."""
+def refusal_reason(
+    query: Query, zone: str, peer: str, stream: bool, signed: bool, networks: tuple[Network, ...]
+) -> str:
+    """Why this transfer is refused; "" if it is allowed."""
     if not stream:
         return "zone transfers are given over TCP only"
     try:
-        listed = any(ipaddress.ip_address(peer) in network for network in networks)
+        allowed = any(ipaddress.ip_address(peer) in network for network in networks)
     except ValueError:
-        listed = False
-    if not listed:
+        allowed = False
+    if not allowed:
         return "zone transfers are not served to this address"
     if not signed:
         return "zone transfers are given to who signs the query with a shared key (TSIG) only"
@@ -44,16 +46,17 @@
     return ""
 
 
-def messages(query: Query, soa: Record, inside: list[Record] | None) -> Iterator[bytes]:
-    """The messages: the SOA first and last, what is in the zone between. None: the asker's copy is as new as ours."""
-    left = [soa] if inside is None else [soa, *inside, soa]
-    while left:
+def messages(query: Query, soa: Record, zone_records: list[Record] | None) -> Iterator[bytes]:
+    """The messages of a transfer: the SOA, the zone's records, and the SOA again. With None for the records, as the
+    requester's copy is current, the SOA alone."""
+    remaining = [soa] if zone_records is None else [soa, *zone_records, soa]
+    while remaining:
         batch: list[Record] = []
         size = 0
-        while left and size < MESSAGE:
+        while remaining and size < MESSAGE_SIZE:
             size += 300 + sum(
                 len(piece) if isinstance(piece, bytes) else 255
-                for piece in ((left[0].data,) if isinstance(left[0].data, bytes) else left[0].data)
+                for piece in ((remaining[0].data,) if isinstance(remaining[0].data, bytes) else remaining[0].data)
             )
-            batch.append(left.pop(0))
+            batch.append(remaining.pop(0))
         yield dns.pack(query, Response(answers=batch), 65_000)
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -208,7 +208,7 @@
 
         nodes = {}
         home = self.config.settings.zone
-        for node in sorted(({v.node for v in config.views} | {n for v in config.views for n in v.then}) - {home}):
+        for node in sorted(({v.node for v in config.views} | {n for v in config.views for n in v.fallbacks}) - {home}):
             # Each node's clients are answered by a decision module of its own, which gets the same list.
             settings = replace(self.config.settings, zone=node)
             nodes[node] = Engine(
@@ -251,8 +251,8 @@
         signer = Signer(folder.zones, config.signature_life)
 
         def poll() -> None:
-            if folder.look():
-                signer.take(folder.zones)
+            if folder.reload_if_changed():
+                signer.set_keys(folder.zones)
                 self.stats.count("dns", "keys taken")
             self.deadlines.add(self.clock.now() + KEY_POLL_INTERVAL, poll)
 
