--- a/threadhill/decision/choice.py
+++ b/threadhill/decision/choice.py
@@ -88,13 +88,14 @@
 # For an answer of unknown size: its weight in the latency of a source, and the most that it counts for, in transfer
 # times.
 UNKNOWN_SIZE_WEIGHT, UNKNOWN_SIZE_MAX_RATIO = 0.05, 3.0
-DECAY_TIME, MAX_SAMPLE_WEIGHT = 8 * SECOND, 0.5  # microseconds until a latency ratio is forgotten; most weight of one
+# Microseconds until a latency ratio is forgotten, and the highest weight of one sample of it.
+DECAY_TIME, MAX_SAMPLE_WEIGHT = 8 * SECOND, 0.5
 # Excess latency ratio assumed of a server that nothing is known of, when a delay is split between server and source.
 PRIOR_DELAY = 0.25
 # Share of the latency target that an answer or a fill should take: estimates are means, and half of all take longer.
 LATENCY_SAFETY = 0.6
 DEADLINE_MARGIN = 2_000  # microseconds before its deadline at which an open request is answered as failed
-MAX_INSPECTED = 64  # servers of an object's order that one request looks at, where the order is not sorted whole
+MAX_INSPECTED = 64  # servers of an object's order that one request tries, where the order is not sorted whole
 # Microseconds a client waits after a refusal, and a router after a failed list call; the random share of such waits.
 RETRY_AFTER, LIST_RETRY_DELAY, JITTER = SECOND // 2, 2 * SECOND, 0.5
 
@@ -255,8 +256,9 @@
         return cache.others_inflight(self.now, (self.location_routers - 1) * own_inflight, INITIAL_INFLIGHT_LIMIT)
 
     def has_capacity(self, server: Server, limit_factor: float, fraction: float) -> bool:
-        """Guard 8: whether one more attempt fits `times` the server's in-flight limit. Where this router's share of the
-        limit is under one attempt, `part` (a random number) decides: always yes while others are far below it."""
+        """Guard 8: whether one more attempt fits the server's in-flight limit, scaled by `limit_factor`. Where this
+        router's share of the limit is under one attempt, `fraction` (a random number) decides; the answer is always
+        yes while the other routers are far below the limit."""
         limit = server.inflight_limit * limit_factor / min(1.0, max(0.25, server.utilization / RELAXED_UTILIZATION))
         if limit >= 1 or server.inflight >= 1:
             return server.inflight + fraction < limit
@@ -360,7 +362,7 @@
             and source.inflight + fraction < source.inflight_limit
         ):
             may_use = self.in_dedup_scope(job, source) and draw < self.in_time_probability(job, source)
-            # With itself as its source, an origin answers from what it holds.
+            # A parent fills from the origin; without an origin it is its own source and answers from its copies only.
             return (source, self.fleet.origin or source) if may_use else None
         usable = found.usable
         if not usable and not job.request.hand_over:
--- a/threadhill/decision/order.py
+++ b/threadhill/decision/order.py
@@ -121,7 +121,7 @@
 
     def _draw(self, name: str) -> Iterator[Server]:
         """Draw cells until every server is found or the draws are used up; the rest follow in the table's order."""
-        draw, seen = self._hash_of(name), set()
+        draw, found = self._hash_of(name), set()
         for _ in range(DRAWS_PER_PLACE * CACHED_PLACES):
             draw = mix(draw)
             self.inspected += 1
@@ -130,11 +130,11 @@
             if cell is None or depth >= len(cell):
                 continue
             number = cell[depth][1]
-            if number not in seen:
-                seen.add(number)
+            if number not in found:
+                found.add(number)
                 yield self.servers[number]
-                if len(seen) == len(self.servers):
+                if len(found) == len(self.servers):
                     return
         for number, server in list(self.servers.items()):
-            if number not in seen:
+            if number not in found:
                 yield server
--- a/threadhill/decision/state.py
+++ b/threadhill/decision/state.py
@@ -33,7 +33,7 @@
     reported_others: tuple[float, int] = (0.0, 0)  # in-flight attempts of other routers, as reported, and the time
     hit_ratio: float = 0.7  # last reported; the default stands for servers that report none, as most requests are hits
     utilization: float = 1.0  # of its cores, last reported; the default stands for servers that report none
-    last_answer_at: int = 0  # time of its last answer to any request
+    last_answer_at: int = 0  # time of its last answer within the latency target
     unanswered: int = 0  # attempts since the last sign of life, and the time when the first of them was sent
     unanswered_since: int = 0
     silent: bool = False  # found silent, with no sign of life since
