--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -265,16 +265,16 @@
     fleet = settled(read(BASE))
     box = fleet.records["box.costa-0"]
     late = Record("box", "late", box.attrs, Phase.WARM)
-    assert "is still box.costa-0's" in rules.may_list(fleet, late)
+    assert "is still used by box.costa-0" in rules.may_list(fleet, late)
     assert rules.may_remove(fleet, box) == "box.costa-0 is not drained yet"
-    assert "others still stand there" in rules.may_remove(fleet, fleet.records["node.costa-1"])
-    assert rules.may_drain(fleet, fleet.records["parent.upper-a"]) == "3 others still fill from it"
+    assert "resources are still located there" in rules.may_remove(fleet, fleet.records["node.costa-1"])
+    assert rules.may_drain(fleet, fleet.records["parent.upper-a"]) == "3 other servers still fill from it"
 
 
 def test_the_last_box_of_a_node_stays_unless_the_file_says_so() -> None:
     none = BASE.replace("range(var.boxes)", "range(0)")
     plan = planner.plan(read(none), settled(read(BASE)).records.values())
-    assert plan.blocked and "must keep 1 warm" in " ".join(plan.blocked.values())
+    assert plan.blocked and "must keep 1 warm servers" in " ".join(plan.blocked.values())
     allowed = none.replace("  load = 0.5", "  load = 0.5\n  allow_empty = true")
     plan = planner.plan(read(allowed), settled(read(BASE)).records.values())
     assert not plan.blocked and sum(s.action == "remove" for s in plan.steps) == 3
--- a/threadhill/control/ledger.py
+++ b/threadhill/control/ledger.py
@@ -114,7 +114,7 @@
             self.fleet.put(record)
         for id in change.dropped:
             if id in self.fleet.records:
-                self.fleet.drop(id)
+                self.fleet.remove(id)
         for state in change.steps:
             self.step_states[state.id] = state
         if change.events:
@@ -342,7 +342,7 @@
         for record in change.records:
             trial.put(record)
         for id in change.dropped:
-            trial.drop(id)
+            trial.remove(id)
         change.events = [(pos, orjson.dumps({**self.full_state(fleet=trial), "pos": pos}) + b"\n")]
         self._commit(change)
         self._refresh_derived()
--- a/threadhill/plans/planner.py
+++ b/threadhill/plans/planner.py
@@ -1,7 +1,7 @@
-"""The planner: from what is wanted, recorded and observed to steps, in an order that keeps the rules.
+"""The planner: computes the steps from the recorded to the wanted state, in an order that keeps the rules.
 
-Every step stands for one event or one written file, is carried out once, and has an id that says what it does. So a
-plan made again after some of its steps has just the others, with the same ids.
+Every step is one event or one written file, is carried out once, and has an id that says what it does. So a plan made
+again after some of its steps consists of the remaining ones, with the same ids.
 """
 
 from __future__ import annotations
@@ -18,33 +18,42 @@
 from threadhill.plans.resource import Resource
 from threadhill.plans.rules import Fleet, Phase, Record
 
-KINDS = ("settings", "hub", "node", "library", "parent", "box", "proxy", "tenant")  # in which they build up
-MOVES = {"box": ("node", "address"), "parent": ("hub", "address"), "library": ("hub", "address")}
-OWN = ("settle_s", "silent_s")  # settings that concern the control plane alone
+SETUP_ORDER = (
+    "settings",
+    "hub",
+    "node",
+    "library",
+    "parent",
+    "box",
+    "proxy",
+    "tenant",
+)  # in the order in which they are set up
+RELOCATING_KEYS = {"box": ("node", "address"), "parent": ("hub", "address"), "library": ("hub", "address")}
+CONTROL_PLANE_SETTINGS = ("settle_s", "silent_s")  # settings that only the control plane uses
 ACTIONS = ("set", "update", "add", "return", "drain", "remove", "unset")
 PRECONDITIONS = {
-    "add": "its name and address are free, its sources are ready and warm, and its place may have one more cold",
-    "return": "it drains, and its sources are ready",
+    "add": "its name and address are free, its sources are ready and warm, and its place may have one more cold server",
+    "return": "it is draining, and its sources are ready",
     "update": "its sources are ready",
-    "drain": "enough of its place stay warm, and nobody ready fills from it",
+    "drain": "enough servers of its place stay warm, and no ready server fills from it",
     "remove": "it is drained",
-    "set": "what it stands on is there",
-    "unset": "nothing stands on it",
+    "set": "its node or hub exists",
+    "unset": "no resource is located there",
 }
 EFFECTS = {
-    "add": "listed: it is sent requests within its cold start's limits",
-    "return": "listed again, as it was",
-    "update": "listed with other figures",
+    "add": "listed: it is sent requests within the limits of its slow start",
+    "return": "listed again, unchanged",
+    "update": "listed with changed attributes",
     "drain": "gets nothing new",
-    "remove": "forgotten; its address is free",
+    "remove": "removed; its address is free",
     "set": "recorded",
-    "unset": "forgotten",
+    "unset": "removed",
 }
-CONFIRMED = {
-    "add": "every live proxy has applied it and its warming time has passed",
+CONFIRMATIONS = {
+    "add": "every live proxy has applied it and its warm-up time has passed",
     "return": "every live proxy has applied it",
     "update": "every live proxy has applied it",
-    "drain": "every live proxy has applied it and what it had taken has had its time",
+    "drain": "every live proxy has applied it and its open requests have had their time to end",
     "remove": "every live proxy has applied it",
     "set": "it is recorded",
     "unset": "it is recorded",
@@ -53,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Step:
-    """One step. `needs` are ids of steps of the same plan that must be confirmed before it."""
+    """One step. `needs` are the ids of steps of the same plan that must be confirmed before it."""
 
     id: str
     action: str
@@ -70,8 +79,8 @@
 
     @property
     def place(self) -> str | None:
-        """Where it changes what is ready, or None. Such steps of one place never overtake each other: what one of them
-        drains, another may need."""
+        """The place whose ready servers the step changes, or None. Such steps of a place begin in their order: a server
+        that one of them drains may be needed by another."""
         if self.kind not in rules.SERVER_KINDS or self.action not in ("add", "return", "drain"):
             return None
         return (self.after or self.before)["node"] if self.kind == "box" else self.kind
@@ -82,14 +91,14 @@
             return "the proxy runs with its new configuration, or is not live"
         if self.kind == "tenant":
             return "every live proxy has applied it"
-        return CONFIRMED[self.action]
+        return CONFIRMATIONS[self.action]
 
     @property
     def effect(self) -> str:
         if self.kind == "proxy":
-            return "its configuration file is written" if self.action == "set" else "its configuration file goes"
+            return "its configuration file is written" if self.action == "set" else "its configuration file is removed"
         if self.kind == "tenant":
-            return "every proxy is told"
+            return "every proxy is sent the change"
         return EFFECTS[self.action]
 
     def document(self) -> dict[str, Any]:
@@ -110,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Drift:
-    """What is observed and differs from what is recorded."""
+    """A difference between the observed and the recorded state."""
 
     id: str
     recorded: str
@@ -119,23 +128,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Observed:
-    """What proxies report: servers that none of them reaches, and proxies that are not as recorded."""
+    """What proxies report: servers that no live proxy reaches, and proxies that differ from their record."""
 
-    gone: frozenset[str] = frozenset()  # ids of servers
-    proxies: Mapping[str, str] = field(default_factory=dict)  # id -> what is odd about it
+    gone: frozenset[str] = frozenset()  # ids of servers that no live proxy reaches
+    proxies: Mapping[str, str] = field(default_factory=dict)  # id -> how it differs
 
 
-NOTHING = Observed()
+NOTHING_OBSERVED = Observed()
 
 
 @dataclass(slots=True)
 class Plan:
-    """Steps in their order; steps that cannot be carried out without breaking a rule are `blocked`, with the rule."""
+    """Steps in their order. Steps that no order allows are `blocked`: id -> the rule that they would violate."""
 
     steps: list[Step]
     blocked: dict[str, str]
     drift: list[Drift]
-    pending: list[str]  # resources whose last step is carried out and not yet confirmed
+    pending: list[str]  # ids of resources whose last step is carried out and not yet confirmed
 
     @property
     def waves(self) -> int:
@@ -143,9 +152,9 @@
 
 
 def record_of(resource: Resource, warm: bool = False) -> Record:
-    """The record that making this resource leads to."""
+    """The record of this resource once its step is carried out."""
     if resource.kind in rules.SERVER_KINDS:
-        # No rule limits what a library is sent when it is new.
+        # A library is never cold: no rule limits the requests to a new one.
         phase = Phase.WARM if resource.attrs["warm"] or warm or resource.kind == "library" else Phase.COLD
     else:
         phase = Phase.CONFIGURING if resource.kind == "proxy" else Phase.SET
@@ -153,30 +162,30 @@
 
 
 def with_config_digests(wanted: Mapping[str, Resource]) -> dict[str, Resource]:
-    """The same, where each proxy's attributes hold a digest of all that its configuration is made from, so that a
-    change of settings shows as a change of the proxies that must take it up."""
+    """Add to each proxy's attributes a digest of everything that its configuration depends on, so that a change of
+    settings shows as a change of the proxies that must apply it."""
     settings = wanted.get("settings.settings")
     nodes = {id: r.attrs["hub"] for id, r in sorted(wanted.items()) if r.kind == "node"}
     links = {id: r.attrs["link_kb_per_s"] for id, r in sorted(wanted.items()) if r.kind == "node"}
-    crews = sorted((r.attrs["node"], r.name) for r in wanted.values() if r.kind == "proxy")
+    proxies = sorted((r.attrs["node"], r.name) for r in wanted.values() if r.kind == "proxy")
     hubs = sorted(id for id, r in wanted.items() if r.kind == "hub")
-    told = {k: v for k, v in settings.attrs.items() if k not in OWN} if settings else None
-    common = digest([told, nodes, links, crews, hubs])
-    made = dict(wanted)
+    published = {k: v for k, v in settings.attrs.items() if k not in CONTROL_PLANE_SETTINGS} if settings else None
+    common = digest([published, nodes, links, proxies, hubs])
+    result = dict(wanted)
     for id, resource in wanted.items():
         if resource.kind == "proxy":
             own = digest([common, {k: v for k, v in resource.attrs.items() if k != "config"}])
-            made[id] = Resource("proxy", resource.name, {**resource.attrs, "config": own[:16]})
-    return made
+            result[id] = Resource("proxy", resource.name, {**resource.attrs, "config": own[:16]})
+    return result
 
 
 def digest(value: Any) -> str:
-    """SHA-256 of the value as JSON in one form."""
+    """SHA-256 of the value as JSON with sorted keys."""
     return hashlib.sha256(orjson.dumps(value, option=orjson.OPT_SORT_KEYS)).hexdigest()
 
 
-def plan(wanted: Mapping[str, Resource], recorded: Iterable[Record], observed: Observed = NOTHING) -> Plan:
-    """The steps from what is recorded to what is wanted, ordered by going through them against the rules."""
+def plan(wanted: Mapping[str, Resource], recorded: Iterable[Record], observed: Observed = NOTHING_OBSERVED) -> Plan:
+    """The steps from the recorded to the wanted state, ordered by simulating them against the rules."""
     wanted = with_config_digests(wanted)
     records = {record.id: record for record in recorded}
     steps = _differences(wanted, records)
@@ -186,7 +195,7 @@
 
 
 def drift(records: Mapping[str, Record], observed: Observed) -> list[Drift]:
-    """What proxies see that is not as recorded; a plan does not undo it, since nobody asked for it by file."""
+    """The differences that proxies report. A plan doesn't undo them, since no configuration file asked for them."""
     found = [
         Drift(id, records[id].phase.value, "no live proxy reaches it")
         for id in sorted(observed.gone)
@@ -212,7 +221,7 @@
             elif before != after:
                 step("set", kind, name, before, after)
             continue
-        moved = before is not None and after is not None and any(before[w] != after[w] for w in MOVES[kind])
+        moved = before is not None and after is not None and any(before[w] != after[w] for w in RELOCATING_KEYS[kind])
         if old is None:
             step("add", kind, name, None, after)
         elif after is None or moved:
@@ -223,31 +232,33 @@
                 step("add", kind, name, None, after)
         elif old.phase is Phase.DRAINING:
             step("return", kind, name, before, after)
-        elif old.phase is Phase.DRAINED:  # it may have been stopped: it is listed anew, as a new start
+        elif old.phase is Phase.DRAINED:  # it may have been stopped: it is listed again, as a new start
             step("remove", kind, name, before, None)
             step("add", kind, name, None, after)
-        elif _told(before) != _told(after):
+        elif _listed_attrs(before) != _listed_attrs(after):
             step("update", kind, name, before, after)
     return _with_needs(steps)
 
 
-def _told(attrs: dict[str, Any]) -> dict[str, Any]:
-    """What of a server is anybody's concern once it is listed: that it was listed warm is not."""
+def _listed_attrs(attrs: dict[str, Any]) -> dict[str, Any]:
+    """The attributes that matter after a server is listed: all but `warm`, which only says how it started."""
     return {word: value for word, value in attrs.items() if word != "warm"}
 
 
 def _with_needs(steps: list[Step]) -> list[Step]:
-    """The graph: what a step names must be made before it, and what goes last is what others stand on."""
+    """Add the dependencies: a step needs those that make what it refers to, and those that remove what is located there."""
     by_id = {step.id: step for step in steps}
-    leaving = {s.before["address"]: s.id for s in steps if s.action == "remove" and s.kind in rules.SERVER_KINDS}
-    leaving |= {s.before["listen"]: s.id for s in steps if s.kind == "proxy" and s.action == "unset"}
-    on: dict[str, list[str]] = {}  # node or hub -> steps that take what stands there away
+    freed_addresses = {
+        s.before["address"]: s.id for s in steps if s.action == "remove" and s.kind in rules.SERVER_KINDS
+    }
+    freed_addresses |= {s.before["listen"]: s.id for s in steps if s.kind == "proxy" and s.action == "unset"}
+    removals_at: dict[str, list[str]] = {}  # id of a node or hub -> ids of the steps that remove what is located there
     for s in steps:
         if s.action in ("remove", "unset") and s.before:
             for word in ("node", "hub"):
                 if word in s.before:
-                    on.setdefault(s.before[word], []).append(s.id)
-    made = []
+                    removals_at.setdefault(s.before[word], []).append(s.id)
+    result = []
     for s in steps:
         needs: set[str] = set()
         if s.after is not None:
@@ -257,28 +268,28 @@
                 needs.add("set settings.settings")
             if s.action in ("add", "set"):
                 address = s.after.get("address") or s.after.get("listen")
-                if address in leaving:
-                    needs.add(leaving[address])
+                if address in freed_addresses:
+                    needs.add(freed_addresses[address])
         if s.action == "add":
             needs.add(f"remove {s.resource}")
         if s.action == "remove":
             needs.add(f"drain {s.resource}")
         if s.action == "unset":
-            needs |= set(on.get(s.resource, ()))
-        known = tuple(sorted(n for n in needs if n in by_id and n != s.id))
-        made.append(Step(s.id, s.action, s.kind, s.name, s.before, s.after, known))
-    return made
+            needs |= set(removals_at.get(s.resource, ()))
+        existing = tuple(sorted(n for n in needs if n in by_id and n != s.id))
+        result.append(Step(s.id, s.action, s.kind, s.name, s.before, s.after, existing))
+    return result
 
 
 def _order(steps: list[Step], fleet: Fleet) -> tuple[list[Step], dict[str, str]]:
-    """Waves: what may begin together, each time all before it is confirmed. What never may is blocked."""
-    height = {kind: i for i, kind in enumerate(KINDS)}
-    ranks = _ranks(steps)
-    left = sorted(
+    """Order the steps in waves: those of a wave may begin once all before it are confirmed. Also returns the blocked."""
+    setup_index = {kind: i for i, kind in enumerate(SETUP_ORDER)}
+    ranks = _drain_ranks(steps)
+    remaining = sorted(
         steps,
         key=lambda s: (
             ACTIONS.index(s.action),
-            height[s.kind] if s.after is not None else -height[s.kind],
+            setup_index[s.kind] if s.after is not None else -setup_index[s.kind],
             ranks.get(s.id, 0),
             s.name,
         ),
@@ -286,14 +297,14 @@
     drains = Counter((s.place, ranks[s.id]) for s in steps if s.id in ranks)
     done: set[str] = set()
     ordered: list[Step] = []
-    why: dict[str, str] = {}
+    reasons: dict[str, str] = {}
     wave = 0
-    while left:
+    while remaining:
         begun, waiting = [], []
-        for step in left:
+        for step in remaining:
             reason = next((f"{n} comes first" for n in step.needs if n not in done), None) or guard(fleet, step)
             if reason is None and any(drains[step.place, rank] for rank in range(ranks.get(step.id, 0))):
-                reason = f"{step.place} drains first what makes room for others"
+                reason = f"{step.place} first drains servers whose name or address others wait for"
             if reason is None:
                 begin(fleet, step)
                 if step.id in ranks:
@@ -302,19 +313,19 @@
                     Step(step.id, step.action, step.kind, step.name, step.before, step.after, step.needs, wave)
                 )
             else:
-                why[step.id] = reason
+                reasons[step.id] = reason
                 waiting.append(step)
         done |= {step.id for step in begun}
         ordered += begun
         if not confirm_all(fleet) and not begun:
-            return ordered, {step.id: why[step.id] for step in waiting}
-        left, wave = waiting, wave + bool(begun)
+            return ordered, {step.id: reasons[step.id] for step in waiting}
+        remaining, wave = waiting, wave + bool(begun)
     return ordered, {}
 
 
-def _ranks(steps: list[Step]) -> dict[str, int]:
-    """Which drains go first: 0, those whose name or address a new server of the same place waits for, as it makes up
-    for them; 1, those that one elsewhere waits for; 2, the others, which would use up what may be drained for good."""
+def _drain_ranks(steps: list[Step]) -> dict[str, int]:
+    """The order of drains. 0: a new server of the same place, which replaces the drained one, waits for its name or address;
+    1: a new server of another place does; 2: all others, which would use up the number of servers that may drain."""
     by_id = {step.id: step for step in steps}
     ranks = {step.id: 2 for step in steps if step.action == "drain"}
     for step in steps:
@@ -326,7 +337,7 @@
 
 
 def guard(fleet: Fleet, step: Step) -> str | None:
-    """Why this step may not be carried out on this state; None where it may."""
+    """Why this step may not be carried out in this state; None if it may."""
     old = fleet.records.get(step.resource)
     match step.action:
         case "add" | "return" | "update":
@@ -335,42 +346,42 @@
             if missing is not None:
                 return missing
             if step.action == "update":
-                lost = [
+                not_ready = [
                     s for s in step.after.get("fills_from", ()) if s not in fleet.records or not fleet.records[s].ready
                 ]
-                return f"{lost[0]}, its source, is not ready" if lost else None
+                return f"{not_ready[0]}, its source, is not ready" if not_ready else None
             return rules.may_list(fleet, record)
         case "drain":
-            return rules.may_drain(fleet, old) if old is not None else f"{step.resource} is not there"
+            return rules.may_drain(fleet, old) if old is not None else f"{step.resource} does not exist"
         case "set":
             return rules.may_set(fleet, record_of(Resource(step.kind, step.name, step.after)))
         case _:
-            return rules.may_remove(fleet, old) if old is not None else f"{step.resource} is not there"
+            return rules.may_remove(fleet, old) if old is not None else f"{step.resource} does not exist"
 
 
 def begin(fleet: Fleet, step: Step, pos: int = 0, now: int = 0) -> Record | None:
-    """The state once the step is carried out (and not yet confirmed); the record that it leaves, if any."""
+    """Change the state as the step does when it is carried out, not yet confirmed. Returns the new record, if any."""
     old = fleet.records.get(step.resource)
     if step.action in ("remove", "unset"):
-        fleet.drop(step.resource)
+        fleet.remove(step.resource)
         return None
     if step.action == "drain":
-        record = old.moved(Phase.DRAINING, old.since, pos, now)
+        record = old.with_phase(Phase.DRAINING, old.since, pos, now)
     else:
         record = record_of(Resource(step.kind, step.name, step.after))
         phase, since = record.phase, now if record.phase is Phase.COLD else 0
         if step.action in ("return", "update"):
-            # It never stopped: what it was when it was first listed goes on. Whether it is warm, time tells.
+            # It never stopped: its start time stays. If it has one and wasn't warm, it is cold until its warm-up time ends.
             phase, since = Phase.COLD if old.since and old.phase is not Phase.WARM else Phase.WARM, old.since
-        record = record.moved(phase, since, pos, now)
+        record = record.with_phase(phase, since, pos, now)
     fleet.put(record)
     return record
 
 
 def confirm_all(fleet: Fleet) -> bool:
-    """The state once all that was begun is confirmed; whether that changed anything."""
+    """Change the state as if all steps begun were confirmed. Returns whether anything changed."""
     after = {Phase.COLD: Phase.WARM, Phase.DRAINING: Phase.DRAINED, Phase.CONFIGURING: Phase.SET}
     moved = [record for record in fleet.records.values() if record.phase in after]
     for record in moved:
-        fleet.move(record, record.moved(after[record.phase], record.since, record.pos, record.at))
+        fleet.change_phase(record, record.with_phase(after[record.phase], record.since, record.pos, record.at))
     return bool(moved)
