--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -659,7 +659,7 @@
             mix = tmp_path / "mix"
             mix.write_text("rate = 20\nclasses = { nobody = 1 }\n")
             code, _, err = await run("plan", str(file), "--mix", str(mix))
-            assert code == 1 and "classes: must be a map of some of clip-parts, art-pages" in err
+            assert code == 1 and "classes: must be a map from some of clip-parts, art-pages" in err
             mix.write_text("rate = 20\nclasses = { clip-parts = 1 }\n")
             code, told, _ = await run("plan", str(file), "--mix", str(mix))
             assert code == 2 and "clip-parts" in told and "art-pages" not in told and "0.0 -> 100.0" in told
--- a/threadhill/plans/forecast.py
+++ b/threadhill/plans/forecast.py
@@ -1,7 +1,8 @@
-"""The forecast: which share of each class's requests each box of a node gets, by the decision module itself.
+"""The forecast: the share of each class's requests that each box of a node gets, as the decision module chooses.
 
-The module is given the node's list and a mix of objects at a rate, on a clock of its own, and its choices are counted;
-every attempt is served at once, so what shows is the ordinary path. Copies follow rates: the rate belongs to the mix.
+The module is given the node's servers and a simulated mix of requests, and its choices are counted. Every attempt is
+served after the same short time, so the forecast shows routing without failures. The number of copies of an object
+follows its request rate, so the rate is part of the mix.
 """
 
 from __future__ import annotations
@@ -22,56 +23,56 @@
 from threadhill.settings import read_settings
 
 SECOND = 1_000_000
-WARM_UP = 3.0  # seconds of the mix before choices are counted: rates are known and copies have settled
-TAKES = 30_000  # microseconds that an attempt is out
-FEWEST, MOST = 500, 20_000  # requests that are played for a node
+WARM_UP_S = 3.0  # seconds of the mix before choices are counted: by then the rates are known and the copies made
+ATTEMPT_TIME_US = 30_000  # microseconds from an attempt to its end
+MIN_REQUESTS, MAX_REQUESTS = 500, 20_000  # limits of the number of requests simulated for a node
 
 
 @dataclass(frozen=True, slots=True)
 class Mix:
-    """What is asked of one node: requests a second in all, the part of each class, and how popular objects are."""
+    """The requests to one node: total rate per second, weight of each class, and popularity of the objects."""
 
     rate: float = 50.0
-    classes: Mapping[str, float] = field(default_factory=dict)  # name -> part
-    objects: int = 2_000  # of each class
-    zipf: float = 1.0
-    parts: int = 12  # of an object in parts
-    seconds: float = 40.0
+    classes: Mapping[str, float] = field(default_factory=dict)  # name -> relative weight
+    objects: int = 2_000  # number of objects of each class
+    zipf: float = 1.0  # exponent of the popularity distribution
+    parts: int = 12  # number of parts of an object whose class is in parts
+    seconds: float = 40.0  # simulated time in which choices are counted
 
     def requests(self, seed: int, in_parts: Mapping[str, bool]) -> Iterator[tuple[str, str, int]]:
-        """Class, object and part of one request after another, the same for the same seed."""
-        draw = random.Random(seed)
+        """Generates the class, object and part of each request; the same seed gives the same requests."""
+        generator = random.Random(seed)
         weights = list(itertools.accumulate(1 / (i + 1) ** self.zipf for i in range(self.objects)))
         names = sorted(self.classes)
-        parts = list(itertools.accumulate(self.classes[name] for name in names))
+        class_weights = list(itertools.accumulate(self.classes[name] for name in names))
         while True:
-            cls = names[min(bisect.bisect(parts, draw.random() * parts[-1]), len(names) - 1)]
-            place = min(bisect.bisect(weights, draw.random() * weights[-1]), self.objects - 1)
-            yield cls, object_name(cls, place), draw.randrange(self.parts) if in_parts[cls] else 0
+            cls = names[min(bisect.bisect(class_weights, generator.random() * class_weights[-1]), len(names) - 1)]
+            popularity_rank = min(bisect.bisect(weights, generator.random() * weights[-1]), self.objects - 1)
+            yield cls, object_name(cls, popularity_rank), generator.randrange(self.parts) if in_parts[cls] else 0
 
 
-def object_name(cls: str, place: int) -> str:
-    """The object of this place in its class's order of popularity: 16 hex digits."""
-    return f"{hash_name(f'{cls}/{place}'):016x}"
+def object_name(cls: str, popularity_rank: int) -> str:
+    """The name of the object with this popularity rank in its class: 16 hex digits."""
+    return f"{hash_name(f'{cls}/{popularity_rank}'):016x}"
 
 
 def default_mix(settings: Mapping[str, Any]) -> Mix:
-    """Reads of every class in equal parts, for those who give none."""
+    """The default: equal weights for all classes that don't write."""
     return Mix(classes={name: 1.0 for name, c in settings["classes"].items() if not c["write"]})
 
 
 def mix_of(given: Mapping[str, Any], settings: Mapping[str, Any]) -> Mix:
-    """A mix from its figures by name; those that are missing are the default's. ValueError where one can't be used."""
-    most = {"rate": 1e6, "objects": 1e6, "zipf": 10, "parts": 1e6, "seconds": 3_600}
+    """A mix from the given figures, with defaults for the missing ones. Raises ValueError if one is invalid."""
+    maxima = {"rate": 1e6, "objects": 1e6, "zipf": 10, "parts": 1e6, "seconds": 3_600}
     classes = given.get("classes", default_mix(settings).classes)
     for name in given:
-        if name != "classes" and name not in most:
-            raise ValueError(f"{name}: no such figure; there are classes, {', '.join(most)}")
+        if name != "classes" and name not in maxima:
+            raise ValueError(f"{name}: no such figure; the figures are classes, {', '.join(maxima)}")
     for name, value in [*given.items(), *(classes.items() if isinstance(classes, dict) else ())]:
-        if name != "classes" and (type(value) not in (int, float) or not 0 < value <= most.get(name, 1e6)):
-            raise ValueError(f"{name}: must be a number over 0, {most.get(name, 1e6):g} at most")
+        if name != "classes" and (type(value) not in (int, float) or not 0 < value <= maxima.get(name, 1e6)):
+            raise ValueError(f"{name}: must be a number above 0, at most {maxima.get(name, 1e6):g}")
     if not isinstance(classes, dict) or not classes or set(classes) - set(settings["classes"]):
-        raise ValueError(f"classes: must be a map of some of {', '.join(settings['classes'])} to their parts")
+        raise ValueError(f"classes: must be a map from some of {', '.join(settings['classes'])} to their weights")
     figures = {
         name: int(value) if name in ("objects", "parts") else value
         for name, value in given.items()
@@ -81,11 +82,11 @@
 
 
 def shares(resources: Mapping[str, Resource], node: str, mix: Mix, seed: int = 1) -> dict[str, dict[str, float]]:
-    """For each class its shares by box, in parts of 1, of a node (`node.NAME`) where all servers are warm."""
-    crew = sorted(
+    """For each class, the fraction of its requests that each box of a node (`node.NAME`) gets; all servers are warm."""
+    proxies = sorted(
         (r for r in resources.values() if r.kind == "proxy" and r.attrs["node"] == node), key=lambda r: r.name
     )
-    proxy = crew[0] if crew else Resource("node", node, {"node": node})
+    proxy = proxies[0] if proxies else Resource("node", node, {"node": node})
     settings = read_settings(options.options(resources, proxy))
     numbers: dict[int, str] = {}
     entries = []
@@ -99,19 +100,21 @@
     router.start(0)
     router.handle(0, api.ListNews(api.ListKind.FULL, tuple(entries)))
     counted: dict[str, Counter[str]] = {name: Counter() for name in mix.classes}
-    rate = mix.rate / max(1, len(crew))
-    many = max(FEWEST, min(MOST, int(rate * (mix.seconds + WARM_UP))))
+    rate = mix.rate / max(1, len(proxies))
+    request_count = max(MIN_REQUESTS, min(MAX_REQUESTS, int(rate * (mix.seconds + WARM_UP_S))))
     requests = mix.requests(seed, {name: cls.in_parts for name, cls in settings.classes.items()})
-    out: list[tuple[int, api.Fetch]] = []
-    for i, (cls, name, part) in enumerate(itertools.islice(requests, many)):
+    pending: list[tuple[int, api.Fetch]] = []
+    for i, (cls, name, part) in enumerate(itertools.islice(requests, request_count)):
         now = SECOND + int(i * SECOND / rate)
-        while out and out[0][0] <= now:
-            at, sent = out.pop(0)
-            router.handle(at, api.AttemptEnded(sent.id, 0, sent.server, api.Outcome.SERVED, TAKES, request_closed=True))
+        while pending and pending[0][0] <= now:
+            at, sent = pending.pop(0)
+            router.handle(
+                at, api.AttemptEnded(sent.id, 0, sent.server, api.Outcome.SERVED, ATTEMPT_TIME_US, request_closed=True)
+            )
         for action in router.handle(now, api.Request(str(i), cls, name, settings.classes[cls].deadline, part=part)):
             if isinstance(action, api.Fetch):
-                out.append((now + TAKES, action))
-                if i >= rate * WARM_UP:
+                pending.append((now + ATTEMPT_TIME_US, action))
+                if i >= rate * WARM_UP_S:
                     counted[cls][numbers[action.server]] += 1
     return {
         cls: {id: count / max(1, sum(by.values())) for id, count in sorted(by.items())}
@@ -122,28 +125,28 @@
 def before_and_after(
     before: Mapping[str, Resource], after: Mapping[str, Resource], changed: Iterable[str], mix: Mix | None = None
 ) -> dict[str, Any]:
-    """The forecast of a plan: for each node that it changes, each class and each box, the shares on both sides."""
-    told: dict[str, Any] = {}
+    """The forecast of a plan: the shares before and after it, for each changed node, each class and each box."""
+    result: dict[str, Any] = {}
     for node in sorted(changed):
         sides = []
         for side in (before, after):
-            whole = "settings.settings" in side and node in side
-            has = whole and any(r.kind == "box" and r.attrs["node"] == node for r in side.values())
-            if not has:
+            complete = "settings.settings" in side and node in side
+            has_boxes = complete and any(r.kind == "box" and r.attrs["node"] == node for r in side.values())
+            if not has_boxes:
                 sides.append({})
                 continue
-            use = mix or default_mix(side["settings.settings"].attrs)
-            known = side["settings.settings"].attrs["classes"]
-            use = Mix(
-                use.rate,
-                {c: p for c, p in use.classes.items() if c in known},
-                use.objects,
-                use.zipf,
-                use.parts,
-                use.seconds,
+            node_mix = mix or default_mix(side["settings.settings"].attrs)
+            known_classes = side["settings.settings"].attrs["classes"]
+            node_mix = Mix(
+                node_mix.rate,
+                {c: p for c, p in node_mix.classes.items() if c in known_classes},
+                node_mix.objects,
+                node_mix.zipf,
+                node_mix.parts,
+                node_mix.seconds,
             )
-            sides.append(shares(side, node, use) if use.classes else {})
-        told[node] = {
+            sides.append(shares(side, node, node_mix) if node_mix.classes else {})
+        result[node] = {
             cls: {
                 box: {
                     "before": round(sides[0].get(cls, {}).get(box, 0.0), 4),
@@ -153,4 +156,4 @@
             }
             for cls in sorted({*sides[0], *sides[1]})
         }
-    return told
+    return result
--- a/threadhill/plans/options.py
+++ b/threadhill/plans/options.py
@@ -1,4 +1,4 @@
-"""What a proxy is told of an installation: the settings in the form of the platform's configuration."""
+"""Derives from the resources the settings in a proxy's configuration, and the servers in the journal's events."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from threadhill.plans.model import REPORT_FIELDS
 from threadhill.plans.resource import Resource
 
-REPEATS = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
+RETRY_SAFETY = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
 
 
 def zones(resources: Mapping[str, Resource]) -> list[str]:
-    """Hubs first, then nodes, each by name: the places that the tables of the settings go by."""
+    """The names of the zones: hubs, then nodes, each sorted. Tables by zone in the settings have this order."""
     return [r.name for kind in ("hub", "node") for _, r in sorted(resources.items()) if r.kind == kind]
 
 
 def options(resources: Mapping[str, Resource], proxy: Resource) -> dict[str, Any]:
-    """The `settings` of one proxy's configuration; times in microseconds, as there."""
+    """The `settings` of a proxy's configuration, with times in microseconds."""
     attrs = resources["settings.settings"].attrs
     names = zones(resources)
     hubs = [r.name for _, r in sorted(resources.items()) if r.kind == "hub"]
     nodes = {r.name: r.attrs for r in resources.values() if r.kind == "node"}
-    crews = sorted((r.attrs["node"], r.name) for r in resources.values() if r.kind == "proxy")
+    proxies = sorted((r.attrs["node"], r.name) for r in resources.values() if r.kind == "proxy")
     classes = list(attrs["classes"].items())
     return {
         "domain-type": "edge",
@@ -30,7 +30,7 @@
             "bypass-allowed": True,
             "class-write": [c["write"] for _, c in classes],
             "client-kb-per-s": attrs["client_kb_per_s"],
-            "crew-by-zone": [sum(1 for node, _ in crews if node == f"node.{name}") for name in names],
+            "crew-by-zone": [sum(1 for node, _ in proxies if node == f"node.{name}") for name in names],
             "fresh-for": [c["fresh_ms"] * 1_000 for _, c in classes],
             "hub-of": [hubs.index(nodes[n]["hub"].removeprefix("hub.") if n in nodes else n) for n in names],
             "in-parts": [c["parts"] for _, c in classes],
@@ -60,7 +60,7 @@
         },
         "machine-types": ["box", "parent", "library"],
         "membership-mode": "pushed",
-        "n-instances": max(1, len(crews)),
+        "n-instances": max(1, len(proxies)),
         "obligations": {
             "drain-grace": attrs["drain_ms"] * 1_000,
             "fall": int(attrs["fall_s"] * 1e6),
@@ -77,14 +77,14 @@
                 "late-worth": c["late_worth"],
                 "name": name,
                 "objective": c["wanted_ms"] * 1_000,
-                "repeat": REPEATS[c["repeat"]],
+                "repeat": RETRY_SAFETY[c["repeat"]],
                 "repeat-window": c["window_ms"] * 1_000,
                 "streamed": False,
                 "value": c["worth"],
             }
             for name, c in classes
         ],
-        "rank": [name for _, name in crews].index(proxy.name) if proxy.kind == "proxy" else 0,
+        "rank": [name for _, name in proxies].index(proxy.name) if proxy.kind == "proxy" else 0,
         "report": {"columns": list(attrs.get("reports", REPORT_FIELDS)), "via": "answers"},
         "tick": 2_000,
         "zone": proxy.attrs["node"].removeprefix("node."),
@@ -93,14 +93,14 @@
 
 
 def settle_ms(settings: Mapping[str, Any]) -> int:
-    """How long a drained server keeps what it had taken: the longest give-up time, or what the file says."""
+    """The time that open requests have to end on a draining server: `settle_s`, or else the longest deadline."""
     if settings["settle_s"] is not None:
         return int(settings["settle_s"] * 1_000)
     return max((c["given_up_ms"] for c in settings["classes"].values()), default=5_000)
 
 
 def member(kind: str, name: str, attrs: Mapping[str, Any], phase: str, since: int) -> dict[str, Any]:
-    """A server as the journal tells it; `phase` is SERVING, DRAINING or DELETED, `since` in Unix milliseconds."""
+    """A server as in the journal's events; `phase` is SERVING, DRAINING or DELETED, `since` is in Unix milliseconds."""
     where = attrs.get("node") or attrs.get("hub") or ""
     return {
         "id": name,
--- a/threadhill/plans/planner.py
+++ b/threadhill/plans/planner.py
@@ -47,7 +47,7 @@
     "drain": "gets nothing new",
     "remove": "removed; its address is free",
     "set": "recorded",
-    "unset": "removed",
+    "unset": "forgotten",
 }
 CONFIRMATIONS = {
     "add": "every live proxy has applied it and its warm-up time has passed",
@@ -246,7 +246,7 @@
 
 
 def _with_needs(steps: list[Step]) -> list[Step]:
-    """Add the dependencies: a step needs those that make what it refers to, and those that remove what is located there."""
+    """Add the dependencies: what a step refers to is made before it; a node or hub goes after what is located there."""
     by_id = {step.id: step for step in steps}
     freed_addresses = {
         s.before["address"]: s.id for s in steps if s.action == "remove" and s.kind in rules.SERVER_KINDS
@@ -282,7 +282,7 @@
 
 
 def _order(steps: list[Step], fleet: Fleet) -> tuple[list[Step], dict[str, str]]:
-    """Order the steps in waves: those of a wave may begin once all before it are confirmed. Also returns the blocked."""
+    """Order the steps in waves: each may begin once all before it are confirmed. Also returns the blocked steps."""
     setup_index = {kind: i for i, kind in enumerate(SETUP_ORDER)}
     ranks = _drain_ranks(steps)
     remaining = sorted(
@@ -324,8 +324,8 @@
 
 
 def _drain_ranks(steps: list[Step]) -> dict[str, int]:
-    """The order of drains. 0: a new server of the same place, which replaces the drained one, waits for its name or address;
-    1: a new server of another place does; 2: all others, which would use up the number of servers that may drain."""
+    """The order of drains. 0: a new server of the same place, which replaces the drained one, waits for its name or
+    address; 1: a new server of another place does; 2: all others, which would use up the drains that are allowed."""
     by_id = {step.id: step for step in steps}
     ranks = {step.id: 2 for step in steps if step.action == "drain"}
     for step in steps:
@@ -371,7 +371,7 @@
         record = record_of(Resource(step.kind, step.name, step.after))
         phase, since = record.phase, now if record.phase is Phase.COLD else 0
         if step.action in ("return", "update"):
-            # It never stopped: its start time stays. If it has one and wasn't warm, it is cold until its warm-up time ends.
+            # It never stopped: its start time stays. If it has one and wasn't warm, it is cold until its warm-up ends.
             phase, since = Phase.COLD if old.since and old.phase is not Phase.WARM else Phase.WARM, old.since
         record = record.with_phase(phase, since, pos, now)
     fleet.put(record)
--- a/threadhill/plans/rules.py
+++ b/threadhill/plans/rules.py
@@ -53,7 +53,7 @@
 
     @property
     def place(self) -> str:
-        """The node of a box, else the kind: all upper caches form one place, as the proxies of every node use them all."""
+        """The node of a box, else the kind: upper caches form one place, as the proxies of every node use them all."""
         return self.attrs["node"] if self.kind == "box" else self.kind
 
     @property
@@ -98,8 +98,8 @@
 
 
 def places(wanted: Iterable[Any]) -> dict[str, Place]:
-    """All places, from the wanted resources (objects with `kind`, `name`, `attrs`). The library's place may be empty only
-    where neither boxes nor upper caches are wanted: the library is never drained while any are left."""
+    """All places, from the wanted resources (objects with `kind`, `name`, `attrs`). The library's place may be empty
+    only if neither boxes nor upper caches are wanted: the library is never drained while any are left."""
     wanted = list(wanted)
     counts = Counter(r.attrs["node"] if r.kind == "box" else r.kind for r in wanted if r.kind in SERVER_KINDS)
     result = {
@@ -127,9 +127,9 @@
     records: dict[str, Record] = field(default_factory=dict)
     places: dict[str, Place] = field(default_factory=dict)
     counts: Counter[tuple[str, Phase]] = field(default_factory=Counter)
-    address_holders: dict[str, str] = field(default_factory=dict)  # address -> id of the resource that uses it
-    dependent_counts: Counter[str] = field(default_factory=Counter)  # id -> number of ready servers that fill from it
-    resource_counts: Counter[str] = field(default_factory=Counter)  # id of a node or hub -> number of resources there
+    holders: dict[str, str] = field(default_factory=dict)  # address -> id of the resource that uses it
+    named: Counter[str] = field(default_factory=Counter)  # id -> number of ready servers that fill from it
+    belongs: Counter[str] = field(default_factory=Counter)  # id of a node or hub -> number of resources there
     proxies: dict[str, Record] = field(default_factory=dict)  # by name
     gone: frozenset[str] = frozenset()  # ids of servers that no proxy reaches: not counted while ready
 
@@ -145,7 +145,7 @@
     def _count(self, record: Record, by: int) -> None:
         for key in ("node", "hub"):
             if key in record.attrs:
-                self.resource_counts[record.attrs[key]] += by
+                self.belongs[record.attrs[key]] += by
         if record.kind == "proxy":
             self.counts[record.attrs["node"], record.phase] += by
         if record.kind in SERVER_KINDS:
@@ -153,7 +153,7 @@
                 self.counts[record.place, record.phase] += by
             if record.ready:
                 for source in record.attrs.get("fills_from", ()):
-                    self.dependent_counts[source] += by
+                    self.named[source] += by
 
     def put(self, record: Record) -> None:
         old = self.records.get(record.id)
@@ -164,7 +164,7 @@
             self.proxies[record.name] = record
         for key in ("address", "listen"):
             if key in record.attrs:
-                self.address_holders[record.attrs[key]] = record.id
+                self.holders[record.attrs[key]] = record.id
         self._count(record, 1)
 
     def change_phase(self, old: Record, new: Record) -> None:
@@ -184,8 +184,8 @@
         record = self.records.pop(id)
         self.proxies.pop(record.name if record.kind == "proxy" else "", None)
         for key in ("address", "listen"):
-            if key in record.attrs and self.address_holders.get(record.attrs[key]) == id:
-                del self.address_holders[record.attrs[key]]
+            if key in record.attrs and self.holders.get(record.attrs[key]) == id:
+                del self.holders[record.attrs[key]]
         self._count(record, -1)
 
     def place(self, name: str) -> Place:
@@ -203,7 +203,7 @@
 
 def may_list(fleet: Fleet, record: Record) -> str | None:
     """Guard of listing this server."""
-    holder = fleet.address_holders.get(record.attrs["address"])
+    holder = fleet.holders.get(record.attrs["address"])
     if holder is not None and holder != record.id:
         return f"{record.attrs['address']} is still used by {holder}"
     if record.id in fleet.records and fleet.records[record.id].phase is not Phase.DRAINING:
@@ -226,8 +226,8 @@
 def may_drain(fleet: Fleet, record: Record) -> str | None:
     """Guard of draining this server."""
     place, name = fleet.place(record.place), record.place
-    if fleet.dependent_counts[record.id]:
-        return f"{fleet.dependent_counts[record.id]} other servers still fill from it"
+    if fleet.named[record.id]:
+        return f"{fleet.named[record.id]} other servers still fill from it"
     if record.kind != "box" and place.allow_empty and any(fleet.counts[p] for p in fleet.counts if p[0] != name):
         return "servers or proxies of other places are still there"
     counted = record.id not in fleet.gone
@@ -244,18 +244,18 @@
     """Guard of removing this resource, after which its name and address may be used again."""
     if record.kind in SERVER_KINDS and fleet.records[record.id].phase is not Phase.DRAINED:
         return f"{record.id} is not drained yet"
-    if record.kind in ("node", "hub") and fleet.resource_counts[record.id]:
-        return f"{fleet.resource_counts[record.id]} resources are still located there"
+    if record.kind in ("node", "hub") and fleet.belongs[record.id]:
+        return f"{fleet.belongs[record.id]} resources are still located there"
     return None
 
 
 def may_set(fleet: Fleet, record: Record) -> str | None:
-    """Guard of setting this resource: its node or hub must exist, and a node's proxies are reconfigured one at a time."""
+    """Guard of setting this resource: its node or hub must exist; a node's proxies are reconfigured one at a time."""
     for key in ("node", "hub"):
         if key in record.attrs and record.attrs[key] not in fleet.records:
             return f"{record.attrs[key]} does not exist"
     if record.kind == "proxy":
-        holder = fleet.address_holders.get(record.attrs["listen"])
+        holder = fleet.holders.get(record.attrs["listen"])
         if holder is not None and holder != record.id:
             return f"{record.attrs['listen']} is still used by {holder}"
         if record.id in fleet.records:
--- a/threadhill/plans/saved.py
+++ b/threadhill/plans/saved.py
@@ -1,4 +1,4 @@
-"""A plan as a document: saved whole, with the state it was made on and a digest that tells if a byte was changed."""
+"""A plan as a document: it names the state on which it was made and has a digest that detects any change."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from threadhill.plans.planner import Plan, Step, digest
 from threadhill.plans.resource import Resource
 
-FORM = 1
-MARKS = {"add": "+", "return": "+", "remove": "-", "unset": "-", "drain": "-", "update": "~"}
-SHOWN = 200  # steps that are shown to people; all are in the document
+FORMAT_VERSION = 1
+ACTION_MARKS = {"add": "+", "return": "+", "remove": "-", "unset": "-", "drain": "-", "update": "~"}
+MAX_SHOWN = 200  # limit of the steps in the text form; the document has all of them
 
 
 class BadPlan(Exception):
-    """A document that is no plan, or not the one that was saved."""
+    """The document is not a plan, or was changed after it was saved."""
 
 
 def document(
     plan: Plan, wanted: Mapping[str, Resource], base: int, serial: int, forecast: Any = None, why: str = ""
 ) -> dict[str, Any]:
-    """The plan as JSON. `base` is the version it was made on, `serial` counts every change of the state since ever."""
+    """The plan as JSON. `base` is the state version on which it was made; `serial` counts all changes of the state."""
     body = {
-        "threadhill_plan": FORM,
+        "threadhill_plan": FORMAT_VERSION,
         "base": base,
         "serial": serial,
         "why": why,
@@ -37,12 +37,12 @@
 
 
 def check(raw: Any) -> dict[str, Any]:
-    """The document, if it is a plan and as it was saved."""
-    if not isinstance(raw, dict) or raw.get("threadhill_plan") != FORM:
-        raise BadPlan("is no saved plan of this version of the program; make it again with plan --out")
+    """Returns the document if it is an unchanged plan; raises BadPlan otherwise."""
+    if not isinstance(raw, dict) or raw.get("threadhill_plan") != FORMAT_VERSION:
+        raise BadPlan("is not a saved plan of this version of the program; make it again with plan --out")
     body = {key: value for key, value in raw.items() if key != "digest"}
     if digest(body) != raw.get("digest"):
-        raise BadPlan("was changed since it was saved: its digest does not fit; make it again with plan --out")
+        raise BadPlan("was changed since it was saved: its digest does not match; make it again with plan --out")
     return raw
 
 
@@ -54,40 +54,40 @@
 
 
 def resources_of(wanted: Mapping[str, dict[str, Any]]) -> dict[str, Resource]:
-    """Resources from their attributes by id."""
+    """The resources of a document's map of attributes by id."""
     return {id: Resource(*id.split(".", 1), attrs) for id, attrs in wanted.items()}
 
 
 def render(raw: Mapping[str, Any], done: Mapping[str, str] | None = None) -> str:
-    """A plan for people; `done` gives the state of each step of one that is being applied."""
+    """The plan as text. `done` has the states of the steps, by id, if the plan is being applied."""
     lines = []
     if raw["drift"]:
-        lines.append("Not as recorded (nobody asked for this by file, and this plan does not change it):")
+        lines.append("Not as recorded (no configuration file asks for this, and this plan does not change it):")
         lines += [f"  ! {d['id']}: recorded {d['recorded']}, observed: {d['observed']}" for d in raw["drift"]]
     if raw["pending"]:
         lines.append(
-            f"Still on its way from before: {', '.join(raw['pending'][:8])}"
+            f"Not yet confirmed from earlier applies: {', '.join(raw['pending'][:8])}"
             + (f" and {len(raw['pending']) - 8} more" if len(raw["pending"]) > 8 else "")
         )
     wave = -1
-    for step in raw["steps"][:SHOWN]:
+    for step in raw["steps"][:MAX_SHOWN]:
         if step["wave"] != wave:
             wave = step["wave"]
             lines.append(f"{'First' if not wave else 'Then, once that is confirmed'}:")
         state = f" [{done[step['id']]}]" if done and step["id"] in done else ""
-        mark = MARKS.get(step["action"]) or ("~" if step["before"] else "+")
+        mark = ACTION_MARKS.get(step["action"]) or ("~" if step["before"] else "+")
         lines.append(f"  {mark} {step['action']} {step['kind']}.{step['name']}{state}")
         lines += _changes(step)
-    if len(raw["steps"]) > SHOWN:
-        lines.append(f"  ... {len(raw['steps']) - SHOWN} more steps; --json shows them all")
-    for id, reason in list(raw["blocked"].items())[:SHOWN]:
+    if len(raw["steps"]) > MAX_SHOWN:
+        lines.append(f"  ... {len(raw['steps']) - MAX_SHOWN} more steps; --json shows them all")
+    for id, reason in list(raw["blocked"].items())[:MAX_SHOWN]:
         lines.append(f"  x {id}: cannot be done: {reason}")
     for node, classes in raw["forecast"].items():
         lines.append(f"Shares of requests at {node}, in points of a hundred:")
-        boxes = sorted({box for by in classes.values() for box in by})
+        boxes = sorted({box for by_box in classes.values() for box in by_box})
         lines.append("  " + "".ljust(24) + "".join(cls.rjust(20) for cls in classes))
         for box in boxes:
-            cells = [by.get(box, {"before": 0.0, "after": 0.0}) for by in classes.values()]
+            cells = [by_box.get(box, {"before": 0.0, "after": 0.0}) for by_box in classes.values()]
             lines.append(
                 "  "
                 + box.ljust(24)
