--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -1,4 +1,4 @@
-"""Files, planner and forecast: everything of plan and apply that needs no socket."""
+"""Tests of configuration files, the planner and the forecast: the parts of plan and apply that need no socket."""
 
 from __future__ import annotations
 
@@ -89,12 +89,12 @@
         ("<<T\n${x}\nT\n", "plain text"),
     ],
 )
-def test_what_is_not_supported_is_a_fault(expression: str, said: str) -> None:
+def test_unsupported_expressions_are_errors(expression: str, said: str) -> None:
     with pytest.raises((InvalidConfiguration, configuration.EvalError), match="(?s).*" + said.replace("(", r"\(")):
         value_of(expression, x=[1])
 
 
-def test_all_faults_are_told_at_once_with_file_line_and_name() -> None:
+def test_all_faults_are_reported_together_with_file_line_and_name() -> None:
     text = (
         BASE
         + """
@@ -127,19 +127,19 @@
     line = BASE.count("\n")
     with pytest.raises(InvalidConfiguration) as caught:
         read(text, boxes=3, colour="red")
-    told = [(f.line - line if f.line else 0, f.name, f.text) for f in caught.value.faults]
+    reported = [(f.line - line if f.line else 0, f.name, f.text) for f in caught.value.faults]
 
-    def said(at: int, name: str, part: str) -> bool:
-        return any(l == at and n == name and part in t for l, n, t in told)  # noqa: E741
+    def has_fault(line_number: int, name: str, part: str) -> bool:
+        return any(l == line_number and n == name and part in t for l, n, t in reported)  # noqa: E741
 
-    assert said(2, "box.costa-0", "is defined twice")
-    assert said(9, "parent.a", "port")
-    assert said(10, "parent.a", "must name a parent or a library; box.costa-1 is a box")
-    assert said(15, "parent.b", "parent.b -> parent.c -> parent.b") and said(
+    assert has_fault(2, "box.costa-0", "is defined twice")
+    assert has_fault(9, "parent.a", "port")
+    assert has_fault(10, "parent.a", "must name a parent or a library; box.costa-1 is a box")
+    assert has_fault(15, "parent.b", "parent.b -> parent.c -> parent.b") and has_fault(
         19, "parent.c", "is already used by parent.b"
     )
-    assert said(23, "tenant.x", "domain name") and said(25, "thing.y", "no such kind")
-    assert said(0, "colour", "no such variable")
+    assert has_fault(23, "tenant.x", "domain name") and has_fault(25, "thing.y", "no such kind")
+    assert has_fault(0, "colour", "no such variable")
     with pytest.raises(InvalidConfiguration) as caught:
         read('node "n" {\n  hub = hub.none\n  lod = 1\n}\nvariable "v" {}\nlocals {\n  a = local.b\n  b = local.a\n}')
     text = str(caught.value)
@@ -154,7 +154,7 @@
     )
 
 
-def test_a_syntax_error_in_one_file_hides_none_in_another(tmp_path: Path) -> None:
+def test_syntax_errors_of_all_files_are_reported(tmp_path: Path) -> None:
     (tmp_path / "a.hcl").write_text('hub "h" {\n  x = = 1\n}\n')
     (tmp_path / "b.hcl").write_text('hub "h" {\n  x = 1\n  x = 2\n}\n')
     (tmp_path / "c.hcl").write_text('hub "h" {\n')
@@ -174,21 +174,21 @@
         max_size=25,
     ).map("".join)
 )
-def test_no_text_is_more_than_a_fault(text: str) -> None:
+def test_any_text_parses_or_raises_invalid_configuration(text: str) -> None:
     with contextlib.suppress(InvalidConfiguration):
         configuration.evaluate(syntax.parse(text, "x", []))
 
 
-def test_canonical_form_changes_white_space_only_and_once() -> None:
+def test_formatting_changes_only_white_space_and_is_idempotent() -> None:
     messy = (
         'locals {\n\n\n  a=1 # one\n long_name   =   "x = y"\n  m = {\n a = 1\n  bb = [1,\n2]\n}\n'
         " t = <<E\n  kept  \nE\n"
         '/* a\n   b */\n}\n\n\nhub   "h" {}\n\n'
     )
-    once = fmt.canonical(messy)
-    assert fmt.canonical(once) == once and '  a         = 1 # one\n  long_name = "x = y"\n' in once
-    assert "  kept  \nE\n" in once and "    bb = [1,\n      2]\n" in once
-    blocks = [syntax.parse(text, "x", []) for text in (messy, once)]
+    formatted = fmt.canonical(messy)
+    assert fmt.canonical(formatted) == formatted and '  a         = 1 # one\n  long_name = "x = y"\n' in formatted
+    assert "  kept  \nE\n" in formatted and "    bb = [1,\n      2]\n" in formatted
+    blocks = [syntax.parse(text, "x", []) for text in (messy, formatted)]
     assert len({str([(b.kind, b.labels, sorted(b.attributes)) for b in side]) for side in blocks}) == 1
     assert fmt.canonical(BASE) == BASE
 
@@ -197,7 +197,7 @@
 
 
 def settled(resources: dict[str, Resource]) -> Fleet:
-    """The state in which these are all made and confirmed."""
+    """The state in which all these resources are set up and confirmed."""
     wanted = planner.with_config_digests(resources)
     fleet = Fleet.from_records(
         [planner.record_of(r, warm=True) for r in wanted.values()], rules.places(wanted.values())
@@ -206,7 +206,7 @@
     return fleet
 
 
-def test_four_boxes_come_in_as_many_rounds_as_the_node_can_warm() -> None:
+def test_new_boxes_are_added_in_waves_that_keep_the_limit_of_cold_boxes() -> None:
     plan = planner.plan(read(BASE, boxes=7), settled(read(BASE)).records.values())
     assert [(s.id, s.wave) for s in plan.steps] == [
         ("add box.costa-3", 0),
@@ -216,22 +216,22 @@
     ]
 
 
-def test_upper_caches_come_before_the_boxes_that_fill_from_them_and_go_after() -> None:
-    more = BASE.replace('toset(["a", "b"])', 'toset(["a", "b", "c"])').replace(
+def test_upper_caches_are_added_before_and_drained_after_the_boxes_that_fill_from_them() -> None:
+    larger = BASE.replace('toset(["a", "b"])', 'toset(["a", "b", "c"])').replace(
         '"a" ? 1 : 2', '"a" ? 1 : each.key == "b" ? 2 : 3'
     )
-    plan = planner.plan(read(more, boxes=4), settled(read(BASE)).records.values())
-    at = {s.id: s.wave for s in plan.steps}
-    assert at["add parent.upper-c"] < at["add box.costa-3"] and "add parent.upper-c" in {
+    plan = planner.plan(read(larger, boxes=4), settled(read(BASE)).records.values())
+    wave_of = {s.id: s.wave for s in plan.steps}
+    assert wave_of["add parent.upper-c"] < wave_of["add box.costa-3"] and "add parent.upper-c" in {
         n for s in plan.steps if s.id == "add box.costa-3" for n in s.needs
     }
-    back = planner.plan(read(BASE), settled(read(more, boxes=4)).records.values())
-    at = {s.id: s.wave for s in back.steps}
-    assert at["update box.costa-0"] <= at["drain parent.upper-c"] < at["remove parent.upper-c"]
-    assert at["drain box.costa-3"] <= at["drain parent.upper-c"]
+    back = planner.plan(read(BASE), settled(read(larger, boxes=4)).records.values())
+    wave_of = {s.id: s.wave for s in back.steps}
+    assert wave_of["update box.costa-0"] <= wave_of["drain parent.upper-c"] < wave_of["remove parent.upper-c"]
+    assert wave_of["drain box.costa-3"] <= wave_of["drain parent.upper-c"]
 
 
-def test_all_boxes_of_a_node_are_replaced_and_it_is_never_empty() -> None:
+def test_replacing_all_boxes_of_a_node_keeps_enough_warm() -> None:
     new = BASE.replace('box "costa"', 'box "nova"').replace("+ 10 +", "+ 20 +").replace("each.value < 3", "false")
     fleet = settled(read(BASE))
     plan = planner.plan(read(new), fleet.records.values())
@@ -246,22 +246,25 @@
     assert sorted(r.name for r in fleet.records.values() if r.kind == "box") == ["nova-0", "nova-1", "nova-2"]
 
 
-def test_a_box_takes_the_address_of_one_that_goes_only_once_that_is_gone() -> None:
+def test_an_address_is_reused_only_after_its_old_box_is_removed() -> None:
     new = BASE.replace('box "costa"', 'box "nova"').replace("each.value < 3", "false")
     plan = planner.plan(read(new), settled(read(BASE)).records.values())
-    at = {s.id: s.wave for s in plan.steps}
-    assert all(at[f"add box.nova-{i}"] > at[f"remove box.costa-{i}"] for i in range(3)) and not plan.blocked
+    wave_of = {s.id: s.wave for s in plan.steps}
+    assert all(wave_of[f"add box.nova-{i}"] > wave_of[f"remove box.costa-{i}"] for i in range(3)) and not plan.blocked
 
 
-def test_what_makes_room_for_others_is_drained_first() -> None:
+def test_drains_that_others_wait_for_come_first() -> None:
     new = BASE.replace("range(var.boxes)", "range(1)").replace("local.base + 10 +", "local.base + 12 +")
     plan = planner.plan(read(new), settled(read(BASE)).records.values())  # costa-0 moves to the address of costa-2
     assert not plan.blocked
-    at = {s.id: s.wave for s in plan.steps}
-    assert at["drain box.costa-2"] < at["drain box.costa-1"] and at["drain box.costa-0"] < at["drain box.costa-1"]
+    wave_of = {s.id: s.wave for s in plan.steps}
+    assert (
+        wave_of["drain box.costa-2"] < wave_of["drain box.costa-1"]
+        and wave_of["drain box.costa-0"] < wave_of["drain box.costa-1"]
+    )
 
 
-def test_guards_hold_by_themselves() -> None:
+def test_each_guard_refuses_by_itself() -> None:
     fleet = settled(read(BASE))
     box = fleet.records["box.costa-0"]
     late = Record("box", "late", box.attrs, Phase.WARM)
@@ -271,16 +274,16 @@
     assert rules.may_drain(fleet, fleet.records["parent.upper-a"]) == "3 other servers still fill from it"
 
 
-def test_the_last_box_of_a_node_stays_unless_the_file_says_so() -> None:
-    none = BASE.replace("range(var.boxes)", "range(0)")
-    plan = planner.plan(read(none), settled(read(BASE)).records.values())
+def test_the_last_box_of_a_node_is_kept_unless_allow_empty_is_set() -> None:
+    without_boxes = BASE.replace("range(var.boxes)", "range(0)")
+    plan = planner.plan(read(without_boxes), settled(read(BASE)).records.values())
     assert plan.blocked and "must keep 1 warm servers" in " ".join(plan.blocked.values())
-    allowed = none.replace("  load = 0.5", "  load = 0.5\n  allow_empty = true")
+    allowed = without_boxes.replace("  load = 0.5", "  load = 0.5\n  allow_empty = true")
     plan = planner.plan(read(allowed), settled(read(BASE)).records.values())
     assert not plan.blocked and sum(s.action == "remove" for s in plan.steps) == 3
 
 
-def test_settings_reach_proxies_one_at_a_time_in_a_node() -> None:
+def test_new_settings_are_applied_to_one_proxy_of_a_node_at_a_time() -> None:
     def steps(old: str, new: str) -> list[tuple[str, int]]:
         plan = planner.plan(read(BASE.replace(old, new)), settled(read(BASE)).records.values())
         return [(s.id, s.wave) for s in plan.steps]
@@ -293,7 +296,7 @@
     assert steps("settle_s        = 1.0", "settle_s        = 2.0") == [("set settings.settings", 0)]
 
 
-def test_drift_is_told_apart_from_change() -> None:
+def test_drift_is_reported_and_not_planned_as_a_change() -> None:
     observed = Observed(frozenset({"box.costa-1"}), {"proxy.p-2": "silent for 9.0 s"})
     plan = planner.plan(read(BASE), settled(read(BASE)).records.values(), observed)
     assert not plan.steps and [(d.id, d.observed) for d in plan.drift] == [
@@ -304,14 +307,14 @@
 
 
 NODES, PARENTS = ("n1", "n2"), ("u1", "u2", "u3")
-TIMES = {"settle_s": 0.0, "cold_s": 0, "upper_cold_s": 0, "drain_ms": 0, "silent_s": 7}
-A_CLASS = {"c": {"repeat": "safe", "wanted_ms": 1, "given_up_ms": 2, "worth": 1, "write": False}}
+TIME_SETTINGS = {"settle_s": 0.0, "cold_s": 0, "upper_cold_s": 0, "drain_ms": 0, "silent_s": 7}
+REQUEST_CLASSES = {"c": {"repeat": "safe", "wanted_ms": 1, "given_up_ms": 2, "worth": 1, "write": False}}
 
 
 @st.composite
 def installations(draw: st.DrawFn) -> dict[str, Resource]:
-    """Some installation of two nodes, up to three upper caches and up to five boxes a node, at few addresses."""
-    attrs = {"classes": A_CLASS, "v": draw(st.integers(0, 1)), **TIMES}
+    """Random installations: two nodes with up to five boxes each, up to three upper caches, few addresses."""
+    attrs = {"classes": REQUEST_CLASSES, "v": draw(st.integers(0, 1)), **TIME_SETTINGS}
     made = {"settings.settings": Resource("settings", "settings", attrs), "hub.h": Resource("hub", "h", {})}
     free = draw(st.permutations([f"127.0.0.1:{i}" for i in range(1, 24)]))
     server = {"size": 4.0, "cell": 0, "warm": False}
@@ -352,30 +355,30 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(installations(), installations(), st.randoms(use_true_random=False))
-def test_every_prefix_of_a_plan_keeps_the_rules_and_leaves_just_the_rest(
-    before: dict[str, Resource], after: dict[str, Resource], chance: random.Random
+def test_every_prefix_of_a_plan_keeps_the_rules_and_replanning_gives_the_remaining_steps(
+    before: dict[str, Resource], after: dict[str, Resource], rng: random.Random
 ) -> None:
     fleet = settled(before)
     plan = planner.plan(after, fleet.records.values())
     fleet.places = rules.places(planner.with_config_digests(after).values())
-    # A node that carries more than its new floor knows of may begin below it: it must only never sink further.
+    # A node may begin below its new minimum of warm boxes; then it must only not fall any further.
     start = {name: fleet.warm(name) for name in fleet.places}
-    left, done = list(plan.steps), set()
-    while left:
-        first = {s.place: s for s in reversed(left)}  # no step of a place overtakes another
+    remaining, done = list(plan.steps), set()
+    while remaining:
+        first = {s.place: s for s in reversed(remaining)}  # no step of a place overtakes another
         ready = [
             s
-            for s in left
+            for s in remaining
             if not set(s.needs) - done and planner.guard(fleet, s) is None and (s.place is None or first[s.place] is s)
         ]
-        if not ready:  # confirmation is all that is missing
+        if not ready:  # the remaining steps only wait for confirmations
             moved, known = planner.confirm_all(fleet), len(done)
-            done = {s.id for s in plan.steps if s not in left}
-            assert moved or len(done) > known, "stuck in the middle of a plan"
+            done = {s.id for s in plan.steps if s not in remaining}
+            assert moved or len(done) > known, "stuck in the middle of the plan"
             continue
-        step = chance.choice(ready)
+        step = rng.choice(ready)
         planner.begin(fleet, step)
-        left.remove(step)
+        remaining.remove(step)
         if step.action in ("set", "unset", "update", "return", "remove"):
             done.add(step.id)
         assert not rules.violations(fleet)
@@ -384,7 +387,7 @@
         addresses = [r.attrs["address"] for r in fleet.records.values() if "address" in r.attrs]
         assert len(addresses) == len(set(addresses))
         again = planner.plan(after, fleet.records.values())
-        assert {s.id for s in again.steps} | set(again.blocked) == {s.id for s in left} | set(plan.blocked)
+        assert {s.id for s in again.steps} | set(again.blocked) == {s.id for s in remaining} | set(plan.blocked)
     planner.confirm_all(fleet)
     if not plan.blocked:
         last = planner.plan(after, fleet.records.values())
@@ -394,8 +397,8 @@
 
 @settings(max_examples=120, deadline=None, derandomize=True)
 @given(installations(), installations(), st.randoms(use_true_random=False))
-def test_an_apply_ends_in_whatever_order_its_steps_are_confirmed(
-    before: dict[str, Resource], after: dict[str, Resource], chance: random.Random
+def test_an_apply_completes_in_any_order_of_confirmations(
+    before: dict[str, Resource], after: dict[str, Resource], rng: random.Random
 ) -> None:
     fleet = settled(before)
     plan = planner.plan(after, fleet.records.values())
@@ -404,16 +407,16 @@
         return
     states: dict[str, StepState] = {}
     while len([s for s in states.values() if s.state == "done"]) < len(plan.steps):
-        moves = progress.advance(plan.steps, states, fleet, ProxyReports(), 0)
-        assert not moves.halted, moves.halted
-        for step in moves.begin:
+        transitions = progress.advance(plan.steps, states, fleet, ProxyReports(), 0)
+        assert not transitions.halted, transitions.halted
+        for step in transitions.begin:
             planner.begin(fleet, step)
             states[step.id] = StepState(1, step.id, "intended")
             assert not rules.violations(fleet)
-        for done in moves.done:
+        for done in transitions.done:
             states[done.id] = done
         waiting = [r for r in fleet.records.values() if r.phase in (Phase.COLD, Phase.DRAINING, Phase.CONFIGURING)]
-        for record in chance.sample(waiting, min(len(waiting), 1 + chance.randrange(3))):
+        for record in rng.sample(waiting, min(len(waiting), 1 + rng.randrange(3))):
             one = Fleet.from_records([record], {})
             planner.confirm_all(one)
             fleet.put(one.records[record.id])
@@ -421,13 +424,13 @@
     assert not last.steps and not last.blocked
 
 
-def test_a_saved_plan_that_was_altered_by_a_byte_is_refused() -> None:
+def test_a_saved_plan_with_a_changed_byte_is_refused() -> None:
     wanted = read(BASE, boxes=4)
     document = saved.document(planner.plan(wanted, settled(read(BASE)).records.values()), wanted, 1, 1)
     assert saved.check(json.loads(json.dumps(document))) == document
     raw = json.dumps(document)
-    for at in range(0, len(raw), 97):
-        altered = raw[:at] + chr(ord(raw[at]) ^ 1) + raw[at + 1 :]
+    for position in range(0, len(raw), 97):
+        altered = raw[:position] + chr(ord(raw[position]) ^ 1) + raw[position + 1 :]
         try:
             again = json.loads(altered)
         except ValueError:
@@ -437,16 +440,16 @@
                 saved.check(again)
 
 
-def test_the_forecast_is_the_modules_own_choice_and_adds_up() -> None:
-    told = forecast.before_and_after(read(BASE), read(BASE, boxes=5), ["node.costa-1"])["node.costa-1"]
-    for by in told.values():
+def test_forecast_shares_add_up_and_are_reproducible() -> None:
+    shares = forecast.before_and_after(read(BASE), read(BASE, boxes=5), ["node.costa-1"])["node.costa-1"]
+    for by_box in shares.values():
         for side in ("before", "after"):
-            assert abs(sum(cell[side] for cell in by.values()) - 1) < 0.01
-        assert len(by) == 5 and by["box.costa-4"]["before"] == 0 < by["box.costa-4"]["after"] < 0.5
-    assert told == forecast.before_and_after(read(BASE), read(BASE, boxes=5), ["node.costa-1"])["node.costa-1"]
+            assert abs(sum(cell[side] for cell in by_box.values()) - 1) < 0.01
+        assert len(by_box) == 5 and by_box["box.costa-4"]["before"] == 0 < by_box["box.costa-4"]["after"] < 0.5
+    assert shares == forecast.before_and_after(read(BASE), read(BASE, boxes=5), ["node.costa-1"])["node.costa-1"]
 
 
-def test_a_server_that_drains_returns_and_one_that_was_drained_begins_anew() -> None:
+def test_a_draining_server_returns_and_a_drained_one_is_added_again() -> None:
     wanted = read(BASE)
     for phase, ids in (
         (Phase.DRAINING, ["return box.costa-2"]),
@@ -458,24 +461,29 @@
         assert [s.id for s in planner.plan(wanted, fleet.records.values()).steps] == ids
 
 
-# --- an installation of another shape
+# --- an installation with three hubs
 
 OTHER = (EXAMPLE / "three-hubs" / "fleet.hcl").read_text()
 
 
-def test_an_installation_of_three_hubs_is_planned_and_settings_reach_its_proxies() -> None:
+def test_an_installation_with_three_hubs_is_planned_and_its_proxies_get_their_settings() -> None:
     assert fmt.canonical(OTHER) == OTHER
     made = read(OTHER)
     plan = planner.plan(made, [])
     assert not plan.blocked and sum(s.action == "add" for s in plan.steps) >= 12 + 3 + 1
-    told = read_settings(options.options(made, made["proxy.west-2"]))
-    assert (told.cache_status_detail, told.zone, told.location_routers, told.routers) == (
+    proxy_settings = read_settings(options.options(made, made["proxy.west-2"]))
+    assert (
+        proxy_settings.cache_status_detail,
+        proxy_settings.zone,
+        proxy_settings.location_routers,
+        proxy_settings.routers,
+    ) == (
         api.CacheStatusDetail.ALL,
         "west-1",
         2,
         4,
     )
-    assert dict(zip(told.zones, told.zone_hub, strict=True)) == {
+    assert dict(zip(proxy_settings.zones, proxy_settings.zone_hub, strict=True)) == {
         "central": 0,
         "east": 1,
         "west": 2,
@@ -483,28 +491,32 @@
         "east-1": 1,
         "west-1": 2,
     }
-    assert [(c.retry_safety, c.write, c.freshness_lifetime) for c in told.classes.values()] == [
+    assert [(c.retry_safety, c.write, c.freshness_lifetime) for c in proxy_settings.classes.values()] == [
         (api.RetrySafety.UNSAFE, True, 0),
         (api.RetrySafety.SAFE, False, 12_000_000),
         (api.RetrySafety.SAFE, False, 0),
     ]
-    assert (told.drain_grace, told.parent_cold_capacity, told.overload_window) == (500_000, 0.069, 1_000_000)
+    assert (proxy_settings.drain_grace, proxy_settings.parent_cold_capacity, proxy_settings.overload_window) == (
+        500_000,
+        0.069,
+        1_000_000,
+    )
 
 
-def test_its_busiest_days_caches_come_in_and_the_forecast_gives_each_a_part() -> None:
+def test_caches_for_peak_days_are_added_and_the_forecast_gives_each_a_share() -> None:
     before, after = read(OTHER), read(OTHER, busiest=True)
     plan = planner.plan(after, settled(before).records.values())
     assert not plan.blocked
     assert {s.id for s in plan.steps} == {"add box.east-3", "add box.central-4", "add box.west-5"}
-    told = forecast.before_and_after(before, after, ["node.west-1"])["node.west-1"]
-    assert set(told) == {"small-record", "big-record"}
-    for by_box in told.values():
+    shares = forecast.before_and_after(before, after, ["node.west-1"])["node.west-1"]
+    assert set(shares) == {"small-record", "big-record"}
+    for by_box in shares.values():
         assert by_box["box.west-5"]["before"] == 0 and 0.05 < by_box["box.west-5"]["after"] < 0.4
         assert sum(side["after"] for side in by_box.values()) == pytest.approx(1, abs=0.01)
 
 
-def test_a_state_of_before_has_its_caches_tell_nothing() -> None:
-    """Guards against a store that an earlier version wrote, whose settings know neither notes nor reports."""
+def test_recorded_settings_without_notes_ask_caches_for_none() -> None:
+    """Guards against failing on a store written by an earlier version, whose settings lack `notes` and `reports`."""
     made = read(BASE)
     old = made["settings.settings"]
     made["settings.settings"] = Resource(
