--- a/benchmarks/plan_apply.py
+++ b/benchmarks/plan_apply.py
@@ -1,18 +1,18 @@
-"""Measures plan and apply on a whole installation on loopback, and prints one line of JSON.
+"""Measures plan and apply on a complete installation on loopback, and prints one line of JSON.
 
     python benchmarks/plan_apply.py --json [--seed N] [--smoke]
 
-| figure | what it is |
+| figure | meaning |
 | --- | --- |
-| forecast_error | largest difference, in points of a hundred, between a box's planned and measured share of requests, after four boxes were added to three under load |
-| drain_late, drain_worst_ms | requests that a box got, or was named in as a source, later than 250 ms after its drain was published; and the latest of all |
-| cold_worst | most that a cold box was sent within the fall window, over what it may be sent |
-| kills, kills_untrue | SIGKILLs of control plane and command during applies, and how often the next plan was not true |
-| plan_s, plan_mb | files of 10,000 boxes and 1,000 tenants, all of them new, to the saved plan |
-| feed_p99_ms | from the call that begins a step until each of 100 clients of the feed has its event |
-| restart_s | from the start of the process until the feed serves, with 100,000 events of history |
-
-Scaled down to one machine: two proxies, seven boxes, windows of seconds. `--smoke` makes all of it smaller still.
+| forecast_error | largest difference, in percentage points, between a box's planned and measured share of requests, after four boxes were added to three under load |
+| drain_late, drain_worst_ms | number of requests that reached a server, or named it as a source, later than 250 ms after its drain was published; and the latest delay of any |
+| cold_worst | most work that a cold box was sent within an overload window, as a multiple of what it may be sent |
+| kills, kills_untrue | SIGKILLs of the control plane during applies, and how often the state or the next plan was wrong afterwards |
+| plan_s, plan_mb | time and memory from files with 10,000 boxes and 1,000 tenants, all new, to the saved plan |
+| feed_p99_ms | from the call that begins a step until a client of the feed has its event, with 100 clients |
+| restart_s | from the start of the control plane until its feed serves, with 100,000 events of history |
+
+Scaled down to one machine: two proxies, seven boxes, windows of seconds. `--smoke` makes everything smaller still.
 """  # noqa: E501
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 import orjson
 
 ROOT = Path(__file__).resolve().parent.parent
-if not __package__:  # started by its file's name: the packages stand beside its folder
+if not __package__:  # run as a file: the packages are in the parent of its folder
     sys.path.insert(0, str(ROOT))
 
 from benchmarks.rig import TOKEN, Load, Rig, Watcher, until  # noqa: E402
@@ -44,20 +44,22 @@
 from threadhill.plans import forecast  # noqa: E402
 from threadhill.standin.servers import Server, body_of  # noqa: E402
 
-DRAIN = 0.250  # seconds, the rule on drains
-FALL, MULTIPLE, COLD_FROM = 3.0, 2.5, 0.16
-CARRIED = 0.8  # part of what boxes can do that is asked of them: what a cold box may be sent follows from it
+MAX_DRAIN_DELAY_S = 0.250  # seconds after the publication of a drain in which requests may still arrive
+OVERLOAD_WINDOW_S, OVERLOAD_MULTIPLE, COLD_CAPACITY = 3.0, 2.5, 0.16
+INITIAL_LOAD = (
+    0.8  # assumed load of the first three boxes, as a fraction of their capacity, from which the capacity is derived
+)
 
 
 def mix(rate: float) -> forecast.Mix:
     return forecast.Mix(rate, {"clip-parts": 0.55, "art-pages": 0.45}, objects=3_000, zipf=0.9)
 
 
-# --- four boxes more, under load
+# --- adding four boxes under load
 
 
-async def growth(folder: Path, seed: int, rate: float, window: float, cold: float) -> dict[str, Any]:
-    """Add four boxes to three; the planned shares against the measured ones, and how much cold boxes were sent."""
+async def measure_growth(folder: Path, seed: int, rate: float, window: float, cold: float) -> dict[str, Any]:
+    """Add four boxes to three. Compares planned with measured shares, and measures the work sent to cold boxes."""
     async with Rig(folder, "127.0.21.1", cold_s=cold, load=0.5) as rig:
         old = {str(i): True for i in range(3)}
         await rig.apply(rig.make(old))
@@ -77,11 +79,11 @@
         planned = planned_shares(plan, "node.costa", load.sent, begun, ended)
         boxes = [s for s in rig.installation.fleet.servers.values() if s.kind == "box"]
         counts = Counter({s.name: sum(begun <= a.at < ended and not a.fill for a in s.arrivals) for s in boxes})
-        whole = sum(counts.values())
-        errors = {name: abs(planned[f"box.{name}"] - counts[name] / whole) for name in counts}
+        measured_total = sum(counts.values())
+        errors = {name: abs(planned[f"box.{name}"] - counts[name] / measured_total) for name in counts}
         return {
             "forecast_error": round(100 * max(errors.values()), 2),
-            "forecast_requests": whole,
+            "forecast_requests": measured_total,
             "cold_worst": round(cold_worst(rig, cold), 3),
             "rounds": max(s["wave"] for s in plan["steps"]) + 1,
             "served": round(load.answers["200"] / max(1, sum(load.answers.values())), 4),
@@ -93,7 +95,7 @@
 def planned_shares(
     plan: dict[str, Any], node: str, sent: list[tuple[float, str]], begun: float, ended: float
 ) -> dict[str, float]:
-    """Each box's planned share of all requests: its classes' shares, each by its part of what was asked."""
+    """Each box's planned share of all requests: its shares by class, weighted by the requests sent of each class."""
     asked = Counter(cls for at, cls in sent if begun <= at < ended)
     shares: dict[str, float] = defaultdict(float)
     for cls, by in plan["forecast"][node].items():
@@ -103,10 +105,10 @@
 
 
 def cold_worst(rig: Rig, cold: float) -> float:
-    """The most work that a box was sent in a window of the fall time, over multiple x present capacity x window.
+    """The most work that a cold box was sent in a window, over multiple x present capacity x window.
 
-    Capacity is set by what was asked: three boxes carried it at CARRIED of theirs before. Work is what the rule counts,
-    each class's mean sending time; what is sent to a cold box counts whether it is served or not.
+    A box's capacity is derived from the total work: three boxes carried it at a load of INITIAL_LOAD. Work is counted
+    as the rule counts it, by each class's mean sending time; requests to a cold box count whether they are served or not.
     """
     fleet = rig.installation.fleet.servers.values()
     sizes: dict[str, list[int]] = defaultdict(list)
@@ -117,30 +119,30 @@
             for a in arrivals[s.name][::7]:
                 sizes[a.cls].append(len(body_of(a.thing, a.nth)))
     work = {cls: sum(by) / len(by) / 4e6 for cls, by in sizes.items()}
-    whole = [a for by in arrivals.values() for a in by]
-    span = max(a.at for a in whole) - min(a.at for a in whole)
-    capacity = sum(work[a.cls] for a in whole) / span / 3 / CARRIED
+    all_arrivals = [a for by in arrivals.values() for a in by]
+    span = max(a.at for a in all_arrivals) - min(a.at for a in all_arrivals)
+    capacity = sum(work[a.cls] for a in all_arrivals) / span / 3 / INITIAL_LOAD
     worst = 0.0
     for s in fleet:
         if s.kind != "box" or not s.cold:
             continue
-        told = next((a.at for a in arrivals[s.name]), None)
-        if told is None:
+        first_arrival = next((a.at for a in arrivals[s.name]), None)
+        if first_arrival is None:
             continue
         for i in range(int(cold / 0.1) + 1):
-            begin = told + i * 0.1
-            end = begin + min(FALL, cold)
+            begin = first_arrival + i * 0.1
+            end = begin + min(OVERLOAD_WINDOW_S, cold)
             sent = sum(work[a.cls] for a in arrivals[s.name] if begin <= a.at < end)
-            middle = COLD_FROM + (1 - COLD_FROM) * min(1.0, ((begin + end) / 2 - told) / cold)
-            worst = max(worst, sent / (MULTIPLE * middle * capacity * (end - begin)))
+            middle = COLD_CAPACITY + (1 - COLD_CAPACITY) * min(1.0, ((begin + end) / 2 - first_arrival) / cold)
+            worst = max(worst, sent / (OVERLOAD_MULTIPLE * middle * capacity * (end - begin)))
     return worst
 
 
 # --- drains
 
 
-async def drains(folder: Path, seed: int, rate: float, times: int) -> dict[str, Any]:
-    """Drain boxes and upper caches again and again under load; what reached them too late."""
+async def measure_drains(folder: Path, seed: int, rate: float, times: int) -> dict[str, Any]:
+    """Drain boxes and upper caches repeatedly under load, and count the requests that reached them too late."""
     async with Rig(folder, "127.0.22.1", cold_s=0.2, settle_s=0.3, load=0.4) as rig:
         names = [str(i) for i in range(8)]
         await rig.apply(rig.make(names, parents=3))
@@ -148,11 +150,11 @@
         load = Load()
         running = asyncio.ensure_future(load.run(rig.addresses, mix(rate), seed))
         await asyncio.sleep(1)
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         ended: list[Server] = []
         drained = 0
         while drained < times:
-            out = chance.sample(names, 3)
+            out = rng.sample(names, 3)
             before = dict(rig.installation.fleet.servers)
             await rig.apply(rig.make([n for n in names if n not in out], parents=2))
             drained += 4
@@ -160,19 +162,19 @@
             await rig.apply(rig.make(names, parents=3))
         load.stopped = True
         await running
-        late, worst, seen = drain_lateness(folder, rig, ended)
+        late, worst, deliveries = drain_lateness(folder, rig, ended)
         return {
             "drains": drained,
             "drain_late": late,
             "drain_worst_ms": round(worst * 1e3, 1),
-            "drain_sends": seen,
+            "drain_sends": deliveries,
             "drain_served": round(load.answers["200"] / max(1, sum(load.answers.values())), 4),
         }
 
 
 def drain_lateness(folder: Path, rig: Rig, ended: list[Server]) -> tuple[int, float, int]:
-    """Of all that was drained: what reached it, or named it as a source, between its drain and its return. The store
-    has when each drain and each return was published."""
+    """The requests that reached a drained server, or named it as a source, between its drain and its return: the late
+    ones, the latest delay, and all. The store has the times at which drains and returns were published."""
     db = sqlite3.connect(folder / STORE_FILE)
     published = list(db.execute("SELECT id, at FROM steps WHERE pos > 0 ORDER BY at, pos"))
     db.close()
@@ -184,28 +186,28 @@
             spans[name].append((at / 1e3, float("inf")))
         elif action == "add" and spans[name]:
             spans[name][-1] = (spans[name][-1][0], at / 1e3)
-    late, worst, seen = 0, 0.0, 0
+    late, worst, deliveries = 0, 0.0, 0
     servers = {id(s): s for s in [*rig.installation.fleet.servers.values(), *ended]}.values()
     for s in servers:
         for a in s.arrivals:
             for name in {s.name, a.source}:
                 if a.fill and name == s.name and s.kind == "parent":
-                    continue  # named by the box that asked for the fill, which counted there
+                    continue  # the box that asked for this fill named it as the source, which is counted there
                 for begin, end in spans.get(name, ()):
                     if begin < a.at < end:
-                        seen += 1
+                        deliveries += 1
                         worst = max(worst, a.at - begin)
-                        late += a.at - begin > DRAIN
-    return late, worst, seen
+                        late += a.at - begin > MAX_DRAIN_DELAY_S
+    return late, worst, deliveries
 
 
 # --- kills
 
 
-async def kills(folder: Path, seed: int, times: int) -> dict[str, Any]:
-    """Kill control plane and command at step boundaries and in between; whether the next plan is true each time, and
-    whether each step took effect once and the end is what was wanted."""
-    chance = random.Random(seed)
+async def measure_kills(folder: Path, seed: int, times: int) -> dict[str, Any]:
+    """Kill the control plane and abandon the command, at step boundaries and during calls. Checks each time that the
+    state agrees with the published events, and in the end that each step took effect once and nothing is left."""
+    rng = random.Random(seed)
     killed = untrue = 0
     async with Rig(folder, "127.0.23.1", proxies=1, cold_s=0.15, settle_s=0.1, silent_s=1) as rig:
         watcher = Watcher(rig.feed)
@@ -222,18 +224,18 @@
             lease = await rig.begin(plan, "killed")
             first = max(watcher.events, default=0)
             while True:
-                # The command is lost by leaving its lease; the control plane by SIGKILL, at a boundary or amid a call.
-                alone = client.ApiClient(rig.api, TOKEN)
-                at = chance.randrange(4)
+                # The command stops using its lease; the control plane is killed, at a step boundary or during a call.
+                api = client.ApiClient(rig.api, TOKEN)
+                at = rng.randrange(4)
                 calls = [
                     asyncio.ensure_future(
                         asyncio.to_thread(
-                            alone, "POST", f"/v1/applies/{lease['apply']}/advance", {"token": lease["token"]}
+                            api, "POST", f"/v1/applies/{lease['apply']}/advance", {"token": lease["token"]}
                         )
                     )
                 ]
                 if at:
-                    await asyncio.sleep(chance.random() * 0.006)
+                    await asyncio.sleep(rng.random() * 0.006)
                 else:
                     await calls[0]
                 await rig.kill_control()
@@ -241,18 +243,18 @@
                 with suppress(client.ApiError):
                     await calls[0]
                 await rig.start_control()
-                untrue += await told_untrue(rig, watcher, plan, lease["apply"], first)
+                untrue += await count_wrong_states(rig, watcher, plan, lease["apply"], first)
                 state = await rig.get("/v1/state")
                 if state["open"] is None:
                     break
-                # Another command has to wait for the lease.
+                # A command with another holder name has to wait until the lease expires.
                 holder = f"command-{killed}" if not killed % 4 else state["open"]["holder"]
                 lease = await asyncio.to_thread(client.resume_apply, rig.ask, lease["apply"], holder, 10.0)
                 if killed >= times or all(s != "left" for s in state["open"]["steps"].values()):
                     await rig.carry_on(lease)
                     break
             again = await rig.plan(wanted)
-            untrue += bool(again["steps"]) + effects_twice(watcher, first, plan)
+            untrue += bool(again["steps"]) + count_not_once(watcher, first, plan)
         watcher.task.cancel()
         return {
             "kills": killed,
@@ -262,8 +264,8 @@
         }
 
 
-async def told_untrue(rig: Rig, watcher: Watcher, plan: dict[str, Any], apply: int, first: int) -> int:
-    """Whether what is told of the apply differs from the events that were really published."""
+async def count_wrong_states(rig: Rig, watcher: Watcher, plan: dict[str, Any], apply: int, first: int) -> int:
+    """The number of steps whose state in the API disagrees with the events that were published."""
     state = await rig.get("/v1/state")
     await until(lambda: max(watcher.events, default=0) >= state["pos"], "the watcher")
     published = {effect_of(watcher.events[pos]) for pos in watcher.events if pos > first}
@@ -274,24 +276,26 @@
         return 1
     by_id = {step["id"]: step for step in plan["steps"]}
     return sum(
-        (told != "left") != (step_effect(by_id[id]) in published)
-        for id, told in found["steps"].items()
+        (step_state != "left") != (step_effect(by_id[id]) in published)
+        for id, step_state in found["steps"].items()
         if step_effect(by_id[id]) is not None
     )
 
 
 def effect_of(line: bytes) -> tuple[str, str] | None:
+    """What an event changes: a phase and a server, or `set` or `gone` and a tenant. None: other events."""
     event = orjson.loads(line)
     if event.get("hosts") and not event["hosts"]["complete"]:
         member = event["hosts"]["members"][0]
         return member["phase"], member["id"]
     if event.get("tenants") and not event.get("hosts"):
-        told = event["tenants"]
-        return ("set", told["set"][0]["name"]) if told["set"] else ("gone", told["gone"][0])
+        tenants = event["tenants"]
+        return ("set", tenants["set"][0]["name"]) if tenants["set"] else ("gone", tenants["gone"][0])
     return None
 
 
 def step_effect(step: dict[str, Any]) -> tuple[str, str] | None:
+    """What the event of a step changes, in the form of `effect_of`. None: the step publishes no event."""
     if step["kind"] == "tenant":
         return "set" if step["after"] else "gone", step["name"]
     if step["kind"] in ("box", "parent", "library"):
@@ -299,16 +303,17 @@
     return None
 
 
-def effects_twice(watcher: Watcher, first: int, plan: dict[str, Any]) -> int:
-    seen = Counter(effect_of(line) for pos, line in watcher.events.items() if pos > first)
-    return sum(seen[step_effect(step)] != 1 for step in plan["steps"] if step_effect(step) is not None)
+def count_not_once(watcher: Watcher, first: int, plan: dict[str, Any]) -> int:
+    """The number of steps whose effect was not published exactly once after the event `first`."""
+    effects = Counter(effect_of(line) for pos, line in watcher.events.items() if pos > first)
+    return sum(effects[step_effect(step)] != 1 for step in plan["steps"] if step_effect(step) is not None)
 
 
 # --- sizes
 
 
-async def feed(folder: Path, clients: int, events: int) -> dict[str, Any]:
-    """One event at a time to many clients of the feed."""
+async def measure_feed(folder: Path, clients: int, events: int) -> dict[str, Any]:
+    """Publish one event at a time to many clients of the feed, and measure how long it takes to reach them."""
     async with Rig(folder, "127.0.24.1", proxies=1, silent_s=1) as rig:
         await rig.apply(rig.make(["1"], proxies=0))
         watchers = [Watcher(rig.feed) for _ in range(clients)]
@@ -333,8 +338,8 @@
         }
 
 
-async def restart(folder: Path, events: int) -> dict[str, Any]:
-    """Start a control plane on a long history, until its feed serves."""
+async def measure_restart(folder: Path, events: int) -> dict[str, Any]:
+    """Measure the start of a control plane with a long history, until its feed serves."""
     store = SqliteStore(folder)
     line = b'{"pos":%d,"tenants":{"set":[],"gone":["nobody-%d"]}}\n'
     for begin in range(1, events + 1, 5_000):
@@ -343,7 +348,7 @@
         )
     store.close()
     rig = Rig(folder, "127.0.25.1", proxies=1)
-    began = time.monotonic()
+    started = time.monotonic()
     rig.control = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -367,7 +372,7 @@
             if await reader.readline():
                 break
         await asyncio.sleep(0.005)
-    took = time.monotonic() - began
+    took = time.monotonic() - started
     count, last = 0, 0
     reader2, writer2 = await asyncio.open_connection(host, int(port), limit=1 << 20)
     writer2.write(b"tail 0\n")
@@ -383,7 +388,7 @@
     return {"restart_s": round(took, 3), "restart_events": events, "restart_events_read": count}
 
 
-PLAN = """
+LARGE_CONFIGURATION = """
 settings {
   class "c" {
     repeat      = "safe"
@@ -421,15 +426,15 @@
 
 
 def one_plan(file: Path) -> None:
-    """In a process of its own: files to the saved plan; prints the seconds and the most memory."""
+    """Make a plan from files, in a process of its own; prints the time and the peak memory."""
     from threadhill.plans import planner, saved
 
-    began = time.monotonic()
+    started = time.monotonic()
     wanted = client.read_configuration(file, {})
     plan = planner.plan(wanted, [])
     document = saved.document(plan, wanted, 0, 0)
     file.with_suffix(".plan").write_bytes(orjson.dumps(document))
-    took = time.monotonic() - began
+    took = time.monotonic() - started
     print(
         orjson.dumps(
             {
@@ -444,7 +449,7 @@
 
 def plan_size(folder: Path, boxes: int, tenants: int) -> dict[str, Any]:
     file = folder / "large.hcl"
-    file.write_text(PLAN % {"boxes": boxes, "nodes": max(1, boxes // 10), "tenants": tenants})
+    file.write_text(LARGE_CONFIGURATION % {"boxes": boxes, "nodes": max(1, boxes // 10), "tenants": tenants})
     out = subprocess.run(
         [sys.executable, "-m", "benchmarks.plan_apply", "--one-plan", str(file)],
         cwd=ROOT,
@@ -454,31 +459,31 @@
     return {**orjson.loads(out.stdout), "plan_boxes": boxes, "plan_tenants": tenants}
 
 
-async def measure(folder: Path, seed: int, smoke: bool) -> dict[str, Any]:
-    """All figures; what needs the cores to itself runs alone."""
+async def measure_all(folder: Path, seed: int, smoke: bool) -> dict[str, Any]:
+    """All figures. Measurements of latency and size run alone, as they need the cores for themselves."""
     for name in ("growth", "drains", "kills", "feed", "restart"):
         (folder / name).mkdir()
     found: dict[str, Any] = {"seed": seed, "smoke": smoke}
     if smoke:
-        found |= await growth(folder / "growth", seed, 60, 2, 1.0)
-        found |= await drains(folder / "drains", seed, 60, 4)
-        found |= await kills(folder / "kills", seed, 2)
-        found |= await feed(folder / "feed", 10, 3)
-        found |= await restart(folder / "restart", 5_000)
+        found |= await measure_growth(folder / "growth", seed, 60, 2, 1.0)
+        found |= await measure_drains(folder / "drains", seed, 60, 4)
+        found |= await measure_kills(folder / "kills", seed, 2)
+        found |= await measure_feed(folder / "feed", 10, 3)
+        found |= await measure_restart(folder / "restart", 5_000)
         return found | plan_size(folder, 200, 20)
     found |= plan_size(folder, 10_000, 1_000)
-    found |= await restart(folder / "restart", 100_000)
-    found |= await feed(folder / "feed", 100, 15)
-    # Each in a process of its own: a thread that plans would hold up the stand-ins of another part.
-    for told in await asyncio.gather(*(asyncio.to_thread(part, name, seed) for name in PARTS)):
-        found |= told
+    found |= await measure_restart(folder / "restart", 100_000)
+    found |= await measure_feed(folder / "feed", 100, 15)
+    # Each part in a process of its own: a thread that makes a plan would delay the stand-ins of another part.
+    for figures in await asyncio.gather(*(asyncio.to_thread(part, name, seed) for name in PARTS)):
+        found |= figures
     return found
 
 
 PARTS = {
-    "growth": lambda folder, seed: growth(folder, seed, 320, 11, 2.5),
-    "drains": lambda folder, seed: drains(folder, seed, 100, 32),
-    "kills": lambda folder, seed: kills(folder, seed, 12),
+    "growth": lambda folder, seed: measure_growth(folder, seed, 320, 11, 2.5),
+    "drains": lambda folder, seed: measure_drains(folder, seed, 100, 32),
+    "kills": lambda folder, seed: measure_kills(folder, seed, 12),
 }
 
 
@@ -496,21 +501,23 @@
     parser = argparse.ArgumentParser(description="Measure plan and apply; one line of JSON.")
     parser.add_argument("--json", action="store_true", help="print JSON (there is no other form)")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--smoke", action="store_true", help="everything small: whether it works, no figures")
+    parser.add_argument(
+        "--smoke", action="store_true", help="small sizes: checks that everything works; the figures mean nothing"
+    )
     parser.add_argument("--one-plan", type=Path, help=argparse.SUPPRESS)
-    parser.add_argument("--part", choices=sorted(PARTS), help="only this part, alone")
-    words = parser.parse_args()
-    if words.part is not None:
+    parser.add_argument("--part", choices=sorted(PARTS), help="run only this part")
+    arguments = parser.parse_args()
+    if arguments.part is not None:
         with tempfile.TemporaryDirectory() as folder:
-            print(orjson.dumps(asyncio.run(PARTS[words.part](Path(folder), words.seed))).decode())
+            print(orjson.dumps(asyncio.run(PARTS[arguments.part](Path(folder), arguments.seed))).decode())
         return
-    if words.one_plan is not None:
-        one_plan(words.one_plan)
+    if arguments.one_plan is not None:
+        one_plan(arguments.one_plan)
         return
-    began = time.monotonic()
+    started = time.monotonic()
     with tempfile.TemporaryDirectory() as folder:
-        found = asyncio.run(measure(Path(folder), words.seed, words.smoke))
-    print(orjson.dumps(found | {"took_s": round(time.monotonic() - began, 1)}).decode())
+        found = asyncio.run(measure_all(Path(folder), arguments.seed, arguments.smoke))
+    print(orjson.dumps(found | {"took_s": round(time.monotonic() - started, 1)}).decode())
 
 
 if __name__ == "__main__":
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -168,7 +168,7 @@
 
 
 def test_kills_of_the_control_plane_and_the_command(tmp_path: Path) -> None:
-    found = asyncio.run(plan_apply.kills(tmp_path, 7, 3))
+    found = asyncio.run(plan_apply.measure_kills(tmp_path, 7, 3))
     assert found["kills"] >= 3 and not found["kills_untrue"] and not found["events_twice"]
 
 
@@ -522,7 +522,7 @@
 
 
 def test_drained_boxes_get_no_requests_after_a_quarter_of_a_second(tmp_path: Path) -> None:
-    found = asyncio.run(plan_apply.drains(tmp_path / "rig", 3, 60, 30))
+    found = asyncio.run(plan_apply.measure_drains(tmp_path / "rig", 3, 60, 30))
     assert found["drains"] >= 30 and found["drain_late"] == 0 and found["drain_served"] > 0.9
 
 
@@ -691,7 +691,7 @@
     found = plan_apply.plan_size(tmp_path, 100, 10)
     assert found["plan_blocked"] == 0 and found["plan_steps"] > 110
     (tmp_path / "growth").mkdir()
-    grown = asyncio.run(plan_apply.growth(tmp_path / "growth", 2, 60, 2, 0.5))
+    grown = asyncio.run(plan_apply.measure_growth(tmp_path / "growth", 2, 60, 2, 0.5))
     assert grown["state"] == "done" and grown["cold_worst"] < 2.5 and not grown["wrong"]
 
 
