--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 
 from tests.harness import ROOT, ProxyHarness, until
-from tests.test_dns import play
+from tests.test_dns import run_scenario
 from threadhill.settings import Malformed
 from threadhill.tenancy import audit, keyfile, keys
 from threadhill.tenancy.keys import Gate, Refused, Scope
@@ -199,4 +199,4 @@
         assert tenant not in (tmp_path / "audit.log").read_text() and tenant not in Path(file).read_text()
         assert "hold together" in await run(None, command, "audit", "verify", str(tmp_path / "audit.log"))
 
-    play(tmp_path, scene, OPERATOR + '\n[dns]\nlisten = "127.0.0.1:0"\n')
+    run_scenario(tmp_path, scene, OPERATOR + '\n[dns]\nlisten = "127.0.0.1:0"\n')
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -1,4 +1,4 @@
-"""The DNS front by a stand-in resolver of the tests' own: what is named, when, and every error."""
+"""Tests of the DNS front with a simple resolver: which servers it names, and every error."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 quota = 0.01
 """
 A, NS, SOA, HINFO, TXT, AAAA, SRV, SVCB, HTTPS, OPT, AXFR, ANY = 1, 2, 6, 13, 16, 28, 33, 64, 65, 41, 252, 255
-KEYS = (48, 59, 60)  # DNSKEY, CDS, CDNSKEY
+KEY_TYPES = (48, 59, 60)  # DNSKEY, CDS, CDNSKEY
 NOERROR, FORMERR, SERVFAIL, NXDOMAIN, NOTIMP, REFUSED = range(6)
 NAME = f"0.{OBJECT}.art-pages.acme.route.example"
 
@@ -51,7 +51,7 @@
 
 @dataclass
 class Reply:
-    """A response, taken apart far enough for the tests."""
+    """A response, parsed as far as the tests need."""
 
     raw: bytes
     id: int = 0
@@ -101,9 +101,9 @@
         before = len(self.replies)
         self.transport.sendto(raw)
         reply = (await until(lambda: self.replies[before:], "a response"))[0]
-        for section in reply.sections:  # whatever it is, nobody may keep it, but for a zone's keys
+        for section in reply.sections:  # no record may be cached, except those of a zone's keys
             covered = [(int.from_bytes(data[:2], "big") if kind == 46 else kind, ttl) for kind, ttl, data in section]
-            assert all(ttl == 0 for kind, ttl in covered if kind not in (OPT, *KEYS))
+            assert all(ttl == 0 for kind, ttl in covered if kind not in (OPT, *KEY_TYPES))
         return reply
 
     async def ask(self, name: str = NAME, kind: int = A, **more: object) -> Reply:
@@ -119,39 +119,42 @@
         return replies
 
 
-def play(
-    folder: Path, scene: Callable[[ProxyHarness, Resolver], Awaitable[None]], operator: str = OPERATOR, **more: object
+def run_scenario(
+    folder: Path,
+    scenario: Callable[[ProxyHarness, Resolver], Awaitable[None]],
+    operator: str = OPERATOR,
+    **more: object,
 ) -> None:
     async def run() -> None:
         async with ProxyHarness(folder, operator=operator, **more) as world:
-            await scene(world, await Resolver(await world.listening_port("dns")).start())
+            await scenario(world, await Resolver(await world.listening_port("dns")).start())
 
     asyncio.run(run())
 
 
-async def named(resolver: Resolver, count: int = 24, **more: object) -> list[str]:
-    """What so many queries for different objects are answered with; None stands for SERVFAIL."""
+async def server_addresses(resolver: Resolver, count: int = 24, **more: object) -> list[str]:
+    """The addresses in the answers to queries for `count` objects; None for SERVFAIL."""
     replies = [await resolver.ask(f"0.{i:016x}.art-pages.acme.route.example", **more) for i in range(count)]
     assert {reply.code for reply in replies} <= {NOERROR, SERVFAIL}
     return [reply.addresses[0] if reply.addresses else None for reply in replies]
 
 
-def test_a_name_is_answered_with_one_ready_server_and_no_time_to_live(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+def test_a_name_is_answered_with_one_ready_server_and_ttl_0(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         reply = await r.ask("0." + OBJECT.upper() + ".Art-Pages.acme.route.example")
         assert (reply.id, reply.flags, reply.code) == (77, 0x8500, NOERROR)
         assert reply.addresses[0] in [box.host for box in w.caches]
         assert OBJECT.upper().encode() in reply.raw  # the question comes back with its letter case
-        assert set(await named(r)) - {None} == {box.host for box in w.caches}
+        assert set(await server_addresses(r)) - {None} == {box.host for box in w.caches}
         write = await r.ask(f"0.{OBJECT}.license-buy.acme.route.example")
         assert write.addresses == [w.origin.host]
         assert not w.asked()  # the proxy itself sent nothing
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_an_srv_record_carries_port_and_target_which_can_be_looked_up_once(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         reply = await r.ask("_http._tcp." + NAME, SRV)
         ((kind, _, data),) = reply.sections[0]
         box = next(b for b in w.caches if name_of(b.name + ".box.route.example") == data[6:])
@@ -162,16 +165,16 @@
         assert follow[1].code == NXDOMAIN  # one look-up for one answer
         assert follow[0].addresses in ([box.host], [])  # none, if this machine took over 200 ms for it
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_no_answer_names_a_drained_server_after_250_ms(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         drained = w.caches[0]
-        assert drained.host in await named(r)
+        assert drained.host in await server_addresses(r)
         w.journal.hosts(drained.member("DRAINING"))
         await w.wait_for_events()
-        assert drained.host not in await named(r) and w.caches[1].host in await named(r)
+        assert drained.host not in await server_addresses(r) and w.caches[1].host in await server_addresses(r)
         for reply in await r.tcp(*(query(NAME, kind) for kind in (A, SRV, HTTPS, SVCB) for _ in range(10))):
             assert drained.host not in reply.addresses and socket.inet_aton(drained.host) not in reply.raw
             assert drained.name.encode() not in reply.raw
@@ -182,74 +185,74 @@
         assert (await r.ask()).code == SERVFAIL
         assert time.monotonic() - began < 30  # at once, and not at the deadline of a minute
 
-    play(tmp_path, scene, OPERATOR.replace("deadline_ms = 400", "deadline_ms = 60000"))
+    run_scenario(tmp_path, scenario, OPERATOR.replace("deadline_ms = 400", "deadline_ms = 60000"))
 
 
 def test_a_cold_server_is_not_named_more_than_it_can_take(tmp_path: Path) -> None:
-    """Guards against a box that has just started being named as often as warm ones: its credit is spent."""
+    """Guards against naming a cold server as often as a warm one: its credit for cold requests runs out."""
 
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         client = await w.client()
-        for i in range(12):  # the module learns what warm caches serve: even if all 12 come within one second,
-            # a cold one earns 0.65 x 2.5 x 0.16 of half of that, and an answer to a resolver is 1/8 of a request
+        for i in range(12):  # the decision module learns the rate of warm caches: even if all 12 come within 1 s, a
+            # cold one earns 0.65 x 2.5 x 0.16 of half of that, and an answer to a resolver is 1/8 of a request
             await client.get(obj=f"{i:016x}", mem=50)
-        await asyncio.sleep(1.1)  # an interval of its counting
-        warm = (await named(r, 60)).count(w.caches[0].host)
-        w.caches[0].up_since = int(time.time() * 1_000) + 60_000  # it stays as cold as it starts, however slow the test
+        await asyncio.sleep(1.1)  # one interval of the rate measurement
+        warm = (await server_addresses(r, 60)).count(w.caches[0].host)
+        w.caches[0].up_since = int(time.time() * 1_000) + 60_000  # stays cold, however slow the test
         w.journal.hosts(w.caches[0].member())
         await w.wait_for_events()
         began = time.monotonic()
-        cold = (await named(r, 60)).count(w.caches[0].host)
-        earned = 20 * (time.monotonic() - began)  # credit grows meanwhile: 12 to 16 such answers a second
+        cold = (await server_addresses(r, 60)).count(w.caches[0].host)
+        earned = 20 * (time.monotonic() - began)  # the credit grows by 12 to 16 such answers per second
         assert warm >= 10 and cold <= warm / 4 + earned
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_after_a_purge_the_origin_is_named(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         w.journal.add({"expire": {"name": OBJECT, "stamp": int(time.time() * 1_000)}})
         await w.wait_for_events()
         assert {(await r.ask()).addresses[0] for _ in range(5)} == {w.origin.host}
-        assert w.origin.host not in await named(r)
+        assert w.origin.host not in await server_addresses(r)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_after_a_purge_the_answer_is_refused_where_the_origin_may_not_be_named(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         w.journal.add({"expire": {"name": OBJECT, "stamp": int(time.time() * 1_000)}})
         await w.wait_for_events()
         assert (await r.ask()).code == SERVFAIL
 
     from tests.harness import SETTINGS
 
-    play(tmp_path, scene, settings={"extra": SETTINGS["extra"] | {"bypass-allowed": False}})
+    run_scenario(tmp_path, scenario, settings={"extra": SETTINGS["extra"] | {"bypass-allowed": False}})
 
 
-def test_handing_over_is_no_sign_of_silence(tmp_path: Path) -> None:
-    """Guards against answers that ejected a well cache: nothing ever comes back of what is handed over."""
+def test_hand_overs_do_not_eject_a_healthy_cache(tmp_path: Path) -> None:
+    """Guards against ejecting a healthy cache for silence: no response is ever seen for a handed-over request."""
 
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
-        await named(r, 12)
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
+        await server_addresses(r, 12)
         await asyncio.sleep(0.8)  # longer than the silence that ejects
-        assert set(await named(r, 12)) - {None} == {box.host for box in w.caches}
+        assert set(await server_addresses(r, 12)) - {None} == {box.host for box in w.caches}
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_over_quota_is_refused_and_other_tenants_are_not_touched(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+def test_queries_over_quota_are_refused_without_affecting_other_tenants(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         name = f"0.{OBJECT}.art-pages.small.small.example"
         assert [(await r.ask(name)).code for _ in range(4)] == [NOERROR, SERVFAIL, SERVFAIL, SERVFAIL]
-        refused = await r.ask(name, more=opt(), extra=1)  # at once, and with the reason (RFC 8914)
+        refused = await r.ask(name, more=opt(), extra=1)  # with an extended error (RFC 8914)
         ((_, _, data),) = refused.sections[2]
         assert refused.code == SERVFAIL and data[:2] == b"\0\x0f" and data[4:6] == b"\0\x12" and b"come back in" in data
         assert (await r.ask()).code == NOERROR
         assert (await r.ask(f"0.{OBJECT}.art-pages.acme.small.example")).code == NXDOMAIN
         assert (await r.ask(f"0.{OBJECT}.art-pages.small.route.example")).code == NXDOMAIN
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 CODES = [
@@ -274,8 +277,8 @@
 ]
 
 
-def test_what_names_no_server_gets_its_code(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+def test_queries_that_need_no_server_get_the_right_rcode(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         for raw, code in CODES:
             over_udp, (over_tcp,) = await r.send(raw), await r.tcp(raw)
             assert over_udp.raw == over_tcp.raw, raw
@@ -283,11 +286,11 @@
             if code in (NOERROR, NXDOMAIN):
                 assert [kind for kind, _, _ in over_udp.sections[1]] == [SOA], raw
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_zone_data_edns_truncation_and_packets_that_get_no_answer(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         assert [k for k, _, _ in (await r.ask("route.example", SOA)).sections[0]] == [SOA]
         assert (await r.ask("route.example", NS)).sections[0][0][2] == b"\x03ns1\xc0\x0c"  # the rest is the question's
         assert [k for k, _, _ in (await r.ask(NAME, ANY)).sections[0]] == [HINFO]
@@ -298,7 +301,7 @@
         assert bad.code == 0 and bad.sections[2][0][1] >> 24 == 1 and not bad.addresses  # BADVERS is 16
         for raw in (b"", b"x", b"\0" * 11, query(NAME, flags=0x8000), b"\xff" * 300):
             r.transport.sendto(raw)
-        assert (await r.ask(id=78)).id == 78  # none of them was answered, nor did it harm
+        assert (await r.ask(id=78)).id == 78  # none of them was answered
         long = ".".join(["a" * 60] * 3)
         deep = f"0.{OBJECT}.art-pages.deep.{long}"
         wide = await r.ask("_http._tcp." + deep, SRV)
@@ -308,13 +311,14 @@
         assert len(full.sections[0]) == 1 and len(full.sections[2]) == 1
 
     zone = ".".join(["a" * 60] * 3)
-    play(tmp_path, scene, OPERATOR + f'[[tenants]]\nname = "deep"\nzones = ["{zone}"]\n')
+    run_scenario(tmp_path, scenario, OPERATOR + f'[[tenants]]\nname = "deep"\nzones = ["{zone}"]\n')
 
 
-def test_silent_connections_shut_no_resolver_out(tmp_path: Path) -> None:
-    """Guards against a front that does without the limits of the others: more come than it takes, and say nothing."""
+def test_silent_connections_do_not_block_resolvers(tmp_path: Path) -> None:
+    """Guards against a DNS front without the connection limits of other fronts: more silent connections are opened
+    than it accepts."""
 
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         silent = await open_silent_connections(r.port, 100)
         (reply,) = await r.tcp(query(NAME))
         assert reply.code == NOERROR
@@ -322,24 +326,24 @@
             await read_to_end(reader)
             writer.close()
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_answers_are_charged_by_what_the_servers_say_they_brought(tmp_path: Path) -> None:
-    """Servers report far more in hand than this proxy sent them: what is over is put down to the resolver whose
-    answers named them, and `dns resolvers` shows what each answer of it is charged now."""
+def test_the_weight_of_answers_follows_the_reported_load(tmp_path: Path) -> None:
+    """Servers report far more requests in flight than this proxy sent. The excess is attributed to the resolver whose
+    answers named them, and `dns resolvers` shows the weight of its answers."""
     operator = OPERATOR + '\n[admin]\nlisten = "127.0.0.1:0"\ntoken_env = "TOKEN"\n'
 
-    async def scene(w: ProxyHarness, resolver: Resolver) -> None:
+    async def scenario(w: ProxyHarness, resolver: Resolver) -> None:
         client, inflight = await w.client(), 0
         for box in w.caches:
             box.behave = lambda ask: ("ok", f"ver=v1,born=1764576000000,report=inflight:{inflight};util:0.5", b"x")
-        for i in range(20):  # their level before any answer named them
+        for i in range(20):  # their load before any answer named them
             await client.get("art-pages", obj=f"{i:016x}")
         inflight = 60
         port = await w.listening_port("admin")
-        # How fast it learns depends on how many answers a second the machine gives; once an answer is charged as many,
-        # the next may be refused, so the charge is looked at after each.
+        # How fast the weight rises depends on the answers per second that the machine achieves. Once the weight is
+        # high, the next query may be refused, so the weight is checked after each answer.
         for i in range(300):
             assert (await resolver.ask(f"0.{i:016x}.art-pages.acme.route.example")).code == NOERROR
             await client.get("art-pages", obj=f"{i:016x}")
@@ -356,18 +360,18 @@
             (mine,) = [row for row in rows if row["resolver"] == "127.0.0.0/24"]
             if mine["weight"] > 2:
                 break
-        # 60 in hand, one of them its own, over the answers of the last second that named it: from 1 to some
+        # 60 in flight, one of them this proxy's own, divided by the answers of the last second: the weight rises from 1
         assert mine["class"] == "art-pages" and mine["weight"] > 2 and mine["asked"] == i + 1, rows
 
-    play(tmp_path, scene, operator)
+    run_scenario(tmp_path, scenario, operator)
 
 
-def test_a_resolver_that_keeps_answers_is_sent_to_the_fallback_name(tmp_path: Path) -> None:
-    """Load stays at the servers when no answer has named them for over five seconds: the resolver that was answered
-    last keeps answers of TTL 0, and is sent to the operator's name that does not drain."""
+def test_a_caching_resolver_is_sent_to_the_fallback_name(tmp_path: Path) -> None:
+    """Load remains at the servers although no answer has named them for over five seconds. The resolver answered last
+    must be caching answers of TTL 0, so it gets the operator's fallback name, which does not drain."""
     operator = OPERATOR.replace("deadline_ms = 400", 'deadline_ms = 400\nfallback = "steady.example.net"')
 
-    async def scene(w: ProxyHarness, resolver: Resolver) -> None:
+    async def scenario(w: ProxyHarness, resolver: Resolver) -> None:
         first = await resolver.ask()
         assert first.code == NOERROR and first.addresses
         await asyncio.sleep(5.2)
@@ -381,4 +385,4 @@
         assert later.code == NOERROR and [kind for kind, _, _ in later.sections[0]] == [5]
         assert name_of("steady.example.net") in later.raw
 
-    play(tmp_path, scene, operator)
+    run_scenario(tmp_path, scenario, operator)
--- a/tests/test_dns_limits.py
+++ b/tests/test_dns_limits.py
@@ -1,4 +1,4 @@
-"""Cookies and the limits that floods meet: by themselves, and through the running program."""
+"""Tests of DNS cookies and of the limits against floods: unit tests, and tests of the running proxy."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.harness import ProxyHarness, until
-from tests.test_dns import NAME, NOERROR, OPERATOR, SRV, Reply, Resolver, play, query
+from tests.test_dns import NAME, NOERROR, OPERATOR, SRV, Reply, Resolver, query, run_scenario
 from threadhill.dns import limits
 from threadhill.dns.cookies import Cookies, CookieStatus, siphash24
 from threadhill.dns.limits import Limits, ResponseAction
@@ -21,7 +21,7 @@
 
 
 def test_siphash_gives_the_reference_values() -> None:
-    """The vectors of the SipHash paper, key 00..0f and messages 00..(n-1)."""
+    """Test vectors of the SipHash paper: key 00..0f, messages 00..(n-1)."""
     assert siphash24(SECRET, b"").hex() == "310e0edd47db6f72"
     assert siphash24(SECRET, bytes(range(8))).hex() == "6224939a79f5f593"
     assert siphash24(SECRET, bytes(range(15))).hex() == "e545be4961ca29a1"
@@ -42,22 +42,24 @@
     assert cookies.check(made[:8] + b"\x02" + made[9:], "192.0.2.7", now) is CookieStatus.BAD
 
 
-def test_a_network_past_its_rate_is_dropped_with_every_second_one_truncated() -> None:
-    gate, now = Limits(responses=10, slip=2), 0
-    sent = [gate.check_response("198.51.100.0/24", False, now) for _ in range(40)]
+def test_responses_over_the_rate_of_a_network_are_dropped_or_truncated_in_turn() -> None:
+    limits_under_test, now = Limits(responses=10, slip=2), 0
+    sent = [limits_under_test.check_response("198.51.100.0/24", False, now) for _ in range(40)]
     assert sent[:20] == [ResponseAction.ANSWER] * 20  # its burst
     assert sent[20:] == [ResponseAction.DROP, ResponseAction.SLIP] * 10
-    assert gate.check_response("198.51.100.0/24", True, now) is ResponseAction.ANSWER  # a cookie of ours
-    assert gate.check_response("203.0.113.0/24", False, now) is ResponseAction.ANSWER  # another network
-    assert gate.check_response("198.51.100.0/24", False, now + 1_000_000) is ResponseAction.ANSWER  # a second later
+    assert limits_under_test.check_response("198.51.100.0/24", True, now) is ResponseAction.ANSWER  # a cookie of ours
+    assert limits_under_test.check_response("203.0.113.0/24", False, now) is ResponseAction.ANSWER  # another network
+    assert (
+        limits_under_test.check_response("198.51.100.0/24", False, now + 1_000_000) is ResponseAction.ANSWER
+    )  # a second later
 
 
 def test_the_buckets_are_bounded_and_a_rate_of_0_is_no_limit() -> None:
-    gate = Limits(responses=5, resolver_queries=5)
+    limits_under_test = Limits(responses=5, resolver_queries=5)
     for n in range(3 * limits.MAX_BUCKETS):
-        gate.check_response(f"n{n}", False, n)
-        gate.allow_resolver(f"n{n}", n)
-    assert len(gate.responses.buckets) == len(gate.queries.buckets) == limits.MAX_BUCKETS
+        limits_under_test.check_response(f"n{n}", False, n)
+        limits_under_test.allow_resolver(f"n{n}", n)
+    assert len(limits_under_test.responses.buckets) == len(limits_under_test.queries.buckets) == limits.MAX_BUCKETS
     free = Limits(responses=0, resolver_queries=0)
     assert all(
         free.check_response("x", False, 0) is ResponseAction.ANSWER and free.allow_resolver("x", 0)
@@ -81,8 +83,8 @@
     return reply.raw[at : at + 24]
 
 
-def test_an_unproven_address_gets_no_more_than_half_as_much_again_until_it_brings_a_cookie(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+def test_responses_to_unproven_addresses_are_limited_in_size_until_they_send_a_cookie(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         raw = query("_http._tcp." + NAME, SRV, more=cookie(b"\x05" * 8), extra=1)
         first = await r.send(raw)
         assert first.flags & 0x0200 and not first.sections[0] and len(first.raw) <= 1.5 * len(raw)
@@ -96,15 +98,15 @@
             forged = await r.send(query("_http._tcp." + NAME, SRV, more=cookie(proof[:-1] + b"\0"), extra=1))
             assert forged.flags & 0x0200
 
-    play(tmp_path, scene, UNTRUSTED)
+    run_scenario(tmp_path, scenario, UNTRUSTED)
 
 
-def test_floods_of_made_up_names_and_of_cookieless_senders_leave_good_resolvers_served(tmp_path: Path) -> None:
-    """Good resolvers bring cookies; a flood twenty times their rate of made-up names comes from other addresses of
-    the same network without any, and another asks from one resolver more than its share."""
+def test_resolvers_with_cookies_are_served_during_a_flood_of_random_names(tmp_path: Path) -> None:
+    """A resolver with a cookie is served while other addresses of its network, without cookies, send queries for random
+    names at twenty times its rate."""
     operator = UNTRUSTED.replace("deadline_ms = 400", "deadline_ms = 400\nresponses_per_s = 50\nresolver_qps = 100")
 
-    async def scene(w: ProxyHarness, good: Resolver) -> None:
+    async def scenario(w: ProxyHarness, good: Resolver) -> None:
         port = good.port
         handshake = await good.send(query(NAME, more=cookie(b"\x07" * 8), extra=1))
         proof = server_cookie(handshake)
@@ -138,15 +140,15 @@
         assert answered >= 0.99 * asked and asked > 20
         await until(lambda: w.counter("dns", "rate limited, drop") > 0, "the flood dropped")
 
-    play(tmp_path, scene, operator)
+    run_scenario(tmp_path, scenario, operator)
 
 
-def test_a_flood_in_the_names_of_many_networks_reaches_the_module_within_one_budget(tmp_path: Path) -> None:
-    """Each network stays under its own rate, so only the budget of all unproven ones together bounds them; a resolver
-    with a cookie is served through it, and one without is told to come over TCP, where it is served."""
+def test_a_flood_spoofing_many_networks_is_limited_by_the_budget_of_unproven_addresses(tmp_path: Path) -> None:
+    """Each network stays below its own rate, so only the budget of all unproven addresses together limits the flood. A
+    resolver with a cookie is served meanwhile; one without is told to retry over TCP, where it is served."""
     operator = UNTRUSTED.replace("deadline_ms = 400", "deadline_ms = 400\nunproven_qps = 20")
 
-    async def scene(w: ProxyHarness, good: Resolver) -> None:
+    async def scenario(w: ProxyHarness, good: Resolver) -> None:
         proof = server_cookie(await good.send(query(NAME, more=cookie(b"\x07" * 8), extra=1)))
         loop = asyncio.get_running_loop()
         flooders = [
@@ -173,14 +175,14 @@
         for transport in flooders:
             transport.close()
         over = await until(lambda: w.counter("dns", "over the budget of the unproven"), "the flood at its budget")
-        # The budget's burst and rate went to the module, all else was told to come over TCP.
+        # Only the burst and the rate of the budget reached the decision module; all others got TC.
         assert sent == 1_000 and over >= sent - 20 * (took + 2)
 
-    play(tmp_path, scene, operator)
+    run_scenario(tmp_path, scenario, operator)
 
 
 @pytest.mark.parametrize("bad", ["unproven_qps = -1", "responses_per_s = -1", 'trusted = ["not a network"]'])
-def test_limits_that_cannot_be_used_stop_the_start(tmp_path: Path, bad: str) -> None:
+def test_invalid_limits_stop_the_start(tmp_path: Path, bad: str) -> None:
     import tomllib
 
     from threadhill.operators import read_operator
--- a/tests/test_dns_signing.py
+++ b/tests/test_dns_signing.py
@@ -1,4 +1,4 @@
-"""Signed answers, checked by dnspython's validator; denials; and a roll of keys under load."""
+"""Tests of signed answers with dnspython's validator, of denials, and of key rollovers under load."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 
 from tests.harness import OBJECT, ROOT, ProxyHarness, until
-from tests.test_dns import NAME, NXDOMAIN, OPERATOR, Resolver, play
+from tests.test_dns import NAME, NXDOMAIN, OPERATOR, Resolver, run_scenario
 from threadhill.dns import keys, message
 from threadhill.dns.keys import RollRefused, State
 from threadhill.dns.message import Record, Response
@@ -44,15 +44,15 @@
     ).stdout
 
 
-def made(name: str, kind: int = types.A, dnssec: bool = True, flags: int = 0) -> Message:
+def make_query(name: str, kind: int = types.A, dnssec: bool = True, flags: int = 0) -> Message:
     query = dns.message.make_query(name, kind, want_dnssec=dnssec, payload=1_232 if dnssec else None)
     query.ednsflags |= flags
     return query
 
 
 async def ask(r: Resolver, name: str = NAME, kind: int = types.A, **more: object) -> Message:
-    for _ in range(40):  # a refusal for want of room is not signed, and asked again
-        query = made(name, kind, **more)
+    for _ in range(40):  # a SERVFAIL for lack of capacity is not signed: ask again
+        query = make_query(name, kind, **more)
         reply = dns.message.from_wire((await r.send(query.to_wire())).raw)
         if reply.rcode() != dns.rcode.SERVFAIL:
             return reply
@@ -61,22 +61,22 @@
 
 
 async def key_set(port: int) -> dns.rrset.RRset:
-    """The zone's DNSKEY set, whose every signature checks."""
+    """The zone's DNSKEY set, after validating all its signatures."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    wire = made("route.example.", types.DNSKEY).to_wire()
+    wire = make_query("route.example.", types.DNSKEY).to_wire()
     writer.write(len(wire).to_bytes(2, "big") + wire)
     reply = dns.message.from_wire(await reader.readexactly(int.from_bytes(await reader.readexactly(2), "big")))
     writer.close()
     found = reply.find_rrset(reply.answer, ZONE, dns.rdataclass.IN, types.DNSKEY)
     signatures = reply.find_rrset(reply.answer, ZONE, dns.rdataclass.IN, types.RRSIG, types.DNSKEY)
-    assert len(signatures) == len(found)  # by each key: whichever DS the parent has leads to it
+    assert len(signatures) == len(found)  # one by each key, so that any DS record of the parent matches one
     for signature in signatures:
         dns.dnssec.validate_rrsig(found, signature, {ZONE: found})
     return found
 
 
 def check(reply: Message, known: dns.rrset.RRset) -> int:
-    """Each set of the reply has a signature that checks; how many sets."""
+    """Validate the signatures of each record set in the reply. Returns the number of sets."""
     sets = [rrset for section in reply.sections[1:] for rrset in section if rrset.rdtype != types.RRSIG]
     for rrset in sets:
         section = next(section for section in reply.sections[1:] if rrset in section)
@@ -87,7 +87,7 @@
 
 
 def nsec(reply: Message) -> tuple[str, set[int]]:
-    """The next name and the types of the denial."""
+    """The next name and the types in the reply's NSEC record."""
     (rrset,) = [rrset for rrset in reply.authority if rrset.rdtype == types.NSEC]
     found = {
         window << 8 | i * 8 + bit
@@ -99,10 +99,10 @@
     return rrset[0].next.to_text(), found
 
 
-def test_answers_of_every_kind_carry_signatures_that_check(tmp_path: Path) -> None:
+def test_answers_of_every_kind_have_valid_signatures(tmp_path: Path) -> None:
     ds = key_command(tmp_path, "generate", "route.example")
 
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         known = await key_set(r.port)
         assert dns.dnssec.make_ds(ZONE, known[0], "SHA256").to_text().upper() == ds.split(" DS ")[1].strip().upper()
         for name, kind, sets in (
@@ -121,7 +121,7 @@
         nodata, none = await ask(r, NAME, types.MX), await ask(r, "nobody.route.example.")
         assert nsec(nodata) == ("\\000." + NAME + ".", {types.A, types.SVCB, types.HTTPS, types.RRSIG, types.NSEC})
         assert none.rcode() == 0 and nsec(none)[1] == {types.RRSIG, types.NSEC, 128}
-        asked = await ask(r, "nobody.route.example.", flags=0x4000)  # it knows of compact denial
+        asked = await ask(r, "nobody.route.example.", flags=0x4000)  # the CO flag: the client supports compact denial
         assert asked.rcode() == NXDOMAIN and check(asked, known) == 2
         assert nsec(await ask(r, "acme.route.example."))[1] == {types.RRSIG, types.NSEC}  # only names below it
         assert (await ask(r, NAME, 128)).rcode() == dns.rcode.FORMERR
@@ -129,17 +129,17 @@
             await ask(r, dnssec=False),
             await ask(r, "nobody.route.example.", dnssec=False),
             await ask(r, f"0.{OBJECT}.art-pages.small.small.example."),
-        ):  # not asked for; a zone without key
+        ):  # without the DO flag, or from a zone without keys
             assert not [s for section in reply.sections[1:] for s in section if s.rdtype in (types.RRSIG, types.NSEC)]
         assert (await ask(r, "nobody.route.example.", dnssec=False)).rcode() == NXDOMAIN
 
-    play(tmp_path, scene, SIGNED)
+    run_scenario(tmp_path, scenario, SIGNED)
 
 
 def test_no_signed_answer_names_a_drained_server_though_its_signature_was_made_before(tmp_path: Path) -> None:
     key_command(tmp_path, "generate", "route.example")
 
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         async def hosts() -> set[str]:
             replies = [await ask(r, f"0.{i:016x}.art-pages.acme.route.example.") for i in range(24)]
             return {reply.answer[0][0].address for reply in replies}
@@ -155,14 +155,14 @@
                 reply = await ask(r, "_http._tcp." + name if kind == types.SRV else name, kind)
                 assert drained.name not in reply.to_text() and drained.host not in reply.to_text()
 
-    play(tmp_path, scene, SIGNED)
+    run_scenario(tmp_path, scenario, SIGNED)
 
 
-def test_a_roll_under_load_leaves_no_signature_that_does_not_check(tmp_path: Path) -> None:
-    """A resolver that keeps the DNSKEY set from before each step checks everything that is signed after it."""
+def test_a_key_rollover_under_load_leaves_every_signature_valid(tmp_path: Path) -> None:
+    """A resolver with the DNSKEY set cached before each step can validate every signature made after it."""
     key_command(tmp_path, "generate", "route.example")
 
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         stop, seen, cached = False, [], [await key_set(r.port)]
 
         async def load() -> None:
@@ -179,7 +179,7 @@
         await until(lambda: len(seen) > 50)
         first = seen[0]
         await run(None, key_command, tmp_path, "roll", "route.example")
-        while len(cached[0]) < 2:  # the next time that the resolver fetches the set, it has both
+        while len(cached[0]) < 2:  # until the resolver fetches a set with both keys
             cached[0] = await key_set(r.port)
         second = next(dns.dnssec.key_id(key) for key in cached[0] if dns.dnssec.key_id(key) != first)
         assert set(seen) == {first}
@@ -197,10 +197,10 @@
         await loading
         assert set(seen) == {first, second}
 
-    play(tmp_path, scene, SIGNED)
+    run_scenario(tmp_path, scenario, SIGNED)
 
 
-def test_steps_of_a_roll_wait_for_what_resolvers_keep() -> None:
+def test_steps_of_a_key_rollover_wait_for_resolver_caches() -> None:
     now = 1_000_000
     old = keys.generate("route.example", State.ACTIVE, now - 9_999)
     (new,) = keys.roll("route.example", [old], now)
@@ -217,7 +217,7 @@
     assert keys.check_removable(changed, old.tag, now + 2 * keys.MIN_STATE_SECONDS).tag == old.tag
 
 
-def test_key_files_that_cannot_be_used_are_told_and_a_cut_off_activation_is_read(tmp_path: Path) -> None:
+def test_unusable_key_files_are_reported_and_an_interrupted_activation_is_read(tmp_path: Path) -> None:
     one, two = (keys.generate("route.example", State.ACTIVE, at) for at in (5, 6))
     paths = [keys.write(tmp_path, key) for key in (one, two)]
     assert [(k.tag, k.state) for k in keys.read_folder(tmp_path)["route.example"]] == [
@@ -248,9 +248,9 @@
     assert len(folder.zones["route.example"]) == 2
 
 
-def test_signatures_are_kept_within_their_bound_and_their_time() -> None:
+def test_cached_signatures_are_bounded_in_number_and_time() -> None:
     signer = Signer({"route.example": [keys.generate("route.example", State.ACTIVE, 0)]})
-    query = message.read_query(made(NAME).to_wire())
+    query = message.read_query(make_query(NAME).to_wire())
 
     def sign(i: int, now: int) -> bytes:
         response = Response(answers=[Record(message.Type.A, i.to_bytes(4, "big"))], zone="route.example")
--- a/tests/test_dns_static.py
+++ b/tests/test_dns_static.py
@@ -1,4 +1,4 @@
-"""Static records beside the steered names: read, answered, signed and planned; and transfers of zones by TSIG."""
+"""Tests of static records (parsing, answers, signatures, plans) and of zone transfers with TSIG."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from hypothesis import strategies as st
 
 from tests.harness import ProxyHarness
-from tests.test_dns import NAME, OPERATOR, Resolver, play
+from tests.test_dns import NAME, OPERATOR, Resolver, run_scenario
 from tests.test_dns_signing import SIGNED, check, key_command, key_set, nsec
 from tests.test_dns_signing import ask as ask_signed
 from tests.test_plans import BASE, read
@@ -38,12 +38,12 @@
     "a.deep.route.example. AAAA 2001:db8::1",
     "_sip._tcp.route.example. SRV 1 2 5060 www.route.example.",
 ]
-LISTED = ", ".join("'" + record + "'" for record in RECORDS)
-WITH = f'zones = ["route.example"]\nrecords = [{LISTED}]'
+RECORD_LIST = ", ".join("'" + record + "'" for record in RECORDS)
+ZONES_WITH_RECORDS = f'zones = ["route.example"]\nrecords = [{RECORD_LIST}]'
 
 
 def operator(base: str = OPERATOR) -> str:
-    return base.replace('zones = ["route.example"]', WITH, 1)
+    return base.replace('zones = ["route.example"]', ZONES_WITH_RECORDS, 1)
 
 
 async def ask(r: Resolver, name: str, kind: int = types.A) -> dns.message.Message:
@@ -59,8 +59,8 @@
     return sorted(f"{s.name} {s.ttl} {types.to_text(s.rdtype)} {rdata}" for s in message.answer for rdata in s)
 
 
-def test_static_records_are_answered_and_the_steered_names_stay(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+def test_static_records_are_answered_beside_steered_names(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         assert rows(await ask(r, "www.route.example.")) == [f"www.route.example. 60 A 192.0.2.{n}" for n in (1, 2)]
         assert len(rows(await ask(r, "alias.route.example."))) == 3  # the alias and what it leads to
         assert rows(await ask(r, "steered.route.example.")) == [f"steered.route.example. 300 CNAME {NAME}."]
@@ -80,13 +80,13 @@
             assert reply.rcode() == code and not reply.answer, name
         assert len((await ask(r, NAME)).answer) == 1 and len((await ask(r, "route.example.", types.NS)).answer) == 1
 
-    play(tmp_path, scene, operator())
+    run_scenario(tmp_path, scenario, operator())
 
 
 def test_static_records_are_signed_and_their_absence_is_denied(tmp_path: Path) -> None:
     key_command(tmp_path, "generate", "route.example")
 
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         known = await key_set(r.port)
         for name, kind, sets in (
             ("www.route.example.", types.A, 1),
@@ -98,9 +98,11 @@
         assert nsec(await ask_signed(r, "www.route.example.", types.MX))[1] == {types.A, types.RRSIG, types.NSEC}
         assert {types.SOA, types.TXT, types.CAA, types.DNSKEY} <= nsec(await ask_signed(r, "route.example."))[1]
 
-    async def plain(w: ProxyHarness, r: Resolver) -> None:  # whatever is static may be kept, for its own time
+    async def plain(
+        w: ProxyHarness, r: Resolver
+    ) -> None:  # without the check for TTL 0: static records have their own TTL
         r.send = lambda raw: send(r, raw)
-        await scene(w, r)
+        await scenario(w, r)
 
     async def send(r: Resolver, raw: bytes):  # noqa: ANN202
         before = len(r.replies)
@@ -109,7 +111,7 @@
             await asyncio.sleep(0.005)
         return r.replies[-1]
 
-    play(tmp_path, plain, operator(SIGNED))
+    run_scenario(tmp_path, plain, operator(SIGNED))
 
 
 FAULTS = [
@@ -132,7 +134,7 @@
 
 
 @pytest.mark.parametrize(("record", "told"), FAULTS)
-def test_records_that_cannot_be_used_are_told_with_their_place(record: object, told: str) -> None:
+def test_unusable_records_are_reported_with_their_position(record: object, told: str) -> None:
     with pytest.raises(Invalid) as caught:
         read_tenant(
             {"name": "acme", "zones": ["route.example"], "records": ["ok.route.example. A 192.0.2.9", record]},
@@ -142,7 +144,7 @@
     assert fault["at"] == "tenants[3].records[1]" and told in fault["fault"]
 
 
-def test_records_that_do_not_go_together_are_told() -> None:
+def test_conflicting_records_are_reported() -> None:
     for pair, told in (
         (("a.z.example. CNAME b.z.example.", "a.z.example. A 192.0.2.1"), "nothing else"),
         (("a.z.example. 5 A 192.0.2.1", "a.z.example. 6 A 192.0.2.2"), "one TTL"),
@@ -178,14 +180,14 @@
 """
 
 
-def test_transfers_go_whole_to_who_is_listed_and_holds_the_key(tmp_path: Path) -> None:
+def test_zone_transfers_need_an_allowed_address_and_a_valid_key(tmp_path: Path) -> None:
     (tmp_path / "secret").write_text(SECRET)
     os.chmod(tmp_path / "secret", 0o600)
     ring = dns.tsigkeyring.from_text({"audit.key": SECRET})
     many = ", ".join(f"'n{i}.route.example. TXT \"{'x' * 250}\" \"{'y' * 250}\"'" for i in range(200))
     text = OPERATOR.replace('zones = ["route.example"]', f'zones = ["route.example"]\nrecords = [{many}]', 1)
 
-    async def scene(w: ProxyHarness, r: Resolver) -> None:
+    async def scenario(w: ProxyHarness, r: Resolver) -> None:
         def copy(kind: int = types.AXFR, **more: object) -> list:
             query = dns.message.make_query("route.example.", kind)
             if "serial" in more:
@@ -194,7 +196,7 @@
                 ]
             query.use_tsig(more.pop("ring", ring), "audit.key", algorithm=dns.tsig.HMAC_SHA256)
             rrsets = []
-            with socket.create_connection(("127.0.0.1", r.port), timeout=60) as sock:  # each message is checked
+            with socket.create_connection(("127.0.0.1", r.port), timeout=60) as sock:  # each message's TSIG is verified
                 raw = query.to_wire()
                 sock.sendall(len(raw).to_bytes(2, "big") + raw)
                 context = None
@@ -248,7 +250,7 @@
         over_udp = await run(None, lambda: dns.query.udp(_keyed(ring), "127.0.0.1", port=r.port))
         assert over_udp.rcode() == dns.rcode.REFUSED
 
-    play(tmp_path, scene, text.replace("[[tenants]]", TRANSFER + "\n[[tenants]]", 1))
+    run_scenario(tmp_path, scenario, text.replace("[[tenants]]", TRANSFER + "\n[[tenants]]", 1))
 
 
 def _keyed(ring: dict) -> dns.message.Message:
--- a/tests/test_dns_tls.py
+++ b/tests/test_dns_tls.py
@@ -1,4 +1,4 @@
-"""DNS over TLS: certificates that change under open connections, keys that others may read, quotas."""
+"""Tests of DNS over TLS: new certificates while connections are open, file permissions of keys, connection quotas."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import trustme
 
 from tests.harness import ProxyHarness, until
-from tests.test_dns import NAME, NOERROR, OPERATOR, Reply, play, query
+from tests.test_dns import NAME, NOERROR, OPERATOR, Reply, query, run_scenario
 
 TLS = """
 [dns.tls]
@@ -22,8 +22,8 @@
 """
 
 
-def certify(folder: Path, authority: trustme.CA, mode: int = 0o600) -> None:
-    """A new certificate for 127.0.0.1 in the operator's files, each put in place whole."""
+def issue_certificate(folder: Path, authority: trustme.CA, mode: int = 0o600) -> None:
+    """Write a new certificate for 127.0.0.1 to the operator's files, each replaced atomically."""
     made = authority.issue_cert("127.0.0.1")
     made.private_key_pem.write_to_path(folder / "new")
     os.chmod(folder / "new", mode)
@@ -32,8 +32,8 @@
     os.replace(folder / "new", folder / "chain.pem")
 
 
-def trusting(*authorities: trustme.CA) -> ssl.SSLContext:
-    context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)  # without the machine's own authorities
+def trust_context(*authorities: trustme.CA) -> ssl.SSLContext:
+    context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)  # without the system's CA certificates
     for authority in authorities:
         authority.configure_trust(context)
     return context
@@ -44,50 +44,52 @@
     return Reply(await reader.readexactly(struct.unpack("!H", await reader.readexactly(2))[0]))
 
 
-def test_a_new_certificate_is_taken_under_200_connections_and_ends_none(tmp_path: Path) -> None:
+def test_a_new_certificate_is_loaded_without_closing_200_connections(tmp_path: Path) -> None:
     first, second = trustme.CA(), trustme.CA()
-    certify(tmp_path, first)
+    issue_certificate(tmp_path, first)
 
-    async def scene(w: ProxyHarness, _: object) -> None:
+    async def scenario(w: ProxyHarness, _: object) -> None:
         port = await w.listening_port("dns tls")
-        trust = trusting(first)
-        held = [await asyncio.open_connection("127.0.0.1", port, ssl=trust) for _ in range(200)]
-        assert {reply.code for reply in await asyncio.gather(*(ask(*one) for one in held))} <= {0, 2}
-        certify(tmp_path, second, mode=0o644)
-        await w.logged("chmod 600")  # others may read the key: told, and the old pair goes on
-        old = await asyncio.open_connection("127.0.0.1", port, ssl=trusting(first))
-        certify(tmp_path, second)
+        trust = trust_context(first)
+        connections = [await asyncio.open_connection("127.0.0.1", port, ssl=trust) for _ in range(200)]
+        assert {reply.code for reply in await asyncio.gather(*(ask(*one) for one in connections))} <= {0, 2}
+        issue_certificate(tmp_path, second, mode=0o644)
+        await w.logged("chmod 600")  # others may read the key: it is logged, and the old pair stays in use
+        old = await asyncio.open_connection("127.0.0.1", port, ssl=trust_context(first))
+        issue_certificate(tmp_path, second)
         await w.logged("new certificate taken")
         with pytest.raises(ssl.SSLCertVerificationError):
-            await asyncio.open_connection("127.0.0.1", port, ssl=trusting(first))
-        new = await asyncio.open_connection("127.0.0.1", port, ssl=trusting(second))
-        assert len([await ask(*one) for one in (*held, old, new)]) == 202
-        for _, writer in (*held, old, new):
+            await asyncio.open_connection("127.0.0.1", port, ssl=trust_context(first))
+        new = await asyncio.open_connection("127.0.0.1", port, ssl=trust_context(second))
+        assert len([await ask(*one) for one in (*connections, old, new)]) == 202
+        for _, writer in (*connections, old, new):
             writer.transport.abort()
 
-    play(tmp_path, scene, OPERATOR.replace("deadline_ms = 400", "deadline_ms = 400\nconnections = 250") + TLS)
+    run_scenario(
+        tmp_path, scenario, OPERATOR.replace("deadline_ms = 400", "deadline_ms = 400\nconnections = 250") + TLS
+    )
 
 
-def test_connections_without_a_handshake_and_over_a_networks_quota_are_ended(tmp_path: Path) -> None:
+def test_connections_without_a_handshake_or_over_the_quota_of_a_network_are_closed(tmp_path: Path) -> None:
     authority = trustme.CA()
-    certify(tmp_path, authority)
+    issue_certificate(tmp_path, authority)
     operator = OPERATOR.replace('trusted = ["127.0.0.1/32"]', "per_network = 3") + TLS
 
-    async def scene(w: ProxyHarness, _: object) -> None:
+    async def scenario(w: ProxyHarness, _: object) -> None:
         port = await w.listening_port("dns tls")
         silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3)]
         with pytest.raises((ConnectionError, ssl.SSLError)):  # the fourth of this network
-            await asyncio.open_connection("127.0.0.1", port, ssl=trusting(authority))
-        for reader, _ in silent:  # who never ends the handshake is ended, and its place is free again
+            await asyncio.open_connection("127.0.0.1", port, ssl=trust_context(authority))
+        for reader, _ in silent:  # a connection that never completes the handshake is closed and leaves the quota
             assert await reader.read() == b""
         await until(lambda: w.counter("dns tls client", "no handshake, ConnectionAbortedError") >= 3, "their ends")
         for _ in range(5):
-            reader, writer = await asyncio.open_connection("127.0.0.1", port, ssl=trusting(authority))
+            reader, writer = await asyncio.open_connection("127.0.0.1", port, ssl=trust_context(authority))
             assert (await ask(reader, writer)).code == NOERROR
             writer.close()
             await writer.wait_closed()
 
-    play(tmp_path, scene, operator)
+    run_scenario(tmp_path, scenario, operator)
 
 
 @pytest.mark.parametrize(
@@ -98,11 +100,11 @@
         (lambda folder: (folder / "key.pem").unlink(), "No such file"),
     ],
 )
-def test_a_pair_that_cannot_be_used_stops_the_start_with_a_reason(tmp_path: Path, spoil, told: str) -> None:
-    certify(tmp_path, trustme.CA())
+def test_an_unusable_certificate_or_key_stops_the_start_with_a_reason(tmp_path: Path, spoil, told: str) -> None:
+    issue_certificate(tmp_path, trustme.CA())
     spoil(tmp_path)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         world = ProxyHarness(tmp_path, operator=OPERATOR + TLS)
         for listener in [*world.boxes, world.journal]:
             await listener.start()
@@ -112,4 +114,4 @@
         _, log = await process.communicate()
         assert process.returncode == 2 and told in log.decode() and "Traceback" not in log.decode()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -17,7 +17,7 @@
 from benchmarks import storm, storm_ways
 from benchmarks.report import page
 from tests.harness import ROOT, SETTINGS, ProxyHarness, until
-from tests.test_dns import Resolver, play, query
+from tests.test_dns import Resolver, query, run_scenario
 from tests.test_views import subnet
 from threadhill.operators import read_operator
 from threadhill.settings import Malformed
@@ -87,7 +87,7 @@
         with pytest.raises(subprocess.CalledProcessError):
             await run(None, command, admin, "why", "0" * 16)
 
-    play(tmp_path, scene, OPERATOR)
+    run_scenario(tmp_path, scene, OPERATOR)
 
 
 def test_each_node_of_a_dns_view_has_its_own_overload_control(tmp_path: Path) -> None:
@@ -148,7 +148,7 @@
         assert max(ends) - min(ends) > 0.5  # not all at once
         assert await w.process.wait() == 0
 
-    play(tmp_path, scene, OPERATOR)
+    run_scenario(tmp_path, scene, OPERATOR)
 
 
 @pytest.mark.parametrize("bad", [{"horizon_ms": 70_000}, {"leave_ms": -1}, {"admission": 1}, {"retries": True}])
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -1,4 +1,4 @@
-"""Views: a client's network chooses the node, longest prefix first, with the scope that the answer holds for."""
+"""Tests of views: the longest prefix match on the client's network chooses the node and the scope of the answer."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     assert views.choose("198.51.100.200").nodes == ("costa",) and views.choose("198.51.100.200").scope == 25
     assert views.choose("2001:db8:5::1").nodes == ("sierra", "edge-1")
     assert views.choose("192.0.2.1").nodes == ("edge-1",) and views.choose("192.0.2.1").scope == 0
-    # A /24 told: the /25 inside it would answer some of its clients otherwise, so the answer holds for /25 only.
+    # A /24 client subnet: the view of the /25 inside it differs for some clients, so the scope is 25.
     assert views.choose("198.51.100.0", 24) == views.choose("198.51.100.0", 24)
     assert views.choose("198.51.100.0", 24).nodes[0] == "sierra" and views.choose("198.51.100.0", 24).scope == 25
     assert views.choose("198.51.0.0", 16).nodes == ("edge-1",) and views.choose("198.51.0.0", 16).scope == 25
@@ -52,7 +52,7 @@
     return reply.raw[at + 7]
 
 
-def test_clients_go_to_their_nodes_servers_and_fall_to_the_next_when_those_drain(tmp_path: Path) -> None:
+def test_clients_get_servers_of_their_node_and_of_the_next_one_when_those_drain(tmp_path: Path) -> None:
     operator = OPERATOR.replace(
         'trusted = ["127.0.0.1/32"]',
         """trusted = ["127.0.0.1/32"]
