--- a/benchmarks/plan_apply.py
+++ b/benchmarks/plan_apply.py
@@ -108,7 +108,8 @@
     """The most work that a cold box was sent in a window, over multiple x present capacity x window.
 
     A box's capacity is derived from the total work: three boxes carried it at a load of INITIAL_LOAD. Work is counted
-    as the rule counts it, by each class's mean sending time; requests to a cold box count whether they are served or not.
+    as the rule counts it, by each class's mean sending time; requests to a cold box count whether or not they are
+    served.
     """
     fleet = rig.installation.fleet.servers.values()
     sizes: dict[str, list[int]] = defaultdict(list)
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -325,7 +325,8 @@
 
         def why(rid: str) -> dict[str, object] | None:
             return next(
-                (reason for one in (control, *self.node_overload_controls.values()) if (reason := one.explain(rid))), None
+                (reason for one in (control, *self.node_overload_controls.values()) if (reason := one.explain(rid))),
+                None,
             )
 
         return Explain(status, why, page_renderer(self.stats, control.status, self.clock.now))
