--- a/threadhill/dns/operator_file.py
+++ b/threadhill/dns/operator_file.py
@@ -1,4 +1,4 @@
-"""The DNS part of the operator's file. Imported only where the file has one."""
+"""Reads the DNS part of the operator's file. Imported only if the file has one."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     connections = integer(raw.get("connections"), "dns.connections") or 64
     nsid = text(raw.get("nsid", ""), "dns.nsid").encode()
     if len(nsid) > 128:
-        raise Malformed("dns.nsid: has over 128 bytes")
+        raise Malformed("dns.nsid: must have at most 128 bytes")
     if not 0 < deadline <= 60_000 or not 0 < connections <= 1_024:
         raise Malformed("dns: deadline_ms or connections is out of range")
     fallback = text(raw.get("fallback", ""), "dns.fallback")
@@ -41,7 +41,7 @@
         )
     }
     if any(value < 0 for value in limits.values()):
-        raise Malformed("dns: responses_per_s, slip, resolver_qps and unproven_qps are 0 (no limit) or more")
+        raise Malformed("dns: responses_per_s, slip, resolver_qps and unproven_qps must be 0 (no limit) or more")
     trusted = tuple(text(network, "dns.trusted") for network in sequence(raw.get("trusted"), "dns.trusted"))
     for network in trusted:
         try:
@@ -109,7 +109,7 @@
         return None, SIGNATURE_LIFE
     life = integer(table.get("life_s"), "dns.signing.life_s") or SIGNATURE_LIFE
     if not 300 <= life <= 14 * 86_400:
-        raise Malformed("dns.signing.life_s: is from 300 to 1209600 seconds")
+        raise Malformed("dns.signing.life_s: must be from 300 to 1209600 seconds")
     return base / text(table.get("keys"), "dns.signing.keys"), life
 
 
@@ -120,7 +120,7 @@
     paths = {key: text(table.get(key), f"dns.tls.{key}") for key in ("certificate", "key")}
     for key, path in paths.items():
         if not path:
-            raise Malformed(f"dns.tls.{key}: names a PEM file, from this file's folder")
+            raise Malformed(f"dns.tls.{key}: must name a PEM file, relative to this file's folder")
     return TlsConfig(address(table.get("listen"), "dns.tls.listen"), base / paths["certificate"], base / paths["key"])
 
 
@@ -133,7 +133,7 @@
     networks = tuple(text(n, f"{at}.networks") for n in sequence(table.get("networks"), f"{at}.networks"))
     fallbacks = tuple(text(n, f"{at}.then") for n in sequence(table.get("then"), f"{at}.then"))
     if not node or not networks:
-        raise Malformed(f"{at}: a view names its node and at least one network")
+        raise Malformed(f"{at}: a view needs a node and at least one network")
     for network in networks:
         try:
             ipaddress.ip_network(network, strict=False)
