--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -143,9 +143,9 @@
     async def scenario(w: ProxyHarness, r: Resolver) -> None:
         reply = await r.ask("0." + OBJECT.upper() + ".Art-Pages.acme.route.example")
         assert (reply.id, reply.flags, reply.code) == (77, 0x8500, NOERROR)
-        assert reply.addresses[0] in [box.host for box in w.caches]
+        assert reply.addresses[0] in [cache.host for cache in w.caches]
         assert OBJECT.upper().encode() in reply.raw  # the question comes back with its letter case
-        assert set(await server_addresses(r)) - {None} == {box.host for box in w.caches}
+        assert set(await server_addresses(r)) - {None} == {cache.host for cache in w.caches}
         write = await r.ask(f"0.{OBJECT}.license-buy.acme.route.example")
         assert write.addresses == [w.origin.host]
         assert not w.asked()  # the proxy itself sent nothing
@@ -157,13 +157,13 @@
     async def scenario(w: ProxyHarness, r: Resolver) -> None:
         reply = await r.ask("_http._tcp." + NAME, SRV)
         ((kind, _, data),) = reply.sections[0]
-        box = next(b for b in w.caches if name_of(b.name + ".box.route.example") == data[6:])
-        assert (kind, struct.unpack("!3H", data[:6])) == (SRV, (0, 0, box.port))
-        assert [socket.inet_ntoa(data) for kind, _, data in reply.sections[2] if kind == A] == [box.host]
+        cache = next(b for b in w.caches if name_of(b.name + ".box.route.example") == data[6:])
+        assert (kind, struct.unpack("!3H", data[:6])) == (SRV, (0, 0, cache.port))
+        assert [socket.inet_ntoa(data) for kind, _, data in reply.sections[2] if kind == A] == [cache.host]
         assert (await r.ask(f"s-{0xfff:08x}.box.route.example")).code == NXDOMAIN
-        follow = [await r.ask(f"{box.name}.box.route.example") for _ in range(2)]
+        follow = [await r.ask(f"{cache.name}.box.route.example") for _ in range(2)]
         assert follow[1].code == NXDOMAIN  # one look-up for one answer
-        assert follow[0].addresses in ([box.host], [])  # none, if this machine took over 200 ms for it
+        assert follow[0].addresses in ([cache.host], [])  # none, if this machine took over 200 ms for it
 
     run_scenario(tmp_path, scenario)
 
@@ -236,7 +236,7 @@
     async def scenario(w: ProxyHarness, r: Resolver) -> None:
         await server_addresses(r, 12)
         await asyncio.sleep(0.8)  # longer than the silence that ejects
-        assert set(await server_addresses(r, 12)) - {None} == {box.host for box in w.caches}
+        assert set(await server_addresses(r, 12)) - {None} == {cache.host for cache in w.caches}
 
     run_scenario(tmp_path, scenario)
 
@@ -336,8 +336,8 @@
 
     async def scenario(w: ProxyHarness, resolver: Resolver) -> None:
         client, inflight = await w.client(), 0
-        for box in w.caches:
-            box.behave = lambda ask: ("ok", f"ver=v1,born=1764576000000,report=inflight:{inflight};util:0.5", b"x")
+        for cache in w.caches:
+            cache.behave = lambda ask: ("ok", f"ver=v1,born=1764576000000,report=inflight:{inflight};util:0.5", b"x")
         for i in range(20):  # their load before any answer named them
             await client.get("art-pages", obj=f"{i:016x}")
         inflight = 60
@@ -375,8 +375,8 @@
         first = await resolver.ask()
         assert first.code == NOERROR and first.addresses
         await asyncio.sleep(5.2)
-        for box in w.caches:
-            box.behave = lambda ask: ("ok", "ver=v1,born=1764576000000,report=inflight:30;util:0.5", b"x")
+        for cache in w.caches:
+            cache.behave = lambda ask: ("ok", "ver=v1,born=1764576000000,report=inflight:30;util:0.5", b"x")
         client = await w.client()
         for i in range(30):
             await client.get("art-pages", obj=f"{i:016x}")
--- a/tests/test_dns_signing.py
+++ b/tests/test_dns_signing.py
@@ -145,7 +145,7 @@
             return {reply.answer[0][0].address for reply in replies}
 
         drained = w.caches[0]
-        assert drained.host in await hosts()  # signed for some of these names, and kept
+        assert drained.host in await hosts()  # some of these answers were signed and their signatures cached
         w.journal.hosts(drained.member("DRAINING"))
         await w.wait_for_events()
         assert drained.host not in await hosts()
@@ -244,7 +244,7 @@
     paths[1].write_text("{")
     assert (
         not folder.reload_if_changed() and not folder.reload_if_changed() and len(folder_log) == 1
-    )  # told once; the keys stay
+    )  # logged once; the keys stay in use
     assert len(folder.zones["route.example"]) == 2
 
 
