--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -253,18 +253,18 @@
     """24 processes; for ten seconds the link to the service that sends hints silently drops everything."""
 
     async def scene() -> None:
-        one = Swarm(tmp_path, "127.0.0.1", settings_for(24), ROOT, hints=True)
+        swarm = Swarm(tmp_path, "127.0.0.1", settings_for(24), ROOT, hints=True)
         try:
-            await one.serve(8, linked=True)
-            await one.launch([one.configure(f"p{n}").name for n in range(24)])
-            crowd = Crowd(one, 150.0)
+            await swarm.serve(8, linked=True)
+            await swarm.launch([swarm.configure(f"p{n}").name for n in range(24)])
+            crowd = Crowd(swarm, 150.0)
 
             async def taken() -> list[int]:
-                for proxy in one.proxies.values():
+                for proxy in swarm.proxies.values():
                     proxy.signal(signal.SIGUSR1)
                 await asyncio.sleep(0.5)
                 counts = []
-                for proxy in one.proxies.values():
+                for proxy in swarm.proxies.values():
                     lines = [line for line in proxy.log.read_text().splitlines() if line.startswith("{")]
                     whole = [line for line in lines if line.endswith("}}")]
                     told = json.loads(whole[-1]) if whole else {}
@@ -281,17 +281,17 @@
                 crowd.stopped = False
 
             await all_hear([0] * 24)
-            one.links["journal"].both(Way(drop=True))
+            swarm.links["journal"].both(Way(drop=True))
             crowd.answers.clear()
             await crowd.run(10)
             assert crowd.answers["200"] >= 0.99 * crowd.answers.total()
             before = await taken()
-            one.links["journal"].both(PASS)
-            one.links["journal"].reset()
+            swarm.links["journal"].both(PASS)
+            swarm.links["journal"].reset()
             await all_hear([max(before)] * 24)
             crowd.close()
             assert not crowd.wrong and not crowd.twice
         finally:
-            await one.close()
+            await swarm.close()
 
     asyncio.run(scene())
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -186,17 +186,17 @@
 
 
 def test_merged_documents_are_medians_that_one_wrong_document_does_not_change() -> None:
-    said = [
+    documents = [
         (orjson.loads(orjson.dumps(learned.gather(warmed_script().router, 2_000 * SECOND))), age) for age in (1, 2, 3)
     ]
-    wrong = orjson.loads(orjson.dumps(said[0][0]))
+    wrong = orjson.loads(orjson.dumps(documents[0][0]))
     wrong["took"], wrong["work"] = 5e8, 9e4
     for row in wrong["servers"]:
         row[2:6] = [900.0, 900.0, 90_000.0, 7.0]
-    told, age = learned.merge([*said, (wrong, 0)])
-    learned.check(told)
-    assert age == 2 and told["took"] < 2 * said[0][0]["took"] and told["work"] < 2 * said[0][0]["work"]
-    assert all(a[2] < 2 * b[2] + 1 for a, b in zip(told["servers"], sorted(said[0][0]["servers"]), strict=True))
+    merged, age = learned.merge([*documents, (wrong, 0)])
+    learned.check(merged)
+    assert age == 2 and merged["took"] < 2 * documents[0][0]["took"] and merged["work"] < 2 * documents[0][0]["work"]
+    assert all(a[2] < 2 * b[2] + 1 for a, b in zip(merged["servers"], sorted(documents[0][0]["servers"]), strict=True))
     assert learned.merge([])[0]["servers"] == []
 
 
@@ -373,9 +373,9 @@
         "tenant.t": ("certain", "set"),
     }
     assert proposal.pos == 96  # higher than every number that a proxy named
-    told = {f.id: f for f in proposal.findings}
-    assert told["box.same"].record["attrs"]["warm"] is False  # as in the snapshot
-    assert "127.0.0.1:8" in told["box.split"].why and "1 are behind" in told["box.drained"].why
+    findings = {f.id: f for f in proposal.findings}
+    assert findings["box.same"].record["attrs"]["warm"] is False  # as in the snapshot
+    assert "127.0.0.1:8" in findings["box.split"].why and "1 are behind" in findings["box.drained"].why
 
 
 def test_contradictions_between_proxies_are_shown_and_not_resolved() -> None:
@@ -438,28 +438,28 @@
 
     async def run() -> None:
         (folder / "state").mkdir()
-        one = Swarm(folder, "127.0.0.1", settings_for(proxies), ROOT, operator=operator)
+        swarm = Swarm(folder, "127.0.0.1", settings_for(proxies), ROOT, operator=operator)
         try:
-            await one.serve(8, linked=True)
-            await one.launch([one.configure(f"p{n}").name for n in range(proxies)])
-            crowd = Crowd(one, RATE)
+            await swarm.serve(8, linked=True)
+            await swarm.launch([swarm.configure(f"p{n}").name for n in range(proxies)])
+            crowd = Crowd(swarm, RATE)
             async with asyncio.timeout(100):
-                await scene(one, crowd)
+                await scene(swarm, crowd)
             crowd.close()
-            assert not crowd.wrong and not crowd.twice and not sum(box.stale for box in one.boxes)
+            assert not crowd.wrong and not crowd.twice and not sum(box.stale for box in swarm.boxes)
         finally:
-            await one.close()
+            await swarm.close()
 
     asyncio.run(run())
 
 
-def requests_to(one: Swarm, name: str, since: float) -> list[Any]:
-    return [a for a in one.fleet.servers[name].arrivals if a.at > since and not a.fill]
+def requests_to(swarm: Swarm, name: str, since: float) -> list[Any]:
+    return [a for a in swarm.fleet.servers[name].arrivals if a.at > since and not a.fill]
 
 
-def count_logs(one: Swarm, word: str, names: list[str] | None = None) -> int:
+def count_logs(swarm: Swarm, word: str, names: list[str] | None = None) -> int:
     """The number of these proxies whose logs contain the word."""
-    return sum(word in one.proxies[name].log.read_text() for name in names or one.proxies)
+    return sum(word in swarm.proxies[name].log.read_text() for name in names or swarm.proxies)
 
 
 async def wait_until_served(crowd: Crowd, share: float, seconds: float = 20.0) -> None:
@@ -474,96 +474,98 @@
     raise AssertionError(f"not served again: {crowd.answers}")
 
 
-async def wait_for_full_service(one: Swarm, crowd: Crowd, names: list[str]) -> None:
+async def wait_for_full_service(swarm: Swarm, crowd: Crowd, names: list[str]) -> None:
     """Runs clients until all of these proxies are in full service."""
     going = asyncio.ensure_future(crowd.run(30))
-    await until(lambda: count_logs(one, "warming -> full", names) == len(names), "all in full service")
+    await until(lambda: count_logs(swarm, "warming -> full", names) == len(names), "all in full service")
     crowd.stopped = True
     await going
     crowd.stopped = False
 
 
 def test_most_proxies_killed_beside_cold_caches_and_a_stalled_journal_recover_within_the_rules(tmp_path: Path) -> None:
-    async def scene(one: Swarm, crowd: Crowd) -> None:
+    async def scene(swarm: Swarm, crowd: Crowd) -> None:
         await wait_until_served(crowd, 0.99)
-        await wait_for_full_service(one, crowd, list(one.proxies))
-        killed = list(one.proxies)[: int(0.7 * PROXIES)]
-        drained, purged = one.boxes[0].name, "0000000000000001"
+        await wait_for_full_service(swarm, crowd, list(swarm.proxies))
+        killed = list(swarm.proxies)[: int(0.7 * PROXIES)]
+        drained, purged = swarm.boxes[0].name, "0000000000000001"
         going = asyncio.ensure_future(crowd.run(8))
         for name in killed:
-            one.proxies[name].signal(signal.SIGKILL)
+            swarm.proxies[name].signal(signal.SIGKILL)
         for name in killed:
-            await one.proxies[name].process.wait()
-        for box in one.boxes[1:3]:
+            await swarm.proxies[name].process.wait()
+        for box in swarm.boxes[1:3]:
             box.stop()
             await box.back(cold=8.0)
-        await one.journal.hosts(one.member(drained, "DRAINING"), *(one.member(box.name) for box in one.boxes[1:3]))
-        for box in one.boxes:
+        await swarm.journal.hosts(
+            swarm.member(drained, "DRAINING"), *(swarm.member(box.name) for box in swarm.boxes[1:3])
+        )
+        for box in swarm.boxes:
             box.purged[purged] = time.time()
-        await one.journal.add({"expire": {"name": purged, "stamp": int(time.time() * 1e3)}})
+        await swarm.journal.add({"expire": {"name": purged, "stamp": int(time.time() * 1e3)}})
         await asyncio.sleep(0.4)  # the surviving proxies receive all this
-        await play(one.links, [Change(0.0, ("journal",), "stall")])
+        await play(swarm.links, [Change(0.0, ("journal",), "stall")])
         since = time.time()  # the new processes have an older configuration and a silent journal
-        await one.launch(killed)
+        await swarm.launch(killed)
         await asyncio.sleep(2.5)
-        await play(one.links, [Change(0.0, ("journal",), "pass")])
+        await play(swarm.links, [Change(0.0, ("journal",), "pass")])
         await going
-        assert not requests_to(one, drained, since + 7.05)
-        assert count_logs(one, "state: ", killed) == len(killed)  # their saved state was read
+        assert not requests_to(swarm, drained, since + 7.05)
+        assert count_logs(swarm, "state: ", killed) == len(killed)  # their saved state was read
         await wait_until_served(crowd, 0.97)
-        late = requests_to(one, drained, time.time() - 1)
+        late = requests_to(swarm, drained, time.time() - 1)
         assert not late, f"{drained} got {len(late)} after all had heard that it drains"
-        await wait_for_full_service(one, crowd, killed)
+        await wait_for_full_service(swarm, crowd, killed)
 
     fleet(tmp_path, scene, PROXIES)
 
 
 def test_proxies_with_an_old_list_and_no_journal_send_nothing_until_caught_up(tmp_path: Path) -> None:
-    async def scene(one: Swarm, crowd: Crowd) -> None:
+    async def scene(swarm: Swarm, crowd: Crowd) -> None:
         await wait_until_served(crowd, 0.99)
         await asyncio.sleep(0.5)  # the state is written
-        names = list(one.proxies)
+        names = list(swarm.proxies)
         for name in names:
-            one.proxies[name].signal(signal.SIGKILL)
-            await one.proxies[name].process.wait()
-        drained = one.boxes[0].name
-        await one.journal.hosts(one.member(drained, "DRAINING"))
+            swarm.proxies[name].signal(signal.SIGKILL)
+            await swarm.proxies[name].process.wait()
+        drained = swarm.boxes[0].name
+        await swarm.journal.hosts(swarm.member(drained, "DRAINING"))
         for name in names:  # their configuration is an hour old
-            os.utime(one.proxies[name].config, (time.time() - 3_600,) * 2)
-        await one.links["journal"].refuse(True)
-        one.links["journal"].reset()
+            os.utime(swarm.proxies[name].config, (time.time() - 3_600,) * 2)
+        await swarm.links["journal"].refuse(True)
+        swarm.links["journal"].reset()
         since = time.time()
-        await one.launch(names)
+        await swarm.launch(names)
         crowd.answers.clear()
         await crowd.run(2)
-        assert set(crowd.answers) == {"503"} and not any(requests_to(one, box.name, since) for box in one.boxes)
-        await one.links["journal"].refuse(False)
+        assert set(crowd.answers) == {"503"} and not any(requests_to(swarm, box.name, since) for box in swarm.boxes)
+        await swarm.links["journal"].refuse(False)
         await wait_until_served(crowd, 0.99)
-        assert not requests_to(one, drained, since)
-        assert all(requests_to(one, box.name, since) for box in one.boxes[1:])
+        assert not requests_to(swarm, drained, since)
+        assert all(requests_to(swarm, box.name, since) for box in swarm.boxes[1:])
 
     fleet(tmp_path, scene)
 
 
 def test_a_journal_restored_from_an_older_state_restores_no_drained_server(tmp_path: Path) -> None:
-    async def scene(one: Swarm, crowd: Crowd) -> None:
+    async def scene(swarm: Swarm, crowd: Crowd) -> None:
         await wait_until_served(crowd, 0.99)
-        older, drained = list(one.journal.events), one.boxes[0].name
-        await one.journal.hosts(one.member(drained, "DRAINING"))
+        older, drained = list(swarm.journal.events), swarm.boxes[0].name
+        await swarm.journal.hosts(swarm.member(drained, "DRAINING"))
         await asyncio.sleep(0.6)
         since = time.time()
-        await one.journal.restart(older)
+        await swarm.journal.restart(older)
         await wait_until_served(crowd, 0.99)
-        await until(lambda: count_logs(one, "an older or another service") == SMALL_FLEET, "all have noticed")
+        await until(lambda: count_logs(swarm, "an older or another service") == SMALL_FLEET, "all have noticed")
         await wait_until_served(crowd, 0.99)
-        assert not requests_to(one, drained, since)
-        born = one.fleet.servers[drained]
+        assert not requests_to(swarm, drained, since)
+        born = swarm.fleet.servers[drained]
         born.stop()
         await born.back(cold=1.0)
-        await one.journal.hosts(one.member(drained))  # restarted: it counts as another server now
+        await swarm.journal.hosts(swarm.member(drained))  # restarted: it counts as another server now
         await wait_until_served(crowd, 0.99)
         await wait_until_served(crowd, 0.99)
-        assert requests_to(one, drained, since)
+        assert requests_to(swarm, drained, since)
 
     fleet(tmp_path, scene)
 
@@ -572,30 +574,30 @@
     """The journal of the others is silent: they serve while their list is trusted, then refuse, and resume once the
     journal is back."""
 
-    async def scene(one: Swarm, crowd: Crowd) -> None:
-        second = one.links["second"] = Relay(lambda: one.journal.address, one.host)
+    async def scene(swarm: Swarm, crowd: Crowd) -> None:
+        second = swarm.links["second"] = Relay(lambda: swarm.journal.address, swarm.host)
         await second.start()
-        deaf = list(one.proxies)[::2]
-        for name in deaf:
-            one.proxies[name].signal(signal.SIGKILL)
-            await one.proxies[name].process.wait()
-            one.configure(name, journal=f"{one.host}:{second.address[1]}")
-        await one.launch(deaf)
+        cut_off = list(swarm.proxies)[::2]
+        for name in cut_off:
+            swarm.proxies[name].signal(signal.SIGKILL)
+            await swarm.proxies[name].process.wait()
+            swarm.configure(name, journal=f"{swarm.host}:{second.address[1]}")
+        await swarm.launch(cut_off)
         await wait_until_served(crowd, 0.99)
-        await play(one.links, [Change(0.0, ("second",), "drop")])
-        drained, purged, told = one.boxes[0].name, "0000000000000002", time.time()
-        await one.journal.hosts(one.member(drained, "DRAINING"))
-        await one.journal.add({"expire": {"name": purged, "stamp": int(told * 1e3)}})
+        await play(swarm.links, [Change(0.0, ("second",), "drop")])
+        drained, purged, told = swarm.boxes[0].name, "0000000000000002", time.time()
+        await swarm.journal.hosts(swarm.member(drained, "DRAINING"))
+        await swarm.journal.add({"expire": {"name": purged, "stamp": int(told * 1e3)}})
         crowd.answers.clear()
         await crowd.run(1.7)
-        for box in one.boxes:  # from here on their lists are no longer trusted
+        for box in swarm.boxes:  # from here on their lists are no longer trusted
             box.purged[purged] = told
         await crowd.run(3)
-        assert not requests_to(one, drained, told + 1.5 + 0.55)  # trust_ms, and the time that the rules allow
+        assert not requests_to(swarm, drained, told + 1.5 + 0.55)  # trust_ms, and the time that the rules allow
         assert crowd.answers["503"] > 0.1 * crowd.answers.total()
-        await play(one.links, [Change(0.0, ("second",), "pass"), Change(0.0, ("second",), "reset")])
+        await play(swarm.links, [Change(0.0, ("second",), "pass"), Change(0.0, ("second",), "reset")])
         await wait_until_served(crowd, 0.99)
-        assert not requests_to(one, drained, told + 2.05)
+        assert not requests_to(swarm, drained, told + 2.05)
 
     fleet(tmp_path, scene)
 
@@ -603,29 +605,29 @@
 def test_a_stopped_proxy_sends_nothing_to_an_address_that_was_reassigned_meanwhile(tmp_path: Path) -> None:
     """It resumes with open requests, pending dials, and events in its socket that are older than the stop."""
 
-    async def scene(one: Swarm, crowd: Crowd) -> None:
+    async def scene(swarm: Swarm, crowd: Crowd) -> None:
         await wait_until_served(crowd, 0.99)
-        name, some = one.boxes[0].name, list(one.proxies)[::3]
-        old = one.fleet.servers[name]
+        name, stopped = swarm.boxes[0].name, list(swarm.proxies)[::3]
+        old = swarm.fleet.servers[name]
         going = asyncio.ensure_future(crowd.run(6))
         await asyncio.sleep(0.3)
-        for proxy in some:
-            one.proxies[proxy].signal(signal.SIGSTOP)
-        await one.journal.hosts(one.member(name, "DRAINING"))
+        for proxy in stopped:
+            swarm.proxies[proxy].signal(signal.SIGSTOP)
+        await swarm.journal.hosts(swarm.member(name, "DRAINING"))
         await asyncio.sleep(0.6)
         old.stop()
-        given = Server("s-0000bbbb", "parent", old.address, lambda source: None)  # it belongs to someone else now
-        await given.start()
-        one.fleet.servers["s-0000bbbb"] = given
-        await one.journal.hosts({"id": name, "phase": "DELETED"})
+        stranger = Server("s-0000bbbb", "parent", old.address, lambda source: None)  # it belongs to someone else now
+        await stranger.start()
+        swarm.fleet.servers["s-0000bbbb"] = stranger
+        await swarm.journal.hosts({"id": name, "phase": "DELETED"})
         await asyncio.sleep(3)
         since = time.time()
-        for proxy in some:
-            one.proxies[proxy].signal(signal.SIGCONT)
+        for proxy in stopped:
+            swarm.proxies[proxy].signal(signal.SIGCONT)
         await going
         await wait_until_served(crowd, 0.97)
-        assert count_logs(one, "this process was stopped", some) == len(some)
-        assert not [a for a in given.arrivals if a.at > since]
+        assert count_logs(swarm, "this process was stopped", stopped) == len(stopped)
+        assert not [a for a in stranger.arrivals if a.at > since]
 
     fleet(tmp_path, scene)
 
@@ -633,64 +635,64 @@
 def test_cordons_purges_and_drains_hold_after_a_restart(tmp_path: Path) -> None:
     """One process receives and saves them; the next one starts from an older configuration."""
 
-    async def scene(one: Swarm, crowd: Crowd) -> None:
+    async def scene(swarm: Swarm, crowd: Crowd) -> None:
         await wait_until_served(crowd, 0.99)
-        name, box = "p0", one.boxes[1].name
-        raw = orjson.loads(one.proxies[name].config.read_bytes())
-        drained, purged = one.boxes[0].name, "0000000000000003"
-        await one.journal.hosts(one.member(drained, "DRAINING"))
+        name, box = "p0", swarm.boxes[1].name
+        raw = orjson.loads(swarm.proxies[name].config.read_bytes())
+        drained, purged = swarm.boxes[0].name, "0000000000000003"
+        await swarm.journal.hosts(swarm.member(drained, "DRAINING"))
         told = time.time()
-        await one.journal.add({"expire": {"name": purged, "stamp": int(told * 1e3)}})
+        await swarm.journal.add({"expire": {"name": purged, "stamp": int(told * 1e3)}})
         state = tmp_path / "state" / f"{name}.state"
 
         def kept() -> bool:
             content = orjson.loads(state.read_bytes().partition(b"\n")[2])
-            return content["pos"] == len(one.journal.events) and any(key == purged for key, _ in content["purges"])
+            return content["pos"] == len(swarm.journal.events) and any(key == purged for key, _ in content["purges"])
 
         await until(kept, "the news in the file")
-        one.proxies[name].signal(signal.SIGKILL)
-        await one.proxies[name].process.wait()
+        swarm.proxies[name].signal(signal.SIGKILL)
+        await swarm.proxies[name].process.wait()
         head, _, text = state.read_bytes().partition(b"\n")
         installation = orjson.loads(head)["installation"]
         content = orjson.loads(text) | {"cordons": [box]}  # as a cordon through the management address would
         state.write_bytes(saved.pack(content, installation, orjson.loads(head)["at"]))
-        for server in one.boxes:
+        for server in swarm.boxes:
             server.purged[purged] = told
-        await play(one.links, [Change(0.0, ("journal",), "stall")])
-        one.proxies[name].config.write_bytes(orjson.dumps(raw))  # a new file with the old content
-        await one.launch([name])
+        await play(swarm.links, [Change(0.0, ("journal",), "stall")])
+        swarm.proxies[name].config.write_bytes(orjson.dumps(raw))  # a new file with the old content
+        await swarm.launch([name])
         await crowd.run(1, [name])
-        assert "nothing is sent before" in one.proxies[name].log.read_text()
-        await play(one.links, [Change(0.0, ("journal",), "pass")])
+        assert "nothing is sent before" in swarm.proxies[name].log.read_text()
+        await play(swarm.links, [Change(0.0, ("journal",), "pass")])
         crowd.answers.clear()
         end = time.monotonic() + 20
         while crowd.answers["200"] < 50 and time.monotonic() < end:
             await crowd.run(1, [name])
         assert crowd.answers["200"] >= 50
         await asyncio.gather(*(crowd._one(name, purged) for _ in range(5)))
-        for other in one.proxies.values():  # so that all requests are from this one
+        for other in swarm.proxies.values():  # so that all requests are from this one
             if other.name != name:
                 other.signal(signal.SIGSTOP)
         since = time.time()
         await crowd.run(2, [name])
-        assert not requests_to(one, drained, since) and not requests_to(one, box, since)
-        for other in one.proxies.values():
+        assert not requests_to(swarm, drained, since) and not requests_to(swarm, box, since)
+        for other in swarm.proxies.values():
             other.signal(signal.SIGCONT)
 
     fleet(tmp_path, scene, 3)
 
 
 def test_flapping_links_to_half_of_the_caches_cost_little_and_recover(tmp_path: Path) -> None:
-    async def scene(one: Swarm, crowd: Crowd) -> None:
+    async def scene(swarm: Swarm, crowd: Crowd) -> None:
         await wait_until_served(crowd, 0.99)
-        names = tuple(box.name for box in one.boxes[::2])
+        names = tuple(box.name for box in swarm.boxes[::2])
         flaps = [Change(0.25 * n, names, ("drop", "pass")[n % 2]) for n in range(24)]
-        playing = asyncio.ensure_future(play(one.links, flaps))
+        playing = asyncio.ensure_future(play(swarm.links, flaps))
         crowd.answers.clear()
         await crowd.run(6)
         await playing
         assert crowd.answers["200"] >= 0.6 * crowd.answers.total()  # more than the other half alone would serve
-        await play(one.links, [Change(0.0, names, "pass")])
+        await play(swarm.links, [Change(0.0, names, "pass")])
         await wait_until_served(crowd, 0.99)
 
     fleet(tmp_path, scene, PROXIES)
