--- a/threadhill/plans/configuration.py
+++ b/threadhill/plans/configuration.py
@@ -50,16 +50,16 @@
     references: dict[str, dict[str, Any]] = field(default_factory=lambda: {kind: {} for kind in KINDS})
 
     def scope(self, each: dict[str, Any] | None = None, resources: bool = True) -> Scope:
-        def root(word: str) -> Any:
-            if word == "var":
+        def root(name: str) -> Any:
+            if name == "var":
                 return self.variables
-            if word == "local":
+            if name == "local":
                 return _Locals(self)
-            if word == "each" and each is not None:
+            if name == "each" and each is not None:
                 return each
-            if resources and word in self.references:
-                return self.references[word]
-            raise KeyError(word)
+            if resources and name in self.references:
+                return self.references[name]
+            raise KeyError(name)
 
         return Scope(root)
 
@@ -146,8 +146,8 @@
         if name in known:
             evaluation.fault(block, block.line, block.title, "is defined twice")
         known.add(name)
-        for word in sorted(set(block.attributes) - {"type", "default", "description"}):
-            evaluation.fault(block, block.attributes[word].line, block.title, f"{word}: no such key")
+        for key in sorted(set(block.attributes) - {"type", "default", "description"}):
+            evaluation.fault(block, block.attributes[key].line, block.title, f"{key}: no such key")
         try:
             type_name = _type_of(block)
             value = given.get(name)
@@ -167,8 +167,8 @@
         evaluation.faults.append(Fault("-var", 0, name, "no such variable"))
 
 
-def no_names(word: str) -> Any:
-    raise KeyError(word)
+def no_names(name: str) -> Any:
+    raise KeyError(name)
 
 
 def _type_of(block: Block) -> str:
@@ -242,12 +242,12 @@
             except EvalError as error:
                 evaluation.fault(block, error.line or attribute.line, block.title, f"for_each: {error}")
                 continue
-            made = {}
+            result = {}
             for key, value in pairs.items():
                 name = f"{label}-{key}"
                 if add(kind, _Instance(block, name, {"key": key, "value": value})):
-                    made[key] = Ref(kind, name)
-            evaluation.references[kind][label] = made
+                    result[key] = Ref(kind, name)
+            evaluation.references[kind][label] = result
             if len(found) > MAX_RESOURCES:
                 evaluation.fault(block, attribute.line, block.title, f"makes over {MAX_RESOURCES} resources")
                 return found
@@ -280,12 +280,12 @@
             continue
         if value is not None:  # null is treated as a missing key
             values[name] = value
-    for word in ("address", "listen"):
-        if isinstance(values.get(word), str):
-            other = evaluation.addresses.setdefault(values[word], id)
+    for key in ("address", "listen"):
+        if isinstance(values.get(key), str):
+            other = evaluation.addresses.setdefault(values[key], id)
             if other != id:
-                line = block.attributes[word].line
-                evaluation.fault(block, line, id, f"{word} {values[word]} is already used by {other}")
+                line = block.attributes[key].line
+                evaluation.fault(block, line, id, f"{key} {values[key]} is already used by {other}")
     classes = _classes(evaluation, block, scope) if block.kind == "settings" else None
     for inner in block.blocks if block.kind != "settings" else []:
         evaluation.fault(block, inner.line, id, f"{inner.kind}: a {block.kind} must not contain blocks")
@@ -310,23 +310,23 @@
     except ValidationError as error:
         for fault in error.errors():
             place = ".".join(str(part) for part in fault["loc"])
-            word = str(fault["loc"][0]) if fault["loc"] else ""
-            if scope is None and word in block.attributes and word not in values:
+            key = str(fault["loc"][0]) if fault["loc"] else ""
+            if scope is None and key in block.attributes and key not in values:
                 continue  # reported already: it could not be evaluated
-            line = block.attributes[word].line if word in block.attributes else block.line
+            line = block.attributes[key].line if key in block.attributes else block.line
             text = {"extra_forbidden": "no such key", "missing": "is missing"}.get(fault["type"])
             evaluation.fault(block, line, id, f"{place}: {text or fault['msg'].removeprefix('Value error, ')}")
         return None
 
 
 def _classes(evaluation: _Evaluation, block: Block, scope: Scope) -> dict[str, dict[str, Any]]:
-    made: dict[str, dict[str, Any]] = {}
+    result: dict[str, dict[str, Any]] = {}
     for inner in block.blocks:
         if inner.kind != "class" or len(inner.labels) != 1 or not NAME_PATTERN.fullmatch(inner.labels[0]):
             evaluation.fault(block, inner.line, inner.title, 'settings may contain only blocks class "NAME" { ... }')
             continue
         id = f"settings.class.{inner.labels[0]}"
-        if inner.labels[0] in made:
+        if inner.labels[0] in result:
             evaluation.fault(block, inner.line, id, "is defined twice")
         values = {}
         for name, attribute in inner.attributes.items():
@@ -336,10 +336,10 @@
                 evaluation.fault(inner, error.line or attribute.line, id, f"{name}: {error}")
         attrs = _validated(evaluation, inner, id, RequestClass, values, scope)
         if attrs is not None:
-            made[inner.labels[0]] = attrs
-    if not made and not any(inner.kind == "class" for inner in block.blocks):
+            result[inner.labels[0]] = attrs
+    if not result and not any(inner.kind == "class" for inner in block.blocks):
         evaluation.fault(block, block.line, "settings", 'must have at least one class "NAME" { ... }')
-    return made
+    return result
 
 
 def _check_across(
@@ -347,9 +347,9 @@
 ) -> None:
     """Checks across resources: unique server numbers and zones, required resources, cycles of sources."""
 
-    def fault(id: str, word: str, text: str) -> None:
+    def fault(id: str, key: str, text: str) -> None:
         block, lines = positions[id]
-        evaluation.fault(block, lines.get(word, block.line), id, text)
+        evaluation.fault(block, lines.get(key, block.line), id, text)
 
     numbers: dict[int, str] = {}
     zones: dict[str, str] = {}
--- a/threadhill/plans/expr.py
+++ b/threadhill/plans/expr.py
@@ -188,13 +188,13 @@
         pairs.append((name, compile_expression(value), _line(element)))
 
     def make(scope: Scope) -> dict[str, Any]:
-        made: dict[str, Any] = {}
+        result: dict[str, Any] = {}
         for key, value, line in pairs:
             word = _text(key(scope), line)
-            if word in made:
+            if word in result:
                 raise EvalError(line, f"the key {word!r} is defined twice")
-            made[word] = value(scope)
-        return made
+            result[word] = value(scope)
+        return result
 
     return make
 
@@ -239,14 +239,14 @@
 
 
 def _attribute(tree: Tree) -> Compiled:
-    whole, attribute = _parts(tree)
-    inner, word, line = compile_expression(whole), _identifier(_parts(attribute)[0]), _line(tree)
+    operand, attribute = _parts(tree)
+    inner, word, line = compile_expression(operand), _identifier(_parts(attribute)[0]), _line(tree)
     return lambda scope: _look_up(inner(scope), word, line)
 
 
 def _index(tree: Tree) -> Compiled:
-    whole, index = _parts(tree)
-    inner, line = compile_expression(whole), _line(tree)
+    operand, index = _parts(tree)
+    inner, line = compile_expression(operand), _line(tree)
     if index.data == "short_index":
         number = int(index.children[-1])
         return lambda scope: _look_up(inner(scope), number, line)
@@ -336,13 +336,13 @@
         raise EvalError(line, "grouping (...) is not supported")
 
     def make(scope: Scope) -> dict[str, Any]:
-        made: dict[str, Any] = {}
+        result: dict[str, Any] = {}
         for inner in iterations(scope):
             key = _text(results[0](inner), line)
-            if key in made:
+            if key in result:
                 raise EvalError(line, f"the key {key!r} comes twice")
-            made[key] = results[1](inner)
-        return made
+            result[key] = results[1](inner)
+        return result
 
     return make
 
@@ -387,10 +387,10 @@
 def _range(*bounds: Any) -> list[Any]:
     if not all(isinstance(b, int) and not isinstance(b, bool) for b in bounds):
         raise ValueError("takes only whole numbers")
-    whole = range(*bounds)
-    if len(whole) > MAX_ITEMS:
+    items = range(*bounds)
+    if len(items) > MAX_ITEMS:
         raise ValueError(f"makes over {MAX_ITEMS} items")
-    return list(whole)
+    return list(items)
 
 
 def _format(text: str, *values: Any) -> str:
@@ -412,10 +412,10 @@
             shown = f"{value:f}" if verb == "f" else f"{int(value):{verb}}"
         return shown.rjust(int(width or 0), "0" if zero else " ")
 
-    made = FORMAT_VERB.sub(one, text)
+    result = FORMAT_VERB.sub(one, text)
     if remaining:
         raise ValueError("has too many values")
-    return made
+    return result
 
 
 def _unique(values: Iterable[Any]) -> list[Any]:
--- a/threadhill/plans/planner.py
+++ b/threadhill/plans/planner.py
@@ -242,7 +242,7 @@
 
 def _listed_attrs(attrs: dict[str, Any]) -> dict[str, Any]:
     """The attributes that matter after a server is listed: all but `warm`, which only says how it started."""
-    return {word: value for word, value in attrs.items() if word != "warm"}
+    return {key: value for key, value in attrs.items() if key != "warm"}
 
 
 def _with_needs(steps: list[Step]) -> list[Step]:
@@ -255,14 +255,14 @@
     removals_at: dict[str, list[str]] = {}  # id of a node or hub -> ids of the steps that remove what is located there
     for s in steps:
         if s.action in ("remove", "unset") and s.before:
-            for word in ("node", "hub"):
-                if word in s.before:
-                    removals_at.setdefault(s.before[word], []).append(s.id)
+            for key in ("node", "hub"):
+                if key in s.before:
+                    removals_at.setdefault(s.before[key], []).append(s.id)
     result = []
     for s in steps:
         needs: set[str] = set()
         if s.after is not None:
-            needs |= {f"set {s.after[word]}" for word in ("node", "hub") if word in s.after}
+            needs |= {f"set {s.after[key]}" for key in ("node", "hub") if key in s.after}
             needs |= {f"add {source}" for source in s.after.get("fills_from", ())}
             if s.kind in ("proxy", *rules.SERVER_KINDS):
                 needs.add("set settings.settings")
--- a/threadhill/plans/syntax.py
+++ b/threadhill/plans/syntax.py
@@ -143,16 +143,16 @@
 
 
 def _read_block(tree: Tree, file: str, faults: list[Fault]) -> Block | None:
-    words = [child for child in tree.children if isinstance(child, Tree) and child.data in ("identifier", "string")]
+    parts = [child for child in tree.children if isinstance(child, Tree) and child.data in ("identifier", "string")]
     labels = []
-    for word in words[1:]:
+    for part in parts[1:]:
         try:
-            label = compile_expression(word)(None) if word.data == "string" else str(word.children[0])
+            label = compile_expression(part)(None) if part.data == "string" else str(part.children[0])
         except Exception:  # an interpolation: labels are needed before anything is evaluated
             faults.append(Fault(file, tree.meta.line, "", "a label must be plain text, without interpolation"))
             return None
         labels.append(label)
-    block = Block(str(words[0].children[0]), tuple(labels), file, tree.meta.line)
+    block = Block(str(parts[0].children[0]), tuple(labels), file, tree.meta.line)
     _read_body(
         block, next(child for child in tree.children if isinstance(child, Tree) and child.data == "body"), faults
     )
