--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -114,7 +114,7 @@
         "what may have run once is asked again",
         "decision/choice.py",
         "        return (\n"
-        "            min(latest, job.may_have_run[0][1] + job.cls.dedup_window - self.settings.tick)\n"
+        "            min(latest, pending.may_have_run[0][1] + pending.cls.dedup_window - self.settings.tick)\n"
         "            if retry_safety is api.RetrySafety.KEYED\n"
         "            else 0\n"
         "        )",
@@ -124,7 +124,7 @@
     Mutant(
         "what may have run is refused",
         "decision/choice.py",
-        "or not (job.may_have_run or job.attempt_open)",
+        "or not (pending.may_have_run or pending.attempt_open)",
         "or True",
         (Rule.FALSE_REFUSAL,),
     ),
@@ -187,14 +187,14 @@
     Mutant(
         "timers of requests never fire",
         "decision/choice.py",
-        "        if job is not None and self.now >= job.deadline - DEADLINE_MARGIN:\n",
+        "        if pending is not None and self.now >= pending.deadline - DEADLINE_MARGIN:\n",
         "        if False:\n",
         (Rule.LOST,),
         (
             (
                 "decision/choice.py",
-                "        job.timeout = timeout\n",
-                "        timeout = 0\n        job.timeout = timeout\n",
+                "        pending.timeout = timeout\n",
+                "        timeout = 0\n        pending.timeout = timeout\n",
             ),
         ),
     ),
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -671,7 +671,7 @@
             for sent in script.ask(f"o{name}"):
                 fills += isinstance(sent, api.Fetch) and sent.source == 21 and not sent.mode & api.FillMode.CACHED_ONLY
         source.inflight_fills, source.fill_limit = 0, script.router.min_fill_limit
-        script.router.jobs.clear()
+        script.router.pending_requests.clear()
         for server in script.router.fleet.caches:
             server.inflight = 0
         for name in range(200 // routers):
@@ -851,7 +851,7 @@
     handed_over = [a for a in handed if isinstance(a, api.HandOver)]
     assert {a.server for a in handed_over} == {11} and isinstance(handed[-1], api.Refuse)
     assert (server.inflight, server.unanswered, server.fault_log_odds) == (len(handed_over), 0, 0.0)
-    assert server.credit < 0 and not script.router.jobs
+    assert server.credit < 0 and not script.router.pending_requests
     script.wait(10 * SECOND)
     for action in handed_over:
         ended = api.AttemptEnded(action.id, 0, 11, Outcome.HANDED_OVER, request_closed=True)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -77,14 +77,14 @@
     engine.submit(front, 1, ClientRequest("1", "reads", "bad", 1_000_000))
     engine.submit(front, 2, ClientRequest("2", "reads", "good", 1_000_000))
     assert [answer.status for answer in front.answers] == [FinalStatus.FAILED]
-    assert len(engine.requests) == 1 and len(engine.router.jobs) == 1
+    assert len(engine.requests) == 1 and len(engine.router.pending_requests) == 1
 
 
 def test_a_finished_request_leaves_no_timer() -> None:
     engine, front = make_engine(), Front()
     for i in range(100):
         engine.client_gone(engine.submit(front, i, ClientRequest(str(i), "reads", "thing", 5_000_000)))
-    assert len(engine.deadlines) == 0 and not engine.router.jobs and not engine.router.fill_sources
+    assert len(engine.deadlines) == 0 and not engine.router.pending_requests and not engine.router.fill_sources
 
 
 def test_the_log_drops_lines_over_the_rate_and_reports_their_number(capsys: pytest.CaptureFixture[str]) -> None:
--- a/threadhill/decision/choice.py
+++ b/threadhill/decision/choice.py
@@ -19,7 +19,7 @@
 from threadhill.decision.interface import CacheStatus, FillMode, Outcome
 from threadhill.decision.order import CACHED_PLACES, MAX_SORTED
 from threadhill.decision.running import RotatingSum
-from threadhill.decision.state import Job, Mean, Rate, Server, Tally, apply_hints, decayed, put_bounded
+from threadhill.decision.state import Mean, PendingRequest, Rate, Server, Tally, apply_hints, decayed, put_bounded
 
 # Copies per object. Rates are requests per second, counted over one interval and averaged.
 SECOND = RATE_INTERVAL = 1_000_000  # microseconds
@@ -128,7 +128,7 @@
         self.now, self.actions = 0, []
         self.freshness = Freshness(settings.purge_drop_time)
         self.fleet = Fleet(settings.zone, settings.parent_kind, settings.origin_kind)
-        self.jobs: dict[str, Job] = {}
+        self.pending_requests: dict[str, PendingRequest] = {}
         self.rates: dict[str, Rate] = {}
         # Requests; seconds of transfer time served, and the part of them that was filled.
         self.total_rate, self.work, self.fill_work = Rate(), Tally(), Tally()
@@ -167,7 +167,7 @@
         return self.actions
 
     def on_request_closed(self, event: api.ClientGone | api.AnswerStarted) -> None:
-        self.jobs.pop(event.id, None)
+        self.pending_requests.pop(event.id, None)
 
     def on_hints(self, hints: api.Hints) -> None:
         """Merge what other routers report, where a control plane provides it, into the local estimates."""
@@ -199,9 +199,9 @@
         self.freshness.add_purge(key, PurgeRecord(self.now - purge.age, self.now - purge.queue_delay, purge.timestamp))
 
     def on_timer(self, timer: api.TimerDue) -> None:
-        job = self.jobs.get(timer.token)
-        if job is not None and self.now >= job.deadline - DEADLINE_MARGIN:
-            self.finish(job)
+        pending = self.pending_requests.get(timer.token)
+        if pending is not None and self.now >= pending.deadline - DEADLINE_MARGIN:
+            self.finish(pending)
         elif timer.token == "list":
             self.actions.append(api.FollowList(True))
 
@@ -278,21 +278,21 @@
         own = location_fills / max(1, len(self.fleet.parents)) if is_parent else source.recent_fills(self.now)
         return fraction < limit or (0.5 + fraction) * self.settings.routers * own < limit * self.settings.routers
 
-    def in_time_probability(self, job: Job, server: Server) -> float:
+    def in_time_probability(self, pending: PendingRequest, server: Server) -> float:
         """The probability with which a server as slow as this one may be chosen. A request makes one draw for all
         servers, so that part of the load is refused where all of them are slow."""
         return (
             LATENCY_SAFETY
-            * (job.latency_target or job.request.time_left)
-            / (decayed(server.latency_ratio, self.now, DECAY_TIME) * job.transfer_time + 1)
+            * (pending.latency_target or pending.request.time_left)
+            / (decayed(server.latency_ratio, self.now, DECAY_TIME) * pending.transfer_time + 1)
         ) ** 2
 
-    def fill_in_time_probability(self, job: Job, source: Server) -> float:
+    def fill_in_time_probability(self, pending: PendingRequest, source: Server) -> float:
         """The same for a fill: a source that was too slow for the latency target lately is asked for few."""
-        expected = decayed(source.fill_latency_ratio.get(job.large, (1.0, 0)), self.now, DECAY_TIME) * (
-            job.transfer_time + BASE_LATENCY
+        expected = decayed(source.fill_latency_ratio.get(pending.large, (1.0, 0)), self.now, DECAY_TIME) * (
+            pending.transfer_time + BASE_LATENCY
         )
-        return (LATENCY_SAFETY * job.latency_target / expected) ** 2
+        return (LATENCY_SAFETY * pending.latency_target / expected) ** 2
 
     def count_request(self, request: api.Request, in_parts: bool, caches: int) -> None:
         """Count the request and adapt the object's number of copies. The location's rate is extrapolated from this
@@ -328,142 +328,146 @@
         rate.count += not request.repeat
         self.total_rate.count += not request.repeat
 
-    def choose_source(self, job: Job) -> Server | None:
+    def choose_source(self, pending: PendingRequest) -> Server | None:
         """The faster of the object's first two parents for its size, or the origin where no parent may be used."""
         # The parts of a hot object are spread over the parents.
-        name = f"{job.request.object}/{job.request.part}" if job.cls.in_parts else job.request.object
-        eligible = self.eligible(self.fleet.parents.ordered_for(name), job.work)
-        parents = list(islice((p for p in eligible if p.entry.server not in job.avoid), 2))
+        name = f"{pending.request.object}/{pending.request.part}" if pending.cls.in_parts else pending.request.object
+        eligible = self.eligible(self.fleet.parents.ordered_for(name), pending.work)
+        parents = list(islice((p for p in eligible if p.entry.server not in pending.avoid), 2))
         if len(parents) < 2 or self.settings.cache_status_detail is api.CacheStatusDetail.NONE:
             return parents[0] if parents else self.fleet.origin
-        mean_ratio = self.mean_fill_ratio.get(job.large, Mean(1.0)).value
-        ratios = [p.fill_latency_ratio.get(job.large, (mean_ratio, self.now)) for p in parents]
+        mean_ratio = self.mean_fill_ratio.get(pending.large, Mean(1.0)).value
+        ratios = [p.fill_latency_ratio.get(pending.large, (mean_ratio, self.now)) for p in parents]
         first, second = (ratio if self.now - when < DECAY_TIME else mean_ratio for ratio, when in ratios)
         return (
             parents[1]
-            if first - second > MIN_SOURCE_SAVING * job.latency_target / (job.transfer_time + BASE_LATENCY)
+            if first - second > MIN_SOURCE_SAVING * pending.latency_target / (pending.transfer_time + BASE_LATENCY)
             else parents[0]
         )
 
-    def route_read(self, job: Job) -> tuple[Server, Server] | None:
+    def route_read(self, pending: PendingRequest) -> tuple[Server, Server] | None:
         """A server and a source: one of the first k eligible caches with spare capacity, k being the object's number
         of copies. None if there is none."""
-        job.cached_only = False
+        pending.cached_only = False
         self.eject_silent()
         draw, fraction = self.random.random(), self.random.random()
-        rate, source = self.rates.get(job.request.object, Rate()), self.choose_source(job)
-        if job.request.hand_over and source is not None and source.ejections:
+        rate, source = self.rates.get(pending.request.object, Rate()), self.choose_source(pending)
+        if pending.request.hand_over and source is not None and source.ejections:
             source = None  # no result is reported, so it cannot be a trial of an ejected server
-        found = self.find_candidates(job, rate.copies, draw, fraction)
+        found = self.find_candidates(pending, rate.copies, draw, fraction)
         if (
             not found.any_eligible
             and self.settings.direct_to_origin
             and source is not None
             and source.inflight + fraction < source.inflight_limit
         ):
-            may_use = self.in_dedup_scope(job, source) and draw < self.in_time_probability(job, source)
+            may_use = self.in_dedup_scope(pending, source) and draw < self.in_time_probability(pending, source)
             # A parent fills from the origin; without an origin it is its own source and answers from its copies only.
             return (source, self.fleet.origin or source) if may_use else None
         usable = found.usable
-        if not usable and not job.request.hand_over:
+        if not usable and not pending.request.hand_over:
             # Caches may be at their limit because of fills from a slow origin. Copies that they hold need no fill, so
             # ask for those only.
             usable, source = [s for s in found.in_time if self.has_capacity(s, CACHED_ONLY_FACTOR, fraction)], None
-        usable = [s for s in usable if s.entry.server not in job.avoid] or usable
+        usable = [s for s in usable if s.entry.server not in pending.avoid] or usable
         pool = usable[: rate.copies]
         if not pool:
             return None
-        if job.cls.in_parts:
+        if pending.cls.in_parts:
             # Each part has its own order, as caches keep parts one by one. Clients of a live object may all ask for the
             # same part at once, so hot parts get more copies.
             rate_per_copy = HOT_PARTS_SHARE * self.total_rate.rate / max(1, len(self.fleet.caches))
             copies = 1 + int(rate.rate / rate_per_copy) if rate_per_copy else 1
-            pool = self.fleet.caches.sort_for(f"{job.request.object}/{job.request.part}", pool)[:copies]
+            pool = self.fleet.caches.sort_for(f"{pending.request.object}/{pending.request.part}", pool)[:copies]
         cache = pool[self.random.randrange(len(pool))]
         origin = self.fleet.origin
         if source is not None and not self.may_fill(source, source.fill_limit, fraction):  # Guard 11
-            job.cached_only = source is not origin  # the origin holds everything
+            pending.cached_only = source is not origin  # the origin holds everything
             if (
                 origin is not None
                 and self.may_fill(origin, self.origin_fill_limit, fraction)
-                and draw < self.fill_in_time_probability(job, origin)
+                and draw < self.fill_in_time_probability(pending, origin)
                 and decayed(origin.latency_ratio, self.now, DECAY_TIME) < MAX_ORIGIN_LATENCY_RATIO
             ):
-                source, job.cached_only = origin, False
-            elif not job.cached_only or not self.may_fill(source, CACHED_ONLY_FACTOR * source.fill_limit, fraction):
+                source, pending.cached_only = origin, False
+            elif not pending.cached_only or not self.may_fill(source, CACHED_ONLY_FACTOR * source.fill_limit, fraction):
                 return cache, cache
         # Guard 9: a congested link delivers nothing in time, so fills are skipped and the cache answers from its copies
         # only. Small objects are skipped less often, as more of them fit.
         excess = (
             (self.link_load - LINK_CONGESTED)
             / LINK_SHED_RANGE
-            * job.transfer_time
+            * pending.transfer_time
             / (self.mean_transfer_time.value or 1)
         )
         fill = (
-            source is not None and self.random.random() >= excess and draw < self.fill_in_time_probability(job, source)
+            source is not None
+            and self.random.random() >= excess
+            and draw < self.fill_in_time_probability(pending, source)
         )
         return cache, source if fill else cache
 
-    def find_candidates(self, job: Job, copies: int, draw: float, fraction: float) -> Candidates:
+    def find_candidates(self, pending: PendingRequest, copies: int, draw: float, fraction: float) -> Candidates:
         """Guards 1 to 3, 6 and 8: go through the object's order of caches until as many usable ones are found as it has
         copies. Full caches count as unusable: using others instead would only move the load to the link and the
         origin."""
         # A hand-over is not refused by an in-flight limit that is still the initial guess.
         limit_share, initial_limit = (
-            job.request.inflight_share,
-            self.initial_inflight_limit if job.request.hand_over else -1,
+            pending.request.inflight_share,
+            self.initial_inflight_limit if pending.request.hand_over else -1,
         )
-        order, wanted = self.caches_for(job, copies)
+        order, wanted = self.caches_for(pending, copies)
         found = Candidates()
         not_avoided = 0
-        in_scope = (s for s in order if self.in_dedup_scope(job, s))
-        for server in self.eligible(in_scope, job.work, job.request.weight):
-            if job.request.hand_over and server.ejections:
+        in_scope = (s for s in order if self.in_dedup_scope(pending, s))
+        for server in self.eligible(in_scope, pending.work, pending.request.weight):
+            if pending.request.hand_over and server.ejections:
                 continue
             found.any_eligible = True
-            if draw >= self.in_time_probability(job, server):
+            if draw >= self.in_time_probability(pending, server):
                 continue
             found.in_time.append(server)
             if (
-                self.has_capacity(server, limit_share, fraction * job.request.weight)
+                self.has_capacity(server, limit_share, fraction * pending.request.weight)
                 or not server.last_answer_at
                 and server.inflight_limit == initial_limit
             ):
                 found.usable.append(server)
-                not_avoided += server.entry.server not in job.avoid
+                not_avoided += server.entry.server not in pending.avoid
                 if not_avoided == wanted:
                     break
         return found
 
-    def caches_for(self, job: Job, copies: int) -> tuple[Iterable[Server], int]:
+    def caches_for(self, pending: PendingRequest, copies: int) -> tuple[Iterable[Server], int]:
         """The object's order of caches, and how many usable ones are wanted of it. Where there are too many caches to
         sort, an object with more copies than cached places has several orders of that many places, and each request
         uses one place of one of them. Parts have an order each."""
-        name, caches = job.request.object, self.fleet.caches
+        name, caches = pending.request.object, self.fleet.caches
         if caches.fully_sorted or copies <= CACHED_PLACES:
             return caches.ordered_for(name), copies
-        if job.cls.in_parts:
-            return caches.ordered_for(f"{name}/{job.request.part}"), 1
+        if pending.cls.in_parts:
+            return caches.ordered_for(f"{name}/{pending.request.part}"), 1
         order_number = self.random.randrange(-(-copies // CACHED_PLACES))
         order = caches.ordered_for(f"{name}#{order_number}" if order_number else name)
         return islice(order, self.random.randrange(CACHED_PLACES), None), 1
 
-    def route_write(self, job: Job) -> tuple[Server, Server] | None:
+    def route_write(self, pending: PendingRequest) -> tuple[Server, Server] | None:
         """Requests that cannot be cached go directly to the origin, or through a cache where that is not allowed."""
         origin = self.fleet.origin
         if origin is None:
             return None
-        name = job.request.object or job.request.id
+        name = pending.request.object or pending.request.id
         self.eject_silent()
         servers: Iterable[Server] = (
-            [origin] if self.settings.direct_to_origin else self.eligible(self.fleet.caches.ordered_for(name), job.work)
+            [origin]
+            if self.settings.direct_to_origin
+            else self.eligible(self.fleet.caches.ordered_for(name), pending.work)
         )
         avoided = None
         for server in servers:
-            if not self.in_dedup_scope(job, server):
+            if not self.in_dedup_scope(pending, server):
                 continue
-            if server.entry.server not in job.avoid:
+            if server.entry.server not in pending.avoid:
                 return server, origin
             avoided = avoided or server
         return (avoided, origin) if avoided is not None else None
@@ -472,146 +476,152 @@
         cls = self.settings.classes.get(request.cls) or api.RequestClass(
             request.cls, retry_safety=api.RetrySafety.UNSAFE
         )
-        job = Job(request, cls, self.now + request.time_left, cls.write or request.write)
-        self.jobs[request.id] = job
+        pending = PendingRequest(request, cls, self.now + request.time_left, cls.write or request.write)
+        self.pending_requests[request.id] = pending
         mean = self.transfer_times.setdefault(cls.name, Mean(INITIAL_TRANSFER_TIME, 1))
-        job.size_known = bool(request.size and self.settings.client_kb_per_s)
-        if job.size_known:
+        pending.size_known = bool(request.size and self.settings.client_kb_per_s)
+        if pending.size_known:
             mean.add(request.size / self.settings.client_kb_per_s * SECOND, OVERALL_SAMPLE_WEIGHT)
-        job.transfer_time = request.size / self.settings.client_kb_per_s * SECOND if job.size_known else mean.value
-        job.large, job.work = job.transfer_time > mean.value, mean.value / SECOND
-        job.latency_target = cls.latency_target + cls.latency_target_stretch * job.transfer_time
-        if not job.write:
-            self.mean_transfer_time.add(job.transfer_time, OVERALL_SAMPLE_WEIGHT)
+        pending.transfer_time = (
+            request.size / self.settings.client_kb_per_s * SECOND if pending.size_known else mean.value
+        )
+        pending.large, pending.work = pending.transfer_time > mean.value, mean.value / SECOND
+        pending.latency_target = cls.latency_target + cls.latency_target_stretch * pending.transfer_time
+        if not pending.write:
+            self.mean_transfer_time.add(pending.transfer_time, OVERALL_SAMPLE_WEIGHT)
             self.count_request(request, cls.in_parts, len(self.fleet.caches))
         if request.hand_over:
-            self.hand_over(job)
+            self.hand_over(pending)
             return
         self.retry_credit = min(self.max_retry_credit, self.retry_credit + RETRY_CREDIT_PER_REQUEST)
         self.actions.append(api.SetTimer(max(0, request.time_left - DEADLINE_MARGIN), request.id))
-        self.start_attempt(job)
+        self.start_attempt(pending)
 
-    def hand_over(self, job: Job) -> None:
+    def hand_over(self, pending: PendingRequest) -> None:
         """Guard 10: name a server to a client that connects to it itself. It counts against credit and in-flight limit
         like an attempt, but says nothing about health. The client cannot be given a maximum age, so after a purge
         only the origin is certain to have a new copy."""
         origin = self.fleet.origin
         direct = (origin, origin) if self.settings.direct_to_origin and origin is not None else None
-        route = direct if job.write or self.max_copy_age(job) else self.route_read(job)
+        route = direct if pending.write or self.max_copy_age(pending) else self.route_read(pending)
         if route is None:
-            self.finish(job)
+            self.finish(pending)
             return
-        self.charge(job, *route)
-        del self.jobs[job.request.id]
-        self.actions.append(api.HandOver(job.request.id, route[0].entry.server, int(job.transfer_time)))
+        self.charge(pending, *route)
+        del self.pending_requests[pending.request.id]
+        self.actions.append(api.HandOver(pending.request.id, route[0].entry.server, int(pending.transfer_time)))
 
     @staticmethod
-    def charge(job: Job, server: Server, source: Server) -> list[Server]:
+    def charge(pending: PendingRequest, server: Server, source: Server) -> list[Server]:
         """Account for an attempt in credit and in-flight count; returns the servers that do work for it."""
         servers = [server] if source is server else [server, source]
         for each in servers:
-            each.credit -= job.work * job.request.weight
-        server.inflight += job.request.weight
+            each.credit -= pending.work * pending.request.weight
+        server.inflight += pending.request.weight
         return servers
 
-    def start_attempt(self, job: Job) -> None:
+    def start_attempt(self, pending: PendingRequest) -> None:
         """Send the request to a server, or finish it where none may be used."""
-        route = self.route_write(job) if job.write else self.route_read(job)
+        route = self.route_write(pending) if pending.write else self.route_read(pending)
         if route is None:
-            self.finish(job)
+            self.finish(pending)
             return
         server, source = route
-        for ejected in [s for s in self.charge(job, server, source) if s.ejections]:
+        for ejected in [s for s in self.charge(pending, server, source) if s.ejections]:
             self.start_ejection(ejected)  # a trial: ejected again for longer, unless it succeeds
         if source is not server:
             source.add_fills(self.now, 1)
-            self.fill_sources[job.request.id, len(job.attempts)] = source.entry.server
+            self.fill_sources[pending.request.id, len(pending.attempts)] = source.entry.server
         server.unanswered_since = server.unanswered_since if server.unanswered else self.now
         server.unanswered += 1
         if server.unanswered >= MIN_UNANSWERED:
             self.fleet.maybe_silent[server.entry.server] = server
-        mode = FillMode.JOIN * (self.settings.coalesces_fills and job.may_join) | FillMode.REFRESH * bool(
-            job.cls.freshness_lifetime
+        mode = FillMode.JOIN * (self.settings.coalesces_fills and pending.may_join) | FillMode.REFRESH * bool(
+            pending.cls.freshness_lifetime
         )
-        mode |= FillMode.CACHED_ONLY * (job.cached_only and source is not server)
+        mode |= FillMode.CACHED_ONLY * (pending.cached_only and source is not server)
         # The attempt ends before the request's timer, so that its result still counts.
-        timeout = max(1, job.deadline - self.now - 2 * DEADLINE_MARGIN)
+        timeout = max(1, pending.deadline - self.now - 2 * DEADLINE_MARGIN)
         may_retry = (
-            len(job.attempts) + 1 < self.settings.max_attempts
+            len(pending.attempts) + 1 < self.settings.max_attempts
             and self.retry_credit >= 1
             and self.link_load < LINK_CONGESTED
         )
-        if may_retry and job.cls.retry_safety is api.RetrySafety.SAFE:
-            timeout = min(timeout, int(TIMEOUT_TARGETS * job.latency_target))
-        job.timeout = timeout
-        job.attempts.append((server.entry.server, source.entry.server))
-        job.attempt_open, job.late, job.sent_at = True, False, self.now
+        if may_retry and pending.cls.retry_safety is api.RetrySafety.SAFE:
+            timeout = min(timeout, int(TIMEOUT_TARGETS * pending.latency_target))
+        pending.timeout = timeout
+        pending.attempts.append((server.entry.server, source.entry.server))
+        pending.attempt_open, pending.late, pending.sent_at = True, False, self.now
         heapq.heappush(
             self.latency_deadlines,
-            (self.now + int(job.latency_target or job.request.time_left) + 1, job.request.id, len(job.attempts) - 1),
+            (
+                self.now + int(pending.latency_target or pending.request.time_left) + 1,
+                pending.request.id,
+                len(pending.attempts) - 1,
+            ),
         )
         self.actions.append(
             api.Fetch(
-                job.request.id,
+                pending.request.id,
                 server.entry.server,
                 timeout,
-                self.max_copy_age(job),
+                self.max_copy_age(pending),
                 source.entry.server,
                 FillMode(mode),
-                0 if job.write else 1,
-                self.latest_start(job),
+                0 if pending.write else 1,
+                self.latest_start(pending),
             )
         )
 
-    def max_copy_age(self, job: Job) -> int:
+    def max_copy_age(self, pending: PendingRequest) -> int:
         """Guard 5: the maximum age of a copy. After a purge it excludes older copies until all servers have dropped
         theirs; else it is the class's own limit."""
-        oldest = self.freshness.max_copy_age(job.request.object, job.request.group, self.now)
-        return min(oldest, job.cls.freshness_lifetime or self.settings.purge_drop_time)
+        oldest = self.freshness.max_copy_age(pending.request.object, pending.request.group, self.now)
+        return min(oldest, pending.cls.freshness_lifetime or self.settings.purge_drop_time)
 
     def rejects_answer(self, id: str, sent_at: int, created_at: int, now: int) -> bool:
         """Guard 5, for an answer: whether its copy (created at this Unix microsecond; 0: unknown) may be older than a
         purge that was known when the attempt was sent. A server that obeys the maximum age sends no such copy, but it
         may let the request join a fill that began earlier, so later attempts of the request join none."""
-        job = self.jobs.get(id)
-        if job is None or job.write:
+        pending = self.pending_requests.get(id)
+        if pending is None or pending.write:
             return False
-        purged = self.freshness.is_purged(job.request.object, job.request.group, sent_at, created_at, now)
-        job.may_join = job.may_join and not purged
+        purged = self.freshness.is_purged(pending.request.object, pending.request.group, sent_at, created_at, now)
+        pending.may_join = pending.may_join and not purged
         return purged
 
-    def in_dedup_scope(self, job: Job, server: Server) -> bool:
+    def in_dedup_scope(self, pending: PendingRequest, server: Server) -> bool:
         """Guard 6: once the request may have run, only servers that would drop the repeat may get it."""
-        if job.cls.retry_safety is not api.RetrySafety.KEYED or job.cls.dedup_scope is api.DedupScope.ALL:
+        if pending.cls.retry_safety is not api.RetrySafety.KEYED or pending.cls.dedup_scope is api.DedupScope.ALL:
             return True
-        known = [self.fleet.servers.get(number) for number, _ in job.may_have_run]
+        known = [self.fleet.servers.get(number) for number, _ in pending.may_have_run]
         return all(
             s is not None
             and s.entry.zone == server.entry.zone
-            and (job.cls.dedup_scope is api.DedupScope.ZONE or s.entry.cell == server.entry.cell)
+            and (pending.cls.dedup_scope is api.DedupScope.ZONE or s.entry.cell == server.entry.cell)
             for s in known
         )
 
     def on_target_missed(self, id: str, attempt: int) -> None:
         """Guards 8 and 11: count an attempt as slow when it misses its latency target, not only when it times out
         seconds later."""
-        job = self.jobs.get(id)
-        if job is None or not job.attempt_open or attempt != len(job.attempts) - 1:
+        pending = self.pending_requests.get(id)
+        if pending is None or not pending.attempt_open or attempt != len(pending.attempts) - 1:
             return
-        job.late, (server, source) = True, map(self.fleet.servers.get, job.attempts[-1])
+        pending.late, (server, source) = True, map(self.fleet.servers.get, pending.attempts[-1])
         if server is not None and source is not None:
-            if job.size_known:  # with an unknown size, a large answer looks like a slow one
-                late = api.AttemptEnded(id, attempt, server.entry.server, Outcome.TIMED_OUT, self.now - job.sent_at)
-                self.update_latency(job, late, server, source)
+            if pending.size_known:  # with an unknown size, a large answer looks like a slow one
+                late = api.AttemptEnded(id, attempt, server.entry.server, Outcome.TIMED_OUT, self.now - pending.sent_at)
+                self.update_latency(pending, late, server, source)
             if source is not server:
                 source.fill_limit = max(self.min_fill_limit, source.fill_limit * (1 - FILL_LIMIT_DECREASE))
 
-    def finish_fill(self, end: api.AttemptEnded, job: Job | None) -> None:
+    def finish_fill(self, end: api.AttemptEnded, pending: PendingRequest | None) -> None:
         """Guard 11: raise a source's fill limit while fills come in time; an overloaded origin would stop answering."""
         source = self.fleet.servers.get(self.fill_sources.pop((end.id, end.attempt), -1))
         if source is None:
             return
-        in_time = end.outcome is Outcome.SERVED and not (job is not None and job.late)
+        in_time = end.outcome is Outcome.SERVED and not (pending is not None and pending.late)
         source.fill_limit += (
             FILL_LIMIT_INCREASE * source.fill_limit
             if in_time and source.inflight_fills >= source.fill_limit / 2
@@ -620,8 +630,8 @@
         source.add_fills(self.now, -1)
 
     def on_attempt_ended(self, end: api.AttemptEnded) -> None:
-        server, job = self.fleet.servers.get(end.server), self.jobs.get(end.id)
-        self.finish_fill(end, job)
+        server, pending = self.fleet.servers.get(end.server), self.pending_requests.get(end.id)
+        self.finish_fill(end, pending)
         if server is not None:
             if "link" in end.load and server in self.fleet.caches:
                 # All caches of the location report on the same link.
@@ -636,44 +646,46 @@
                 end.load.get("hits", server.hit_ratio),
                 end.load.get("util", server.utilization),
             )
-            if end.outcome in api.NEVER_CONTACTED or self.had_too_little_time(end, job):
+            if end.outcome in api.NEVER_CONTACTED or self.had_too_little_time(end, pending):
                 server.unanswered = max(0, server.unanswered - 1)
             elif end.outcome not in api.NO_RESPONSE:
                 server.unanswered, server.silent = 0, False
-        if job is None or not job.attempts:
+        if pending is None or not pending.attempts:
             return
-        job.attempt_open = False
+        pending.attempt_open = False
         if end.outcome is Outcome.SHORTAGE:  # another server may have an open connection
-            job.avoid.add(end.server)
-        source = self.fleet.servers.get(job.attempts[-1][1])
+            pending.avoid.add(end.server)
+        source = self.fleet.servers.get(pending.attempts[-1][1])
         if server is not None:
-            self.update_latency(job, end, server, source)
-            self.update_health(job, end, server, source)
+            self.update_latency(pending, end, server, source)
+            self.update_health(pending, end, server, source)
         if end.request_closed:
-            del self.jobs[end.id]
+            del self.pending_requests[end.id]
             return
         if end.outcome not in api.NEVER_RAN:
-            job.may_have_run.append((end.server, job.sent_at))
-        if not (end.outcome is Outcome.MISS and (source is server or job.cached_only)) and self.may_retry(job):
+            pending.may_have_run.append((end.server, pending.sent_at))
+        if not (end.outcome is Outcome.MISS and (source is server or pending.cached_only)) and self.may_retry(pending):
             self.retry_credit -= end.outcome not in api.NOTHING_SENT  # those cost no server anything
-            self.start_attempt(job)
+            self.start_attempt(pending)
         else:
-            self.finish(job)
+            self.finish(pending)
 
-    def had_too_little_time(self, end: api.AttemptEnded, job: Job | None) -> bool:
+    def had_too_little_time(self, end: api.AttemptEnded, pending: PendingRequest | None) -> bool:
         """Whether an attempt ended before a healthy server would have answered, so that the missing answer means
         nothing: it had less than twice the mean time, or less than half of its class's deadline if that is shorter.
         At most its timeout counts, as a busy machine notices timeouts late."""
         if end.outcome not in (Outcome.TIMED_OUT, Outcome.CANCELLED):
             return False
         sufficient = 2 * (self.mean_latency.value + BASE_LATENCY)
-        if job is None:
+        if pending is None:
             return end.duration < sufficient
-        if job.cls.deadline:
-            sufficient = min(sufficient, job.cls.deadline / 2)
-        return min(end.duration, job.timeout) < sufficient
+        if pending.cls.deadline:
+            sufficient = min(sufficient, pending.cls.deadline / 2)
+        return min(end.duration, pending.timeout) < sufficient
 
-    def update_latency(self, job: Job, end: api.AttemptEnded, server: Server, source: Server | None) -> None:
+    def update_latency(
+        self, pending: PendingRequest, end: api.AttemptEnded, server: Server, source: Server | None
+    ) -> None:
         """Guard 8: update a server's latency ratio from an answer, or from a missing one."""
         old_ratio, updated_at = server.latency_ratio
         server_only = (
@@ -682,20 +694,22 @@
             or end.cache_status not in api.FILL_STATUSES
             and self.link_load < LINK_FULL
         )
-        ratio = server_only * (end.duration - end.source_wait) / (job.transfer_time + BASE_LATENCY)
+        ratio = server_only * (end.duration - end.source_wait) / (pending.transfer_time + BASE_LATENCY)
         if ratio and source not in (None, server) and self.settings.cache_status_detail is api.CacheStatusDetail.NONE:
-            ratio -= self.source_delay(job, end, ratio, server, source)
+            ratio -= self.source_delay(pending, end, ratio, server, source)
         if end.outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
-            ratio *= ratio > old_ratio and server.last_answer_at < job.sent_at
-        elif end.outcome is not Outcome.SERVED or not job.size_known:
+            ratio *= ratio > old_ratio and server.last_answer_at < pending.sent_at
+        elif end.outcome is not Outcome.SERVED or not pending.size_known:
             ratio = 0.0  # with an unknown size, a large answer looks like a slow one
         if ratio:
             weight = min(MAX_SAMPLE_WEIGHT, max(SERVER_SAMPLE_WEIGHT, (self.now - updated_at) / DECAY_TIME))
             server.latency_ratio = (old_ratio + weight * (ratio - old_ratio), self.now)
-        if end.outcome is Outcome.SERVED and end.duration <= job.latency_target:
+        if end.outcome is Outcome.SERVED and end.duration <= pending.latency_target:
             server.last_answer_at = self.now
 
-    def source_delay(self, job: Job, end: api.AttemptEnded, ratio: float, server: Server, source: Server) -> float:
+    def source_delay(
+        self, pending: PendingRequest, end: api.AttemptEnded, ratio: float, server: Server, source: Server
+    ) -> float:
         """The source's part of a delay, where answers do not say whether the source was asked. The time beyond the
         transfer is split between server and source in proportion to how slow each has been with others lately."""
         # One figure for all sizes here, as a single router sees few of each.
@@ -710,7 +724,7 @@
         )
         source_excess = excess * source_weight / (source_weight + server_weight)
         late = end.outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED) and 1 + source_excess > old_source
-        if job.size_known and (end.outcome is Outcome.SERVED or late):
+        if pending.size_known and (end.outcome is Outcome.SERVED or late):
             fill_probability = min(1.0, max(excess, 1 - server.hit_ratio))  # a fast answer may have been a hit
             weight = fill_probability * min(
                 MAX_SAMPLE_WEIGHT, max(SERVER_SAMPLE_WEIGHT, (self.now - source_ratio[1]) / DECAY_TIME)
@@ -720,19 +734,23 @@
             )
         return source_excess
 
-    def update_health(self, job: Job, end: api.AttemptEnded, server: Server, source: Server | None) -> None:
+    def update_health(
+        self, pending: PendingRequest, end: api.AttemptEnded, server: Server, source: Server | None
+    ) -> None:
         """Guards 3 and 8: update the health score and the in-flight limit of a server, whatever the cause."""
-        in_time = end.duration - end.source_wait <= job.latency_target  # a cache is not blamed for its source's time
+        in_time = (
+            end.duration - end.source_wait <= pending.latency_target
+        )  # a cache is not blamed for its source's time
         refused, timed_out = end.outcome is Outcome.REFUSED, end.outcome is Outcome.TIMED_OUT and not in_time
         served, failed = end.outcome is Outcome.SERVED, end.outcome in api.FAILED
         if not (served or failed or timed_out):
             return
         fill_source = source if source is not server else None
         source_blame = (
-            self.source_blame(job, end, server, fill_source) if fill_source else 0.0
+            self.source_blame(pending, end, server, fill_source) if fill_source else 0.0
         )  # the source's share of the blame
         if served:
-            self.record_served(job, end, source)
+            self.record_served(pending, end, source)
         fair_share = (
             server.inflight + self.others_inflight(server) * (self.location_routers > 1)
         ) / self.location_routers  # its share of what all have there
@@ -747,7 +765,7 @@
             return
         self.mean_failure_rate.add(1.0 - served, OVERALL_SAMPLE_WEIGHT)
         if source_blame < 1:
-            self.update_fault_odds(job, server, 0.0 if served else 1 - source_blame)
+            self.update_fault_odds(pending, server, 0.0 if served else 1 - source_blame)
         # A hit says nothing of the source, which was not asked. Without a cache status, the hit ratio is used.
         fill_probability = (
             float(end.cache_status in api.FILL_STATUSES)
@@ -755,16 +773,16 @@
             else 1 - server.hit_ratio
         )
         if fill_source is not None and (source_blame if not served else fill_probability):
-            self.update_fault_odds(job, fill_source, 0.0 if served else source_blame, fill_probability)
+            self.update_fault_odds(pending, fill_source, 0.0 if served else source_blame, fill_probability)
 
-    def source_blame(self, job: Job, end: api.AttemptEnded, server: Server, source: Server) -> float:
+    def source_blame(self, pending: PendingRequest, end: api.AttemptEnded, server: Server, source: Server) -> float:
         """The probability that a failure is the source's and not the server's: from the cache status where it says so,
         else from how often each has failed with others."""
         late = end.outcome is Outcome.TIMED_OUT  # a cache that answered others meanwhile is healthy
         if (
             end.cache_status in (CacheStatus.SOURCE_REFUSED, CacheStatus.SOURCE_FAILED)
             or late
-            and server.last_answer_at > job.sent_at
+            and server.last_answer_at > pending.sent_at
         ):
             return 1.0
         if (
@@ -775,7 +793,7 @@
             return 0.0
         return 1 / (1 + math.exp(server.fault_log_odds - source.fault_log_odds))
 
-    def record_served(self, job: Job, end: api.AttemptEnded, source: Server | None) -> None:
+    def record_served(self, pending: PendingRequest, end: api.AttemptEnded, source: Server | None) -> None:
         """Update work, latency and fill times from a served answer."""
         fill = (
             end.cache_status in (CacheStatus.FILLED, CacheStatus.FROM_ORIGIN)
@@ -784,28 +802,29 @@
         )
         # Where one router sees less, the mean is longer, and the peak counts only after more samples.
         scale = math.sqrt(self.location_routers)
-        self.work.add(self.now // RATE_INTERVAL, job.work, RATE_WEIGHT / scale, scale)
-        self.fill_work.add(self.now // RATE_INTERVAL, fill * job.work, RATE_WEIGHT / scale, scale)
+        self.work.add(self.now // RATE_INTERVAL, pending.work, RATE_WEIGHT / scale, scale)
+        self.fill_work.add(self.now // RATE_INTERVAL, fill * pending.work, RATE_WEIGHT / scale, scale)
         self.mean_latency.add(end.duration, OVERALL_SAMPLE_WEIGHT)
-        if not job.size_known:
-            self.transfer_times[job.cls.name].add(end.duration, OVERALL_SAMPLE_WEIGHT)
-        settled = job.size_known or self.transfer_times[job.cls.name].samples > MIN_SAMPLES
+        if not pending.size_known:
+            self.transfer_times[pending.cls.name].add(end.duration, OVERALL_SAMPLE_WEIGHT)
+        settled = pending.size_known or self.transfer_times[pending.cls.name].samples > MIN_SAMPLES
         if source is None or end.cache_status not in api.FILL_STATUSES or not settled:
             return
         ratio = min(
-            end.duration / (job.transfer_time + BASE_LATENCY), math.inf if job.size_known else UNKNOWN_SIZE_MAX_RATIO
+            end.duration / (pending.transfer_time + BASE_LATENCY),
+            math.inf if pending.size_known else UNKNOWN_SIZE_MAX_RATIO,
         )
-        mean = self.mean_fill_ratio.setdefault(job.large, Mean())
+        mean = self.mean_fill_ratio.setdefault(pending.large, Mean())
         mean.add(ratio, OVERALL_SAMPLE_WEIGHT)
-        old_ratio, updated_at = source.fill_latency_ratio.get(job.large, (mean.value, 0))
+        old_ratio, updated_at = source.fill_latency_ratio.get(pending.large, (mean.value, 0))
         weight = (
             min(MAX_SAMPLE_WEIGHT, max(SERVER_SAMPLE_WEIGHT, (self.now - updated_at) / DECAY_TIME))
-            if job.size_known
+            if pending.size_known
             else UNKNOWN_SIZE_WEIGHT
         )
-        source.fill_latency_ratio[job.large] = (old_ratio + weight * (ratio - old_ratio), self.now)
+        source.fill_latency_ratio[pending.large] = (old_ratio + weight * (ratio - old_ratio), self.now)
 
-    def update_fault_odds(self, job: Job, server: Server, blame: float, weight: float = 1.0) -> None:
+    def update_fault_odds(self, pending: PendingRequest, server: Server, blame: float, weight: float = 1.0) -> None:
         """Guard 3: update the log odds that this server fails half of its requests, rather than as many as all servers
         fail lately. Where hardly anything fails, one failure weighs much; where all fail, it weighs nothing."""
         failure_rate = min(UNHEALTHY_FAILURE_RATE, max(MIN_FAILURE_RATE, self.mean_failure_rate.value))
@@ -813,7 +832,7 @@
             server.fault_log_odds = min(
                 MAX_FAULT_LOG_ODDS, server.fault_log_odds + blame * math.log(UNHEALTHY_FAILURE_RATE / failure_rate)
             )
-            job.avoid.add(server.entry.server)
+            pending.avoid.add(server.entry.server)
             if server.fault_log_odds > EJECTION_LOG_ODDS and self.now >= server.ejected_until:
                 self.eject(server)
             return
@@ -845,28 +864,31 @@
             healthier.ejected_until = 0  # it took the blame before the worse peer that slowed it down: swap them
         self.start_ejection(server)
         server.unanswered = 0
-        for job in self.jobs.values() if silent and self.settings.cancel else ():
+        for pending in self.pending_requests.values() if silent and self.settings.cancel else ():
             if (
-                job.cls.retry_safety is api.RetrySafety.SAFE
-                and job.attempt_open
-                and job.attempts[-1][0] == server.entry.server
+                pending.cls.retry_safety is api.RetrySafety.SAFE
+                and pending.attempt_open
+                and pending.attempts[-1][0] == server.entry.server
             ):
-                self.actions.append(api.CancelAttempt(job.request.id, len(job.attempts) - 1))
+                self.actions.append(api.CancelAttempt(pending.request.id, len(pending.attempts) - 1))
 
-    def may_retry(self, job: Job) -> bool:
+    def may_retry(self, pending: PendingRequest) -> bool:
         """Guard 4: whether a retry is within the allowed attempts and the router's retry credit, which failures do not
         raise."""
-        exhausted = len(job.attempts) >= self.settings.max_attempts or self.retry_credit < 1
-        return not exhausted and self.now < self.latest_start(job)
+        exhausted = len(pending.attempts) >= self.settings.max_attempts or self.retry_credit < 1
+        return not exhausted and self.now < self.latest_start(pending)
 
-    def latest_start(self, job: Job) -> int:
+    def latest_start(self, pending: PendingRequest) -> int:
         """Guard 6: the latest time for an attempt to start. Once the request may have run, this is as long as servers
         still drop the repeat."""
-        latest, retry_safety = job.deadline - 2 * DEADLINE_MARGIN, job.cls.retry_safety  # later it is not worth sending
-        if not job.may_have_run or retry_safety is api.RetrySafety.SAFE:
+        latest, retry_safety = (
+            pending.deadline - 2 * DEADLINE_MARGIN,
+            pending.cls.retry_safety,
+        )  # later it is not worth sending
+        if not pending.may_have_run or retry_safety is api.RetrySafety.SAFE:
             return latest
         return (
-            min(latest, job.may_have_run[0][1] + job.cls.dedup_window - self.settings.tick)
+            min(latest, pending.may_have_run[0][1] + pending.cls.dedup_window - self.settings.tick)
             if retry_safety is api.RetrySafety.KEYED
             else 0
         )
@@ -875,18 +897,22 @@
         """A delay with random jitter, so that routers that see the same event do not all react at the same time."""
         return int(delay * (1 - JITTER * self.random.random()))
 
-    def finish(self, job: Job) -> None:
+    def finish(self, pending: PendingRequest) -> None:
         """Give the final answer: a refusal with a retry-after time where a repeat does no harm, else a failure."""
-        del self.jobs[job.request.id]
-        keyed_by_all = job.cls.retry_safety is api.RetrySafety.KEYED and job.cls.dedup_scope is api.DedupScope.ALL
+        del self.pending_requests[pending.request.id]
+        keyed_by_all = (
+            pending.cls.retry_safety is api.RetrySafety.KEYED and pending.cls.dedup_scope is api.DedupScope.ALL
+        )
         harmless = (
-            job.cls.retry_safety is api.RetrySafety.SAFE or keyed_by_all or not (job.may_have_run or job.attempt_open)
+            pending.cls.retry_safety is api.RetrySafety.SAFE
+            or keyed_by_all
+            or not (pending.may_have_run or pending.attempt_open)
         )
         self.actions.append(
             api.Refuse(
-                job.request.id,
+                pending.request.id,
                 self.settings.retry_after_allowed * self.jitter(min(RETRY_AFTER, self.settings.max_retry_after)),
             )
             if harmless
-            else api.Fail(job.request.id)
+            else api.Fail(pending.request.id)
         )
--- a/threadhill/decision/state.py
+++ b/threadhill/decision/state.py
@@ -74,8 +74,8 @@
 
 
 @dataclass(slots=True)
-class Job:
-    """A request that is not answered yet."""
+class PendingRequest:
+    """What the decision module keeps of a request that has no final answer yet."""
 
     request: api.Request
     cls: api.RequestClass
