--- a/threadhill/decision/choice.py
+++ b/threadhill/decision/choice.py
@@ -23,80 +23,87 @@
 
 # Copies per object. Rates are requests per second, counted over one interval and averaged.
 SECOND = RATE_INTERVAL = 1_000_000  # microseconds
-RATE_WEIGHT = 0.3  # weight of the newest interval in an average rate: remembers a few seconds
-MIN_RATE_PER_COPY = 0.5  # requests/s; an object asked for less than every other second keeps one copy
-# The rate per copy above which an object gets another copy, as a share of this router's rate per ready cache:
-# ten objects at this rate fill a cache evenly.
+RATE_WEIGHT = 0.3  # weight of the newest interval in an average rate, which so covers a few seconds
+MIN_RATE_PER_COPY = 0.5  # requests/s; an object requested less often than every other second keeps one copy
+# Rate per copy above which an object gets another copy, as a share of the location's rate per ready cache: ten objects
+# at this rate make up the load of one cache.
 COPY_THRESHOLD_SHARE = 0.1
-# Factor on that threshold for objects in parts: their copies split the parts between them and duplicate nothing.
+# Factor on that threshold for objects in parts. It is lower because their copies hold different parts, so that another
+# copy duplicates nothing.
 PARTS_THRESHOLD_FACTOR = 0.2
-# Rate of an object in parts, as a share of the rate per ready cache, for which each part gets one more copy.
+# Each part of an object in parts gets one more copy for each time that the object's rate contains this share of the
+# rate per ready cache.
 HOT_PARTS_SHARE = 0.5
 MAX_OBJECT_RATES = 20_000  # objects whose rates are kept, a few MB; the least recently requested is dropped first
 
 # The location's incoming link. Caches report its load as a ratio: 1 means that the transfers fill it.
-LINK_FULL = 1.0  # load ratio from which no copies are added, as each needs fills
-LINK_AVERAGING_TIME = 1_500_000  # microseconds over which reports are averaged, as a single fill is a burst
-# Load ratio from which some fills are skipped, and how far above it all of them are. The first is over 1 because
-# reports arrive late.
+LINK_FULL = 1.0  # load ratio from which only objects in parts get more copies, as a copy is filled over the link
+LINK_AVERAGING_TIME = 1_500_000  # microseconds over which load reports are averaged, as a single fill is a burst
+# Load ratio from which some fills are skipped, and how far above it all fills of an object of mean size are. The first
+# is over 1 because reports arrive late.
 LINK_CONGESTED, LINK_SHED_RANGE = 1.5, 3.0
 
 # Averages, latency and choice of source.
 SERVER_SAMPLE_WEIGHT, OVERALL_SAMPLE_WEIGHT = 0.2, 0.02  # weight of a new sample: for one server, for all together
-# Share of the latency target that the second parent must save to be preferred: when both fill the same object, the
-# origin is asked twice.
+# Share of the latency target that an object's second parent must save to be preferred to the first: when both fill the
+# same object, the origin is asked twice.
 MIN_SOURCE_SAVING = 0.25
 BASE_LATENCY = 50_000  # microseconds added to transfer times, so that small answers are compared by latency
 
 # Health (guard 3): outlier ejection by failures and by silence.
-# Share of its requests that an unhealthy server fails, and the least share that any server is taken to fail.
+# Share of requests that fail at an unhealthy server, and the lowest share that is assumed for a healthy one.
 UNHEALTHY_FAILURE_RATE, MIN_FAILURE_RATE = 0.5, 0.03
-# Logarithm of the odds that a server is unhealthy: the value that ejects it, and the highest that is kept. Where
-# hardly anything fails, two clear failures reach the first.
+# Logarithm of the odds that a server is unhealthy: it is ejected above the first value, and the second is the highest
+# that is kept. Where hardly anything fails, two clear failures are enough for an ejection.
 EJECTION_LOG_ODDS, MAX_FAULT_LOG_ODDS = 5.0, 7.0
-# A server that owes answers is silent after this many microseconds, and after this many mean latencies, without one.
+# A server with unanswered attempts is silent if it has sent no answer for this many microseconds, and for this many
+# mean latencies.
 MIN_SILENCE, SILENCE_LATENCIES = 600_000, 4.0
-MIN_UNANSWERED = 3  # unanswered attempts before a server can count as silent: a single one may just be large
-FIRST_EJECTION, MAX_EJECTION = SECOND, 8 * SECOND  # microseconds; doubled for each failed trial, up to the second
+MIN_UNANSWERED = 3  # unanswered attempts before a server can count as silent: a single answer may just be large
+# Microseconds that an ejection lasts: the first, and the longest. The time doubles with each failed trial.
+FIRST_EJECTION, MAX_EJECTION = SECOND, 8 * SECOND
 
 # Limits on what servers are sent (guards 2, 8 and 11).
-# Share of a cold server's budget that is used: leaves a margin for chance, late lists and unequal routers.
+# Share of a cold server's budget that is used: the rest is a margin for chance, late lists and unequal routers.
 COLD_BUDGET_SHARE = 0.65
 # Attempts in flight at one server from all routers of the location: the initial limit, and the lowest.
 INITIAL_INFLIGHT_LIMIT, MIN_INFLIGHT_LIMIT = 24.0, 6.0
 CACHED_ONLY_FACTOR = 3.0  # factor on the in-flight and fill limits for attempts that are answered from copies only
 # Fills in flight at one source from all routers: the initial limit, and the lowest.
 INITIAL_FILL_LIMIT, MIN_FILL_LIMIT = 72.0, 36.0
-LOCATIONS_PER_SOURCE = 3  # locations that these fill limits are meant for; a source that serves more has higher ones
-# What parents have no capacity for is filled from the origin while the latency ratio of the origin is below the first
-# value; the second is the limit on fills in flight there from all routers.
+LOCATIONS_PER_SOURCE = 3  # up to this many locations per source, these fill limits apply; with more, they grow in step
+# Fills that exceed a parent's limit go to the origin while the origin's latency ratio is below the first value. The
+# second is the limit on fills in flight there from all routers.
 MAX_ORIGIN_LATENCY_RATIO, ORIGIN_FILL_LIMIT = 1.5, 16.0
-# Share of the fill limit taken off for a late fill, and added for one in time: up to one in six may be late.
+# Share of a source's fill limit that is taken off for a late fill, and added for one in time. The limit does not shrink
+# while at most one fill in six is late.
 FILL_LIMIT_DECREASE, FILL_LIMIT_INCREASE = 0.05, 0.01
-INFLIGHT_LIMIT_DECREASE = 0.1  # share of the in-flight limit taken off for a refusal or a late answer
-# Utilization that a server reports: from the first on, late answers are put down to crowding; at the second, the
-# in-flight limit is applied as it is.
-CROWDED_UTILIZATION, RELAXED_UTILIZATION = 0.5, 0.7
+INFLIGHT_LIMIT_DECREASE = 0.1  # share of the in-flight limit that is taken off for a refusal or a late answer
+# Reported utilization of a server's cores: from the first value on, late answers are put down to load and lower the
+# in-flight limit; below the second, more attempts than this limit are allowed.
+HIGH_UTILIZATION, FULL_LIMIT_UTILIZATION = 0.5, 0.7
 
 # Retries (guard 4).
 TIMEOUT_TARGETS = 4.0  # attempt timeout in latency targets, while a retry is possible and the link is not congested
 RETRY_CREDIT_PER_REQUEST, MAX_RETRY_CREDIT = 0.05, 20.0  # retries earned per request, and the most saved up
 
 # Latency estimates.
-# Microseconds assumed for a transfer, and the number of answers from which the measured mean is used.
+# Microseconds assumed for a transfer before any is measured, and the number of samples above which a class's mean is
+# used to rate the fill times of sources.
 INITIAL_TRANSFER_TIME, MIN_SAMPLES = 50_000, 10
-# For an answer of unknown size: its weight in the latency of a source, and the most that it counts for, in transfer
-# times.
+# For an answer of unknown size: its weight in a source's fill latency ratio, and the highest ratio that it counts for.
 UNKNOWN_SIZE_WEIGHT, UNKNOWN_SIZE_MAX_RATIO = 0.05, 3.0
 # Microseconds until a latency ratio is forgotten, and the highest weight of one sample of it.
 DECAY_TIME, MAX_SAMPLE_WEIGHT = 8 * SECOND, 0.5
-# Excess latency ratio assumed of a server that nothing is known of, when a delay is split between server and source.
-PRIOR_DELAY = 0.25
+# Excess latency ratio added to what was measured of a server (twice for a source) when a delay is split between server
+# and source, so that the split does not rest on a few samples alone.
+PRIOR_EXCESS_RATIO = 0.25
 # Share of the latency target that an answer or a fill should take: estimates are means, and half of all take longer.
 LATENCY_SAFETY = 0.6
 DEADLINE_MARGIN = 2_000  # microseconds before its deadline at which an open request is answered as failed
-MAX_INSPECTED = 64  # servers of an object's order that one request tries, where the order is not sorted whole
-# Microseconds a client waits after a refusal, and a router after a failed list call; the random share of such waits.
+MAX_INSPECTED = 64  # servers that one request tries where there are too many to sort an object's whole order
+# Microseconds a client waits after a refusal, and a router after a failed list call; the share of such a wait of which
+# a random part is taken off.
 RETRY_AFTER, LIST_RETRY_DELAY, JITTER = SECOND // 2, 2 * SECOND, 0.5
 
 
@@ -259,7 +266,7 @@
         """Guard 8: whether one more attempt fits the server's in-flight limit, scaled by `limit_factor`. Where this
         router's share of the limit is under one attempt, `fraction` (a random number) decides; the answer is always
         yes while the other routers are far below the limit."""
-        limit = server.inflight_limit * limit_factor / min(1.0, max(0.25, server.utilization / RELAXED_UTILIZATION))
+        limit = server.inflight_limit * limit_factor / min(1.0, max(0.25, server.utilization / FULL_LIMIT_UTILIZATION))
         if limit >= 1 or server.inflight >= 1:
             return server.inflight + fraction < limit
         return fraction < limit or (0.5 + fraction) * self.others_inflight(server) < limit * self.location_routers
@@ -381,7 +388,7 @@
             pool = self.fleet.caches.sort_for(f"{pending.request.object}/{pending.request.part}", pool)[:copies]
         cache = pool[self.random.randrange(len(pool))]
         origin = self.fleet.origin
-        if source is not None and not self.may_fill(source, source.fill_limit, fraction):  # Guard 11
+        if source is not None and not self.may_fill(source, source.fill_limit, fraction):  # guard 11
             pending.cached_only = source is not origin  # the origin holds everything
             if (
                 origin is not None
@@ -719,8 +726,8 @@
             decayed(server.latency_ratio, self.now, DECAY_TIME),
         )
         source_weight, server_weight = (
-            max(0.0, old_source - 1) + 2 * PRIOR_DELAY,
-            max(0.0, old_server - 1) + PRIOR_DELAY,
+            max(0.0, old_source - 1) + 2 * PRIOR_EXCESS_RATIO,
+            max(0.0, old_server - 1) + PRIOR_EXCESS_RATIO,
         )
         source_excess = excess * source_weight / (source_weight + server_weight)
         late = end.outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED) and 1 + source_excess > old_source
@@ -754,7 +761,7 @@
         fair_share = (
             server.inflight + self.others_inflight(server) * (self.location_routers > 1)
         ) / self.location_routers  # its share of what all have there
-        if source_blame < 1 and (refused or not in_time and server.utilization >= CROWDED_UTILIZATION):
+        if source_blame < 1 and (refused or not in_time and server.utilization >= HIGH_UTILIZATION):
             server.inflight_limit = min(server.inflight_limit, fair_share if refused else server.inflight_limit) * (
                 1 - INFLIGHT_LIMIT_DECREASE
             )
@@ -807,8 +814,8 @@
         self.mean_latency.add(end.duration, OVERALL_SAMPLE_WEIGHT)
         if not pending.size_known:
             self.transfer_times[pending.cls.name].add(end.duration, OVERALL_SAMPLE_WEIGHT)
-        settled = pending.size_known or self.transfer_times[pending.cls.name].samples > MIN_SAMPLES
-        if source is None or end.cache_status not in api.FILL_STATUSES or not settled:
+        estimate_usable = pending.size_known or self.transfer_times[pending.cls.name].samples > MIN_SAMPLES
+        if source is None or end.cache_status not in api.FILL_STATUSES or not estimate_usable:
             return
         ratio = min(
             end.duration / (pending.transfer_time + BASE_LATENCY),
@@ -900,12 +907,12 @@
     def finish(self, pending: PendingRequest) -> None:
         """Give the final answer: a refusal with a retry-after time where a repeat does no harm, else a failure."""
         del self.pending_requests[pending.request.id]
-        keyed_by_all = (
+        dropped_by_all = (
             pending.cls.retry_safety is api.RetrySafety.KEYED and pending.cls.dedup_scope is api.DedupScope.ALL
         )
-        harmless = (
+        safe_to_repeat = (
             pending.cls.retry_safety is api.RetrySafety.SAFE
-            or keyed_by_all
+            or dropped_by_all
             or not (pending.may_have_run or pending.attempt_open)
         )
         self.actions.append(
@@ -913,6 +920,6 @@
                 pending.request.id,
                 self.settings.retry_after_allowed * self.jitter(min(RETRY_AFTER, self.settings.max_retry_after)),
             )
-            if harmless
+            if safe_to_repeat
             else api.Fail(pending.request.id)
         )
--- a/threadhill/decision/state.py
+++ b/threadhill/decision/state.py
@@ -55,9 +55,9 @@
     def record_report(self, now: int, inflight: float | None) -> None:
         """Record a reported in-flight count, less the attempts of this router."""
         if inflight is not None:
-            was, when = self.reported_others
-            weight = min(1.0, max(MIN_REPORT_WEIGHT, (now - when) / AVERAGING_TIME))
-            self.reported_others = (was + weight * (max(0.0, inflight - self.inflight) - was), now)
+            average, updated_at = self.reported_others
+            weight = min(1.0, max(MIN_REPORT_WEIGHT, (now - updated_at) / AVERAGING_TIME))
+            self.reported_others = (average + weight * (max(0.0, inflight - self.inflight) - average), now)
 
     def others_inflight(self, now: int, estimate: float, least: float) -> float:
         """Attempts that other routers have in flight there: from recent reports, else estimated from this router's own
@@ -66,10 +66,10 @@
         reported = min(max(reported, estimate / MAX_REPORT_FACTOR), estimate * MAX_REPORT_FACTOR + least)
         return estimate + max(0.0, 1 - (now - when) / REPORT_LIFETIME) * (reported - estimate) if when else estimate
 
-    def accrue_credit(self, now: int, rate: float, most: float, first: float) -> float:
-        """The credit now: it starts at `first`, then grows at this rate up to `most`."""
-        grown = self.credit + rate * (now - self.credit_updated_at) if self.credit_updated_at else first
-        self.credit, self.credit_updated_at = min(most, grown), now
+    def accrue_credit(self, now: int, rate: float, maximum: float, initial: float) -> float:
+        """The credit now: it starts at `initial`, then grows at this rate up to `maximum`."""
+        accrued = self.credit + rate * (now - self.credit_updated_at) if self.credit_updated_at else initial
+        self.credit, self.credit_updated_at = min(maximum, accrued), now
         return self.credit
 
 
