--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -160,7 +160,7 @@
         "SIGTERM closes over what was not read",
         "serve.py",
         "        elif elapsed >= grace:\n",
-        "        elif elapsed >= 0:\n            for guest in list(door.connections):\n                guest.abort()\n",
+        "        elif elapsed >= 0:\n            for guest in list(listener.connections):\n                guest.abort()\n",
         (Rule.LOST,),
     ),
     Mutant(
--- a/threadhill/decision/choice.py
+++ b/threadhill/decision/choice.py
@@ -95,8 +95,8 @@
 UNKNOWN_SIZE_WEIGHT, UNKNOWN_SIZE_MAX_RATIO = 0.05, 3.0
 # Microseconds until a latency ratio is forgotten, and the highest weight of one sample of it.
 DECAY_TIME, MAX_SAMPLE_WEIGHT = 8 * SECOND, 0.5
-# Excess latency ratio added to what was measured of a server (twice for a source) when a delay is split between server
-# and source, so that the split does not rest on a few samples alone.
+# Excess latency ratio added to the measured one of a server (twice to that of a source) when a delay is split between
+# the two, so that one of which nothing is known gets a share as well.
 PRIOR_EXCESS_RATIO = 0.25
 # Share of the latency target that an answer or a fill should take: estimates are means, and half of all take longer.
 LATENCY_SAFETY = 0.6
@@ -313,7 +313,8 @@
             else 1 - 1 / self.location_routers
         )
         steps, rate = round(self.location_routers * intervals), rate or Rate(interval=interval)
-        # Includes this request: at one of many routers, a second one within seconds already indicates a hot object.
+        # Counts this request too: where many routers share the load, a second request for an object within seconds at
+        # one of them already indicates a hot object.
         increase = min(self.rate_weight * (rate.count + 1 - rate.rate), 1 / max(1, intervals))
         location_rate = (
             self.location_routers * (rate.rate + increase)
@@ -506,8 +507,8 @@
 
     def hand_over(self, pending: PendingRequest) -> None:
         """Guard 10: name a server to a client that connects to it itself. It counts against credit and in-flight limit
-        like an attempt, but says nothing about health. The client cannot be given a maximum age, so after a purge
-        only the origin is certain to have a new copy."""
+        like an attempt, but its result is not reported, so it does not affect the server's health. The client cannot be
+        given a maximum age, so after a purge only the origin is certain to have a new copy."""
         origin = self.fleet.origin
         direct = (origin, origin) if self.settings.direct_to_origin and origin is not None else None
         route = direct if pending.write or self.max_copy_age(pending) else self.route_read(pending)
@@ -624,7 +625,8 @@
                 source.fill_limit = max(self.min_fill_limit, source.fill_limit * (1 - FILL_LIMIT_DECREASE))
 
     def finish_fill(self, end: api.AttemptEnded, pending: PendingRequest | None) -> None:
-        """Guard 11: raise a source's fill limit while fills come in time; an overloaded origin would stop answering."""
+        """Guard 11: count a fill as ended, and raise its source's limit if it came in time and half of the limit was in
+        use. There is a limit because an overloaded origin would stop answering."""
         source = self.fleet.servers.get(self.fill_sources.pop((end.id, end.attempt), -1))
         if source is None:
             return
@@ -672,7 +674,7 @@
         if end.outcome not in api.NEVER_RAN:
             pending.may_have_run.append((end.server, pending.sent_at))
         if not (end.outcome is Outcome.MISS and (source is server or pending.cached_only)) and self.may_retry(pending):
-            self.retry_credit -= end.outcome not in api.NOTHING_SENT  # those cost no server anything
+            self.retry_credit -= end.outcome not in api.NOTHING_SENT  # an unsent attempt put no load on a server
             self.start_attempt(pending)
         else:
             self.finish(pending)
@@ -744,7 +746,8 @@
     def update_health(
         self, pending: PendingRequest, end: api.AttemptEnded, server: Server, source: Server | None
     ) -> None:
-        """Guards 3 and 8: update the health score and the in-flight limit of a server, whatever the cause."""
+        """Guards 3 and 8: update the fault odds and the in-flight limit of a server, and the fault odds of its source
+        as far as the outcome is attributed to that."""
         in_time = (
             end.duration - end.source_wait <= pending.latency_target
         )  # a cache is not blamed for its source's time
@@ -868,7 +871,8 @@
             healthier = min(ejected, key=lambda p: p.fault_log_odds, default=server)
             if healthier.fault_log_odds >= server.fault_log_odds:
                 return
-            healthier.ejected_until = 0  # it took the blame before the worse peer that slowed it down: swap them
+            # It may have been blamed for delays that the worse peer caused: use it again and eject the worse one.
+            healthier.ejected_until = 0
         self.start_ejection(server)
         server.unanswered = 0
         for pending in self.pending_requests.values() if silent and self.settings.cancel else ():
--- a/threadhill/decision/interface.py
+++ b/threadhill/decision/interface.py
@@ -63,8 +63,8 @@
 NOTHING_SENT = frozenset({Outcome.UNREACHED, Outcome.UNSENT, Outcome.SHORTAGE})
 FAILED = frozenset(
     {Outcome.REFUSED, Outcome.UNREACHED, Outcome.BROKEN, Outcome.ERROR}
-)  # a failure of the server or its source
-# There was no response from the server:
+)  # caused by the server or its source
+# The server sent no response:
 NO_RESPONSE = frozenset({Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.UNSENT, Outcome.SHORTAGE, Outcome.HANDED_OVER})
 # Nothing was sent to the server, so no response is due:
 NEVER_CONTACTED = frozenset({Outcome.UNSENT, Outcome.SHORTAGE})
@@ -86,7 +86,7 @@
     ORIGIN_FAILED = 10
 
 
-# The source was asked:
+# Statuses of answers for which the source was asked:
 FILL_STATUSES = frozenset({CacheStatus.FILLED, CacheStatus.FROM_ORIGIN, CacheStatus.JOINED})
 
 
@@ -99,7 +99,7 @@
 
 
 class Siblings(Enum):
-    """Which other caches may be the source of a fill."""
+    """Which other caches may be the source of a cache's fill."""
 
     NONE = "none"
     LOCATION = "location"
@@ -134,7 +134,7 @@
     dedup_scope: DedupScope = DedupScope.ALL
     dedup_window: int = 0  # time in which servers drop repeats of a keyed request
     latency_target: int = 0
-    latency_target_stretch: float = 0.0  # added to the target, in transfer times of the answer
+    latency_target_stretch: float = 0.0  # this many transfer times of the answer are added to the target
     deadline: int = 0
     value: float = 1.0  # of an answer in time, relative to other classes
     late_value: float = 0.0  # share of it that a late answer has
@@ -212,8 +212,10 @@
     kind: str = ""
     cell: int = 0
     weight: float = 1.0
-    reported_start: int = 0  # Unix microseconds of a late start, as listed; identifies the start
-    local_start: int = 0  # the same in local time; 0: `reported_start` already is
+    reported_start: int = (
+        0  # when it started, as listed, in Unix microseconds; differs after a restart; 0: from the beginning
+    )
+    local_start: int = 0  # the same in local time; 0: `reported_start` is in local time
 
     @property
     def start_time(self) -> int:
--- a/threadhill/decision/state.py
+++ b/threadhill/decision/state.py
@@ -59,11 +59,11 @@
             weight = min(1.0, max(MIN_REPORT_WEIGHT, (now - updated_at) / AVERAGING_TIME))
             self.reported_others = (average + weight * (max(0.0, inflight - self.inflight) - average), now)
 
-    def others_inflight(self, now: int, estimate: float, least: float) -> float:
+    def others_inflight(self, now: int, estimate: float, allowance: float) -> float:
         """Attempts that other routers have in flight there: from recent reports, else estimated from this router's own
-        traffic. A report is limited to a factor of the estimate, plus `least`."""
+        traffic. A report is limited to a factor of the estimate, plus `allowance`."""
         reported, when = self.reported_others
-        reported = min(max(reported, estimate / MAX_REPORT_FACTOR), estimate * MAX_REPORT_FACTOR + least)
+        reported = min(max(reported, estimate / MAX_REPORT_FACTOR), estimate * MAX_REPORT_FACTOR + allowance)
         return estimate + max(0.0, 1 - (now - when) / REPORT_LIFETIME) * (reported - estimate) if when else estimate
 
     def accrue_credit(self, now: int, rate: float, maximum: float, initial: float) -> float:
--- a/threadhill/net/listener.py
+++ b/threadhill/net/listener.py
@@ -354,12 +354,12 @@
             for i, connection in enumerate(self.connections)
             if (order := eviction_order(connection)) is not None
         ]
-        ((has_spoken, _), _, connection) = min(candidates, default=((0, 0), 0, None))
+        ((has_sent, _), _, connection) = min(candidates, default=((0, 0), 0, None))
         if connection is None or connection.has_unread_input():  # its input is processed first
             return
         # Silent connections must not displace those that sent requests: where there are many silent ones, wait until
         # they may be evicted instead.
-        if has_spoken and sum(not connection.message_count for connection in self.connections) > min(
+        if has_sent and sum(not connection.message_count for connection in self.connections) > min(
             2 * ACCEPTS_PER_TURN, self.max_connections // 4
         ):
             return
--- a/threadhill/net/resp.py
+++ b/threadhill/net/resp.py
@@ -30,7 +30,7 @@
 DRAIN_REFUSE_AFTER = 1_500_000  # microseconds after the start of a drain from which on new requests are refused
 PAUSED_INPUT = 16 << 10  # input bytes buffered while processing of a connection is paused
 JUST_ACCEPTED = 50_000  # microseconds after accept within which input counts as received before the accept
-EVENTS_FIRST = 200_000  # microseconds that requests wait for journal events that were read before them
+MAX_EVENT_WAIT = 200_000  # microseconds that requests wait at most for journal events that were read before them
 HEX_ID = re.compile(r"[0-9a-f]{16}")
 INTEGER = re.compile(r"[0-9]{1,10}")
 DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
@@ -228,7 +228,7 @@
         self._reading = True
         self._processing_paused = False  # processing is paused until a later loop iteration
         self._waiting_since = 0  # the earliest time at which waiting input may have arrived; 0: none waits
-        self._events_first_until = 0  # until when waiting requests let journal events be applied first
+        self._event_wait_until = 0  # until when waiting requests let journal events be applied first
         self._scanned = 0  # bytes of waiting input already scanned for NEVERMIND
         self._cancelled: set[int] = set()  # tags of waiting requests that the client has cancelled
         self._invalid_streak = 0  # consecutive iterations with invalid requests
@@ -269,7 +269,7 @@
         now = self.front.engine.clock.now()
         if waited and not self._processing_paused and not self._closing:
             self._pause_processing(0)
-            self._waiting_since, self._events_first_until = min(self._waiting_since, now - waited), now + EVENTS_FIRST
+            self._waiting_since, self._event_wait_until = min(self._waiting_since, now - waited), now + MAX_EVENT_WAIT
             self.front.engine.stats.count("loop", "held up")
         if self.queue_delay:  # input on a connection that was accepted late may have arrived long before
             if now - self.accepted_at <= JUST_ACCEPTED:
@@ -338,7 +338,7 @@
     def _resume(self) -> None:
         """Process waiting input; never called from within an answer. No request is begun for a client that has
         disconnected or cancelled it meanwhile, which is only known from input after that request."""
-        if self.front.engine.clock.now() < self._events_first_until and self.front.updates_pending():
+        if self.front.engine.clock.now() < self._event_wait_until and self.front.updates_pending():
             self.front.call_soon(self._resume)
             return
         self._processing_paused = False
@@ -471,9 +471,9 @@
         self.abort()
 
     def backlog_changed(self) -> None:
-        was = self._reading
+        was_reading = self._reading
         self._throttle()
-        if self._reading and not was and not self._processing_paused:
+        if self._reading and not was_reading and not self._processing_paused:
             self._pause_processing(0)
 
     def _throttle(self) -> None:
--- a/threadhill/net/upstream.py
+++ b/threadhill/net/upstream.py
@@ -29,15 +29,15 @@
     write_request,
 )
 
-MAX_OUTBOUND = 256 << 10
+MAX_OUTBOUND = 256 << 10  # limit of unsent bytes per connection
 CONNECTION_BYTES = 128 << 10  # bytes of buffers estimated per connection: most answers are far smaller than the limit
 MIN_IDLE_SHARE = 0.7  # share of the peer's idle timeout for which a connection is always kept
 IDLE_MARGIN = 2_500_000  # microseconds before the peer's close: checks run once a second, links delay up to 1.5 s
 MAX_CANCELLED = 64  # cancelled ids on a connection after which it is closed once idle
 MAX_ANSWERED = 256  # answered ids remembered per connection, to cover the time span of one request's attempts
 MAX_POOL = 4  # limit of connections per server: answers on a shared one were measured not to delay each other
-SHARING_COST = 0.01  # cost of sharing a connection with one other attempt, as a share of an attempt: about nothing
-VANISHED_SHARE = 0.04  # share of attempts timed out in silence whose machine or connection has vanished
+SHARING_COST = 0.01  # cost of sharing a connection with one other attempt, in requests: almost none
+VANISHED_SHARE = 0.04  # assumed share of silent timeouts that are caused by a vanished machine or connection
 RESET_ROUND_TRIP = 30_000  # microseconds within which a reset is a response to what was just written: one round trip
 NEW_CONNECTION_TIME = 1_000_000  # microseconds for which an unused connection counts as newly dialled
 IDLE_CUT_MEMORY = 60_000_000  # microseconds for which a cut of an idle connection is remembered
@@ -137,11 +137,11 @@
         """Whether the answer with this id is being received."""
         return self.answer_line is not None and self.answer_line.id == id
 
-    def note_silent_timeout(self, sent: int) -> None:
+    def note_silent_timeout(self, sent_at: int) -> None:
         """An attempt sent at that time was cancelled without any input since. Either the machine has vanished, which no
         reset will report, or the attempt was slow. Leaving a good connection costs a handshake, keeping a dead one
         costs another attempt: the cost of handshakes determines how many timeouts are tolerated."""
-        if sent >= self.last_silent_timeout:  # attempts in flight together count once
+        if sent_at >= self.last_silent_timeout:  # attempts in flight together count once
             self.silent_timeouts, self.last_silent_timeout = (
                 self.silent_timeouts + 1,
                 self.pool.caches.engine.clock.now(),
@@ -428,11 +428,11 @@
             pool.close_idle(now - self.idle_time)
         self.engine.deadlines.add(now + 1_000_000, self._close_idle_connections)
 
-    def note_cut(self, sent: int, last_received: int) -> None:
+    def note_cut(self, sent_at: int, last_received: int) -> None:
         """A connection with one attempt on it was lost. It counts as an idle connection that was cut if it had been
         silent for longer than a round trip before the attempt, and ended within one after it."""
-        now, idle = self.engine.clock.now(), sent - last_received
-        if now - sent < RESET_ROUND_TRIP < idle:
+        now, idle = self.engine.clock.now(), sent_at - last_received
+        if now - sent_at < RESET_ROUND_TRIP < idle:
             self.engine.stats.count("connection", "cut_idle")
             remembered = self._idle_cut is not None and now - self._idle_cut[1] < IDLE_CUT_MEMORY
             self._idle_cut = min(idle, self._idle_cut[0]) if remembered else idle, now
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -39,11 +39,11 @@
     from threadhill.recovery.proxy import Recovery, RecoveryConfig
 
 SHUTDOWN_GRACE = 700_000  # microseconds after SIGTERM in which new requests are still accepted
-GC_THRESHOLD = 10_000  # objects created, net of those freed, before the collector looks for cycles
+GC_THRESHOLD = 10_000  # container objects created, less those freed, from which the garbage collector runs
 MAX_ADMIN_CONNECTIONS = 16  # simultaneous connections to the administration API
 MAX_MANAGEMENT_CONNECTIONS = 32  # simultaneous connections to the operators' address
 CORDON_POLL_INTERVAL = 200_000  # microseconds between checks whether another process of this proxy changed cordons
-CORDON_RETENTION = 60_000_000  # microseconds for which an uncordoned server is passed on as cold to a new process
+CORDON_RETENTION = 60_000_000  # microseconds for which an uncordoned server is reported, as cold, to a new process
 KEY_POLL_INTERVAL = 500_000  # microseconds between checks whether key files changed
 START_RETRY_SECONDS = 0.05  # between attempts to read the configuration at the start
 RELOAD_RETRY_INTERVAL = 200_000  # microseconds between attempts to read a new configuration
@@ -60,8 +60,13 @@
 
     def __init__(self, config: Config, operator: OperatorConfig | None) -> None:
         self.config, self.operator = config, operator
-        turns = LoopRuntime(log)
-        self.loop, self.clock, self.stats, self.deadlines = turns.loop, turns.clock, turns.stats, turns.deadlines
+        runtime = LoopRuntime(log)
+        self.loop, self.clock, self.stats, self.deadlines = (
+            runtime.loop,
+            runtime.clock,
+            runtime.stats,
+            runtime.deadlines,
+        )
         self.engine = Engine(config.settings, config.seed, self.clock, self.deadlines, self.stats, log)
         self.caches = CacheServers(self.engine, self._limits(config), log)
         self.journal = Journal(self.engine, self.caches, log, config.name, config.report, config.max_event_bytes)
@@ -83,7 +88,7 @@
         self._stopping_since = 0  # local time of SIGTERM; 0: none yet
         self._reload_retry: tuple[int, int] | None = None  # deadline of the next attempt to read the configuration
         self._watch_clock()
-        self._open_failed = False  # open requests were failed, as SIGKILL is near
+        self._open_failed = False  # open requests were answered as failed, because SIGKILL is near
 
     def _watch_clock(self) -> None:
         """Log each step of the wall clock. The proxy does not depend on it, but Unix times from other processes must be
@@ -97,21 +102,21 @@
     def _limits(self, config: Config) -> Limits:
         """Limits of the cache connections: the operator's fronts reduce the descriptors available to them."""
         dns, admin = (self.operator.dns, self.operator.admin) if self.operator is not None else (None, None)
-        taken = dns.connections * (2 if dns.tls is not None else 1) if dns is not None else 0
-        taken += MAX_ADMIN_CONNECTIONS if admin is not None else 0
-        taken += MAX_MANAGEMENT_CONNECTIONS if config.management is not None else 0
-        return replace(config.limits, descriptors=max(16, config.limits.descriptors - taken))
+        reserved = dns.connections * (2 if dns.tls is not None else 1) if dns is not None else 0
+        reserved += MAX_ADMIN_CONNECTIONS if admin is not None else 0
+        reserved += MAX_MANAGEMENT_CONNECTIONS if config.management is not None else 0
+        return replace(config.limits, descriptors=max(16, config.limits.descriptors - reserved))
 
     async def run(self) -> None:
         """Serve until told to stop and all accepted requests are answered."""
         # Before anything else: a signal without a handler would end the process.
-        for signum, handle in (
+        for signum, handler in (
             (signal.SIGTERM, self.shut_down),
             (signal.SIGINT, self.shut_down),
             (signal.SIGUSR1, self.log_report),
             (signal.SIGHUP, self.reload),
         ):
-            self.loop.add_signal_handler(signum, handle)
+            self.loop.add_signal_handler(signum, handler)
         self.engine.start(self.caches)
         if self.operator is not None:  # before the journal's events, which may name other tenants
             self.engine.tenants.replace(list(self.operator.tenants))
@@ -274,11 +279,15 @@
             self._explain() if self.overload_control is not None else None,
             note,
         )
-        door = Listener(
-            self.engine, "admin client", MAX_ADMIN_CONNECTIONS, lambda door: HttpConnection(token, api, door), log
+        listener = Listener(
+            self.engine,
+            "admin client",
+            MAX_ADMIN_CONNECTIONS,
+            lambda listener: HttpConnection(token, api, listener),
+            log,
         )
         host = config.listen[0]
-        log.write(f"admin: serving on {host}:{await door.listen(*config.listen)}")
+        log.write(f"admin: serving on {host}:{await listener.listen(*config.listen)}")
 
     def _access(self, config: AdminConfig) -> tuple[str | Access, Callable[[str, str, Any, int], None] | None]:
         """How callers are authenticated, and the function that records their changes in the audit log."""
@@ -339,8 +348,8 @@
 
         self.cordon_file = CordonFile(Path(tempfile.gettempdir()), log)
         self._load_cordons()
-        door = management_door(self.engine, self, log, MAX_MANAGEMENT_CONNECTIONS)
-        log.write(f"management: serving on {where[0]}:{await door.listen(*where)}")
+        listener = management_door(self.engine, self, log, MAX_MANAGEMENT_CONNECTIONS)
+        log.write(f"management: serving on {where[0]}:{await listener.listen(*where)}")
 
     def _load_cordons(self) -> None:
         """Apply cordons set through another process of this proxy, and its recently uncordoned servers."""
@@ -367,8 +376,8 @@
     # --- called by the operators' address (management)
 
     def healthy(self) -> bool:
-        blind = self.recovery is not None and not self.recovery.may_send(self.clock.now())
-        return self.front.listener.listening and not self._stopping_since and not blind
+        may_not_send = self.recovery is not None and not self.recovery.may_send(self.clock.now())
+        return self.front.listener.listening and not self._stopping_since and not may_not_send
 
     def figures(self) -> dict[str, int]:
         from threadhill.core.metrics import operator_metrics
@@ -445,7 +454,7 @@
         unread requests would reset connections and lose answers already written. What is still open shortly before
         SIGKILL may come is failed; clients that do not read are not waited for."""
         now = self.clock.now()
-        elapsed, door = now - self._stopping_since, self.front.listener
+        elapsed, listener = now - self._stopping_since, self.front.listener
         longest = max((cls.deadline for cls in self.config.settings.classes.values()), default=MAX_KILL_DEADLINE)
         # An upgrade has already closed the listener and drains; else new clients are accepted at first, and released
         # gradually.
@@ -456,16 +465,16 @@
             self._open_failed = True
             log.event(
                 f"shutdown: {len(self.engine.requests)} requests still open are failed, "
-                f"{len(door.connections)} client connections still open, {when}"
+                f"{len(listener.connections)} client connections still open, {when}"
             )
             self.engine.fail_all()
             self.front.close_connections(now, including_busy=True)
         elif elapsed >= grace:
             if not self.front.refusing and self.config.listen_fd is None:
                 self.front.refusing = True
-                door.stop_accepting()
+                listener.stop_accepting()
             self.front.close_connections(now)
-        if elapsed >= kill_after - KILL_MARGIN // 2 or elapsed >= grace and door.empty:
+        if elapsed >= kill_after - KILL_MARGIN // 2 or elapsed >= grace and listener.empty:
             log.event(
                 f"shutdown: {'open requests were failed' if self._open_failed else 'all requests answered'}, {when}"
             )
