--- a/threadhill/net/journal.py
+++ b/threadhill/net/journal.py
@@ -27,7 +27,7 @@
 SILENCE_TIMEOUT = 1_700_000  # microseconds without a line after which to reconnect; the service sends one every second
 CONNECT_TIMEOUT = 0.5  # seconds
 MIN_RETRY_DELAY = 50_000  # microseconds between connection attempts, doubled after each that brought nothing new
-MAX_RETRY_DELAY = 400_000  # microseconds; missed events count as delivered 2 s after a break
+MAX_RETRY_DELAY = 400_000  # microseconds; short, as events missed in a break count as delivered 2 s after it
 REPORT_INTERVAL = 1_000_000  # microseconds between reports while no new event is applied
 MAX_REPORTED = 500  # limit of servers named in one report
 HOLDINGS_PER_LINE = 100  # servers, and tenants, per line of an answer to `ask: holds`
@@ -57,7 +57,7 @@
         self.address: tuple[str, int] | None = None
         self.connection: WatchConnection | None = None
         self.connecting: WatchConnection | None = None  # the one connection being established
-        self._gap_after = -1  # the last number before a gap whose events were requested again
+        self._gap_after = -1  # number of the last event before a gap, whose missing events were requested again
         self._retry_delay = MIN_RETRY_DELAY
         self._task: asyncio.Task[None] | None = None
         self._retry_deadline: tuple[int, int] | None = None
@@ -213,7 +213,9 @@
         """Handle the service's last number, which announces events but does not replace them."""
         if self.recovery is not None and self.recovery.is_rollback(self.pos, number):
             self.pos, self._gap_after = 0, -1
-            raise Malformed(f"number {number} after {self.recovery.departed.resume_at}: all of it is asked for")
+            raise Malformed(
+                f"last number {number} after {self.recovery.departed.resume_at}: all events are requested again"
+            )
         self._retry_delay = MIN_RETRY_DELAY
         self.monitor.heartbeat(number, self.pos, self.last_line_at)
         self._update_missing(self.last_line_at)
@@ -240,7 +242,9 @@
         self.events.observe_stamps(event)
         if event.pos > self.pos + 1 and self._gap_after != self.pos:
             self._gap_after = self.pos
-            raise Malformed(f"{event.pos} follows {self.pos}")  # the events between are requested again, once
+            raise Malformed(
+                f"event {event.pos} follows event {self.pos}"
+            )  # the events between are requested again, once
         if event.pos > self.pos + 1:
             self._skip_to(event.pos)
         if event.pos > self.pos:
@@ -259,7 +263,7 @@
         if "term" in value:
             if not self.recovery.fence.admits(required_integer(value["term"], "term")):
                 self.engine.stats.count("journal", "older term")
-                raise Malformed(f"term {value['term']} is over: {self.recovery.fence.term} was told")
+                raise Malformed(f"outdated term {value['term']}: the latest is {self.recovery.fence.term}")
         elif "learned" in value:
             self.recovery.import_learned(value["learned"])
         elif "later" in value:  # the service is overloaded and tells when to reconnect
