--- a/threadhill/decision/choice.py
+++ b/threadhill/decision/choice.py
@@ -326,9 +326,8 @@
         share = COPY_THRESHOLD_SHARE * self.location_routers * self.total_rate.rate / max(1, caches)
         limit = max(MIN_RATE_PER_COPY, share) * (PARTS_THRESHOLD_FACTOR if in_parts else 1.0)
         for _ in range(min(steps, caches)):
-            if location_rate / rate.copies > limit and (
-                in_parts or self.link_load < LINK_FULL
-            ):  # more copies need fills
+            # A new copy is filled over the link.
+            if location_rate / rate.copies > limit and (in_parts or self.link_load < LINK_FULL):
                 rate.copies += 1
             elif rate.copies > 1 and location_rate / (rate.copies - 1) < limit:
                 rate.copies -= 1
@@ -748,22 +747,21 @@
     ) -> None:
         """Guards 3 and 8: update the fault odds and the in-flight limit of a server, and the fault odds of its source
         as far as the outcome is attributed to that."""
-        in_time = (
-            end.duration - end.source_wait <= pending.latency_target
-        )  # a cache is not blamed for its source's time
+        # A cache is not blamed for its source's time.
+        in_time = end.duration - end.source_wait <= pending.latency_target
         refused, timed_out = end.outcome is Outcome.REFUSED, end.outcome is Outcome.TIMED_OUT and not in_time
         served, failed = end.outcome is Outcome.SERVED, end.outcome in api.FAILED
         if not (served or failed or timed_out):
             return
         fill_source = source if source is not server else None
-        source_blame = (
-            self.source_blame(pending, end, server, fill_source) if fill_source else 0.0
-        )  # the source's share of the blame
+        # The source's share of the blame.
+        source_blame = self.source_blame(pending, end, server, fill_source) if fill_source else 0.0
         if served:
             self.record_served(pending, end, source)
+        # This router's share of the attempts that all routers of the location have in flight there.
         fair_share = (
             server.inflight + self.others_inflight(server) * (self.location_routers > 1)
-        ) / self.location_routers  # its share of what all have there
+        ) / self.location_routers
         if source_blame < 1 and (refused or not in_time and server.utilization >= HIGH_UTILIZATION):
             server.inflight_limit = min(server.inflight_limit, fair_share if refused else server.inflight_limit) * (
                 1 - INFLIGHT_LIMIT_DECREASE
@@ -865,9 +863,8 @@
         one are cancelled and tried elsewhere."""
         peers = self.fleet.peers(server)
         ejected = [p for p in self.fleet.ejected_among(peers, self.now) if p is not server]
-        if 2 * (len(ejected) + 1) > len(peers) and not all(
-            p.silent for p in peers
-        ):  # if all are silent, the location is lost
+        # If all peers are silent, the location is lost, and all of them may be ejected.
+        if 2 * (len(ejected) + 1) > len(peers) and not all(p.silent for p in peers):
             healthier = min(ejected, key=lambda p: p.fault_log_odds, default=server)
             if healthier.fault_log_odds >= server.fault_log_odds:
                 return
@@ -892,10 +889,8 @@
     def latest_start(self, pending: PendingRequest) -> int:
         """Guard 6: the latest time for an attempt to start. Once the request may have run, this is as long as servers
         still drop the repeat."""
-        latest, retry_safety = (
-            pending.deadline - 2 * DEADLINE_MARGIN,
-            pending.cls.retry_safety,
-        )  # later it is not worth sending
+        # After `latest`, an attempt is not worth sending.
+        latest, retry_safety = pending.deadline - 2 * DEADLINE_MARGIN, pending.cls.retry_safety
         if not pending.may_have_run or retry_safety is api.RetrySafety.SAFE:
             return latest
         return (
--- a/threadhill/decision/interface.py
+++ b/threadhill/decision/interface.py
@@ -212,9 +212,8 @@
     kind: str = ""
     cell: int = 0
     weight: float = 1.0
-    reported_start: int = (
-        0  # when it started, as listed, in Unix microseconds; differs after a restart; 0: from the beginning
-    )
+    # When it started, as listed, in Unix microseconds: differs after a restart. 0: it was present from the beginning.
+    reported_start: int = 0
     local_start: int = 0  # the same in local time; 0: `reported_start` is in local time
 
     @property
--- a/threadhill/net/journal.py
+++ b/threadhill/net/journal.py
@@ -27,7 +27,7 @@
 SILENCE_TIMEOUT = 1_700_000  # microseconds without a line after which to reconnect; the service sends one every second
 CONNECT_TIMEOUT = 0.5  # seconds
 MIN_RETRY_DELAY = 50_000  # microseconds between connection attempts, doubled after each that brought nothing new
-MAX_RETRY_DELAY = 400_000  # microseconds; short, as events missed in a break count as delivered 2 s after it
+MAX_RETRY_DELAY = 400_000  # microseconds; events missed in a break count as delivered 2 s after it
 REPORT_INTERVAL = 1_000_000  # microseconds between reports while no new event is applied
 MAX_REPORTED = 500  # limit of servers named in one report
 HOLDINGS_PER_LINE = 100  # servers, and tenants, per line of an answer to `ask: holds`
@@ -57,7 +57,7 @@
         self.address: tuple[str, int] | None = None
         self.connection: WatchConnection | None = None
         self.connecting: WatchConnection | None = None  # the one connection being established
-        self._gap_after = -1  # number of the last event before a gap, whose missing events were requested again
+        self._gap_after = -1  # the last number before a gap, whose missing events were requested again
         self._retry_delay = MIN_RETRY_DELAY
         self._task: asyncio.Task[None] | None = None
         self._retry_deadline: tuple[int, int] | None = None
@@ -230,9 +230,8 @@
         if heartbeat is not None:
             self._heartbeat(heartbeat)
             return
-        if (
-            isinstance(value, dict) and "hint" in value
-        ):  # protocol extension: sent to proxies whose reports have `knows`
+        # A protocol extension, sent to proxies whose reports have `knows`.
+        if isinstance(value, dict) and "hint" in value:
             if self.knowledge is not None:
                 self.knowledge.receive_hint(value["hint"])
             return
@@ -242,9 +241,8 @@
         self.events.observe_stamps(event)
         if event.pos > self.pos + 1 and self._gap_after != self.pos:
             self._gap_after = self.pos
-            raise Malformed(
-                f"event {event.pos} follows event {self.pos}"
-            )  # the events between are requested again, once
+            # The events between are requested again, once.
+            raise Malformed(f"event {event.pos} follows event {self.pos}")
         if event.pos > self.pos + 1:
             self._skip_to(event.pos)
         if event.pos > self.pos:
