--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -20,7 +20,7 @@
 from tests.test_dns import run_scenario
 from threadhill.settings import Malformed
 from threadhill.tenancy import audit, keyfile, keys
-from threadhill.tenancy.keys import Gate, Refused, Scope
+from threadhill.tenancy.keys import KeyChangeRefused, KeyChecker, Scope
 
 OPERATOR = """
 [admin]
@@ -45,60 +45,64 @@
 
 
 def test_keys_are_known_while_they_are_good_and_by_nothing_else() -> None:
-    key, text = keys.make([Scope.READ], 1_000, life=60)
-    gate = Gate({key.id: key})
-    assert text not in json.dumps(key.document()) and text.split("_", 2)[2] not in str(key)
-    assert gate.check(text, "a", 1_000) == key and gate.check(text, "a", 1_059) == key
-    assert gate.check(text, "a", 1_060) is None  # it has expired, though its check is remembered
-    gate.take({key.id: replace(key, revoked=1_010)})
-    assert gate.check(text, "b", 1_010) is None
+    key, text = keys.create([Scope.READ], 1_000, lifetime_s=60)
+    checker = KeyChecker({key.id: key})
+    assert text not in json.dumps(key.to_document()) and text.split("_", 2)[2] not in str(key)
+    assert checker.check(text, "a", 1_000) == key and checker.check(text, "a", 1_059) == key
+    assert checker.check(text, "a", 1_060) is None  # it has expired, though its check is remembered
+    checker.replace_keys({key.id: replace(key, revoked=1_010)})
+    assert checker.check(text, "b", 1_010) is None
     other = text[:-5] + ("aaaaa" if text[-5:] != "aaaaa" else "bbbbb")
     for wrong in (other, text.replace(key.id, "0" * 12), "", "thk_", "x" * 9_999):
-        assert Gate({key.id: key}).check(wrong, "c", 1_000) is None
-    assert keys.read_key(key.document()) == key
+        assert KeyChecker({key.id: key}).check(wrong, "c", 1_000) is None
+    assert keys.read_key(key.to_document()) == key
 
 
 def test_failed_tries_are_slowed_by_their_source_and_checks_bounded_for_all() -> None:
-    key, text = keys.make([Scope.ADMIN], 0)
-    gate, now = Gate({key.id: key}), 1_000.0
-    for _ in range(keys.FREE + 3):
-        gate.check("thk_wrong", "bad", now)
-    assert gate.wait("bad", now) == 2.0 and gate.wait("good", now) == 0 and gate.check(text, "good", now) == key
-    assert gate.wait("bad", now + 2.1) == 0
-    for n in range(3 * keys.SOURCES):
-        gate.check("thk_wrong", f"s{n}", now)
-    assert len(gate._sources) <= keys.SOURCES
+    key, text = keys.create([Scope.ADMIN], 0)
+    checker, now = KeyChecker({key.id: key}), 1_000.0
+    for _ in range(keys.FREE_FAILURES + 3):
+        checker.check("thk_wrong", "bad", now)
+    assert (
+        checker.retry_delay("bad", now) == 2.0
+        and checker.retry_delay("good", now) == 0
+        and checker.check(text, "good", now) == key
+    )
+    assert checker.retry_delay("bad", now + 2.1) == 0
+    for n in range(3 * keys.MAX_SOURCES):
+        checker.check("thk_wrong", f"s{n}", now)
+    assert len(checker._sources) <= keys.MAX_SOURCES
     stranger = f"thk_{'0' * 12}_{'x' * 43}"
     began = time.perf_counter()
     for _ in range(2_000):  # made-up keys in the right form: only so many are worked out
-        gate.check(stranger, "s", now)
-    assert time.perf_counter() - began < 10 and gate._checks < 1
-    assert gate.check(text, "good", now) == key  # one that is known costs nothing of that
+        checker.check(stranger, "s", now)
+    assert time.perf_counter() - began < 10 and checker._check_tokens < 1
+    assert checker.check(text, "good", now) == key  # one that is known costs nothing of that
 
 
 def test_a_roll_overlaps_and_what_cannot_be_made_is_refused() -> None:
-    old, _ = keys.make([Scope.READ, Scope.QUOTA], 1_000, life=500, tenant="acme")
+    old, _ = keys.create([Scope.READ, Scope.QUOTA], 1_000, lifetime_s=500, tenant="acme")
     before, new, text = keys.roll({old.id: old}, old.id, 30, 1_100)
-    assert before.good(1_129) and not before.good(1_130) and new.good(1_599) and not new.good(1_600)
-    assert (new.scopes, new.tenant) == (old.scopes, "acme") and Gate({new.id: new}).check(text, "a", 1_100) == new
-    with pytest.raises(Refused, match="expired"):
+    assert before.is_valid(1_129) and not before.is_valid(1_130) and new.is_valid(1_599) and not new.is_valid(1_600)
+    assert (new.scopes, new.tenant) == (old.scopes, "acme") and KeyChecker({new.id: new}).check(text, "a", 1_100) == new
+    with pytest.raises(KeyChangeRefused, match="expired"):
         keys.roll({before.id: before}, before.id, 30, 1_200)
     read = [Scope.READ]
     for scopes, tenant, life in (([], "", 0), ([Scope.ADMIN], "acme", 0), (read, "A b", 0), (read, "", -1)):
-        with pytest.raises(Refused):
-            keys.make(scopes, 0, life, tenant)
+        with pytest.raises(KeyChangeRefused):
+            keys.create(scopes, 0, life, tenant)
 
 
 def test_a_file_of_keys_that_cannot_be_used_is_told_once_and_the_old_ones_stay(tmp_path: Path) -> None:
     path, told = tmp_path / "keys.json", []
-    key, _ = keys.make([Scope.READ], 0)
+    key, _ = keys.create([Scope.READ], 0)
     keyfile.write(path, {key.id: key})
     assert os.stat(path).st_mode & 0o777 == 0o600
     file = keyfile.KeyFile(path, told.append)
     good = path.read_text()
     for spoilt in ("{", "[]", good.replace(key.id, "zz"), good.replace("read", "root")):
         path.write_text(spoilt)
-        assert not file.look() and not file.look() and file.keys == {key.id: key}
+        assert not file.reload_if_changed() and not file.reload_if_changed() and file.keys == {key.id: key}
     assert len(told) == 4
     os.chmod(path, 0o644)
     with pytest.raises(Malformed, match="chmod 600"):
@@ -106,7 +110,7 @@
 
 
 def written(path: Path, count: int) -> list[str]:
-    log = audit.Log(path, lambda text: None)
+    log = audit.AuditLog(path, lambda text: None)
     for n in range(count):
         log.add(n, "key 1", "PUT /v1/tenants/a", {"n": n}, 200)
     log.close()
@@ -130,9 +134,12 @@
     elif how == "double":
         lines.insert(place, lines[place])
     else:
-        lines.insert(place, audit.line(place + 1, 0, "x", "y", None, 200, audit.FIRST if not place else "ab" * 32)[0])
+        lines.insert(
+            place,
+            audit.format_line(place + 1, 0, "x", "y", None, 200, audit.INITIAL_HASH if not place else "ab" * 32)[0],
+        )
     path.write_text("".join(lines))
-    with pytest.raises(audit.Broken):
+    with pytest.raises(audit.CorruptLog):
         audit.verify(path)
 
 
@@ -141,7 +148,7 @@
     written(path, 3)
     with path.open("a") as file:
         file.write('{"body":"cut')
-    log = audit.Log(path, told.append)
+    log = audit.AuditLog(path, told.append)
     log.add(9, "token", "DELETE /v1/tenants/b", None, 200)
     log.close()
     assert audit.verify(path)[0] == 4 and "cut off" in told[0]
--- a/threadhill/admin/access.py
+++ b/threadhill/admin/access.py
@@ -7,20 +7,20 @@
 
 from threadhill.admin.http import Call, Problem
 from threadhill.core.tenants import Tenant
-from threadhill.tenancy.audit import Log
-from threadhill.tenancy.keys import Gate, Key, Scope
+from threadhill.tenancy.audit import AuditLog
+from threadhill.tenancy.keys import Key, KeyChecker, Scope
 
 
 class Access:
     """In place of one token for all: keys, each with its scopes and maybe one tenant's."""
 
-    def __init__(self, gate: Gate, audit: Log | None, clock: Callable[[], float]) -> None:
-        self.gate, self.audit, self.clock = gate, audit, clock
+    def __init__(self, key_checker: KeyChecker, audit: AuditLog | None, clock: Callable[[], float]) -> None:
+        self.key_checker, self.audit, self.clock = key_checker, audit, clock
 
-    def admit(self, headers: dict[str, str], peer: str) -> Key:
+    def authenticate(self, headers: dict[str, str], peer: str) -> Key:
         """The caller's key. An address with several wrong ones waits longer each time, whatever it brings next."""
         now = self.clock()
-        wait = self.gate.wait(peer, now)
+        wait = self.key_checker.retry_delay(peer, now)
         if wait:
             raise Problem(
                 429,
@@ -29,19 +29,19 @@
                 retry_after_s=round(wait, 1),
             )
         scheme, _, text = headers.get("authorization", "").partition(" ")
-        key = self.gate.check(text.strip(), peer, now) if scheme.lower() == "bearer" else None
+        key = self.key_checker.check(text.strip(), peer, now) if scheme.lower() == "bearer" else None
         if key is None:
             if scheme:
-                self.note(f"from {peer}", "authorize", None, 401)
+                self.record(f"from {peer}", "authorize", None, 401)
             raise Problem(401, "unauthorized", "a valid key is needed: Authorization: Bearer thk_...")
         return key
 
-    def note(self, who: str, did: str, what: Any, outcome: int) -> None:
+    def record(self, actor: str, action: str, detail: Any, outcome: int) -> None:
         if self.audit is not None:
-            self.audit.add(int(self.clock() * 1_000), who, did, what, outcome)
+            self.audit.add(int(self.clock() * 1_000), actor, action, detail, outcome)
 
 
-def permit(call: Call, path: list[str], old: Tenant | None, new: Tenant | None) -> None:
+def check_permission(call: Call, path: list[str], old: Tenant | None, new: Tenant | None) -> None:
     """Raises 403 where the caller's key does not let it. `old` and `new`: the tenant that a change is of, before and
     after, where it is of one."""
     key = call.caller
@@ -58,6 +58,6 @@
         scope = Scope.QUOTA  # nothing but the quota changes
     else:
         scope = Scope.ADMIN
-    if not key.may(scope):
+    if not key.allows(scope):
         has = ", ".join(sorted(s.value for s in key.scopes))
         raise Problem(403, "forbidden", f"this call needs the scope {scope.value}; the key has {has}")
--- a/threadhill/admin/api.py
+++ b/threadhill/admin/api.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from threadhill.admin.explain import Explain
+from threadhill.admin.explain import OverloadQueries
 from threadhill.admin.http import Call, Problem
 from threadhill.core.tenants import Tenant, Tenants, VersionConflict
 from threadhill.documents import Invalid, difference, read_tenant, read_tenants, write_tenant
@@ -32,27 +32,27 @@
         self,
         tenants: Tenants,
         stats: Stats,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
         resolvers: Callable[[], list[dict[str, Any]]] | None = None,
-        explain: Explain | None = None,
-        note: Callable[[str, str, Any, int], None] | None = None,
+        overload_queries: OverloadQueries | None = None,
+        record: Callable[[str, str, Any, int], None] | None = None,
     ) -> None:
-        self.tenants, self.stats, self._changed, self._resolvers = tenants, stats, changed, resolvers
-        self._explain = explain
-        self._note = note  # the audit log, where there is one
+        self.tenants, self.stats, self._on_change, self._resolvers = tenants, stats, on_change, resolvers
+        self._overload_queries = overload_queries
+        self._record = record  # the audit log, where there is one
 
     def __call__(self, call: Call) -> tuple[int, Any]:
         """Answer a call; each change, and each that was refused, is noted before its answer goes out."""
-        if call.method in ("GET", "HEAD") or self._note is None:
+        if call.method in ("GET", "HEAD") or self._record is None:
             return self._answer(call)
         who = f"key {call.caller.id}" if call.caller is not None else "token"
         did, what = f"{call.method} {call.path}", call.body.decode("utf-8", "replace")
         try:
             status, body = self._answer(call)
         except Problem as problem:
-            self._note(who, did, what, problem.status)
+            self._record(who, did, what, problem.status)
             raise
-        self._note(who, did, what, status)
+        self._record(who, did, what, status)
         return status, body
 
     def _answer(self, call: Call) -> tuple[int, Any]:
@@ -81,22 +81,22 @@
         if call.method not in methods:
             raise Problem(405, "method-not-allowed", f"{call.method} is not for {call.path}", ", ".join(methods))
         try:
-            self._permit(call, path)
+            self._check_permission(call, path)
             return methods[call.method](call, *path[2:])
         except Invalid as error:
             raise Problem(422, "invalid", str(error), faults=error.faults) from None
         except VersionConflict as error:
             raise Problem(409, "conflict", str(error), version=self.tenants.version) from None
 
-    def _permit(self, call: Call, path: list[str]) -> None:
+    def _check_permission(self, call: Call, path: list[str]) -> None:
         if call.caller is None:
             return
-        from threadhill.admin.access import permit
+        from threadhill.admin.access import check_permission
 
         name = path[2] if len(path) == 3 and path[1] == "tenants" else None
         old = self.tenants.by_name.get(name) if name is not None else None
         new = read_tenant(call.json(), "tenant", name) if name is not None and call.method == "PUT" else None
-        permit(call, path, old, new)
+        check_permission(call, path, old, new)
 
     def _all(self) -> list[Tenant]:
         return [tenant for _, tenant in sorted(self.tenants.by_name.items())]
@@ -112,10 +112,10 @@
             raise Problem(404, "no-dns", "this proxy has no DNS front")
         return 200, {"resolvers": self._resolvers()}
 
-    def _overload(self) -> Explain:
-        if self._explain is None:
+    def _overload(self) -> OverloadQueries:
+        if self._overload_queries is None:
             raise Problem(404, "no-overload", "overload control is off: the operator's file has no [overload]")
-        return self._explain
+        return self._overload_queries
 
     def _overload_status(self, call: Call, *_: str) -> tuple[int, Any]:
         return 200, self._overload().status()
@@ -175,4 +175,4 @@
 
     def _replace(self, tenants: list[Tenant], on: int | None) -> None:
         if self.tenants.replace(tenants, on):
-            self._changed()
+            self._on_change()
--- a/threadhill/admin/client.py
+++ b/threadhill/admin/client.py
@@ -12,10 +12,10 @@
 from threadhill.core.tenants import Tenant
 from threadhill.documents import difference, read_tenants, write_tenant
 
-MARKS = {"add": "+", "remove": "-", "change": "~"}
+STEP_SYMBOLS = {"add": "+", "remove": "-", "change": "~"}
 
 
-class Failed(Exception):
+class RequestFailed(Exception):
     """The API could not be asked, or said no."""
 
 
@@ -25,9 +25,9 @@
         raw = path.read_bytes()
         document = orjson.loads(raw) if path.suffix == ".json" else tomllib.loads(raw.decode())
     except (OSError, ValueError) as error:
-        raise Failed(f"{path}: {error}") from None
+        raise RequestFailed(f"{path}: {error}") from None
     if not isinstance(document, dict) or set(document) - {"tenants"}:
-        raise Failed(f"{path}: must hold `tenants` and nothing else")
+        raise RequestFailed(f"{path}: must hold `tenants` and nothing else")
     return read_tenants(document.get("tenants", []))
 
 
@@ -40,12 +40,12 @@
         response = connection.getresponse()
         answer = orjson.loads(response.read() or b"null")
     except (OSError, ValueError, http.client.HTTPException) as error:
-        raise Failed(f"{address}: {error}") from None
+        raise RequestFailed(f"{address}: {error}") from None
     finally:
         connection.close()
     if response.status >= 400:
         error = (answer or {}).get("error", {})
-        raise Failed(f"{error.get('code', response.status)}: {error.get('message', '')}")
+        raise RequestFailed(f"{error.get('code', response.status)}: {error.get('message', '')}")
     return answer
 
 
@@ -56,27 +56,27 @@
     return {"version": state["version"], "steps": difference(read_tenants(state["tenants"]), wanted)}
 
 
-def apply(address: str, token: str, path: Path, on: int | None) -> dict[str, Any]:
+def apply(address: str, token: str, path: Path, expected_version: int | None) -> dict[str, Any]:
     """Make the file's tenants the running ones, against the version given or else the one just read."""
     wanted = read_file(path)
-    version = call(address, token, "GET", "/v1/state")["version"] if on is None else on
+    version = call(address, token, "GET", "/v1/state")["version"] if expected_version is None else expected_version
     tenants = [write_tenant(tenant) for tenant in wanted]
     return call(address, token, "POST", "/v1/apply", {"version": version, "tenants": tenants})
 
 
-def told(result: dict[str, Any]) -> str:
+def format_result(result: dict[str, Any]) -> str:
     """A plan or what was applied, for people."""
     lines = []
     for step in result["steps"]:
-        lines.append(f"{MARKS[step['step']]} tenant {step['name']}")
-        was, will = step["from"] or {}, step["to"] or {}
+        lines.append(f"{STEP_SYMBOLS[step['step']]} tenant {step['name']}")
+        before, after = step["from"] or {}, step["to"] or {}
         for key in ("zones", "quota", "records"):
-            if was.get(key) != will.get(key):
-                lines.append(f"    {key}: {_shown(was.get(key))} -> {_shown(will.get(key))}")
-    counts = [sum(step["step"] == kind for step in result["steps"]) for kind in MARKS]
+            if before.get(key) != after.get(key):
+                lines.append(f"    {key}: {_format_value(before.get(key))} -> {_format_value(after.get(key))}")
+    counts = [sum(step["step"] == kind for step in result["steps"]) for kind in STEP_SYMBOLS]
     lines.append("{} to add, {} to remove, {} to change; state version {}".format(*counts, result["version"]))
     return "\n".join(lines)
 
 
-def _shown(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return "none" if value is None else orjson.dumps(value).decode()
--- a/threadhill/admin/cordon_file.py
+++ b/threadhill/admin/cordon_file.py
@@ -22,12 +22,13 @@
 
 
 @dataclass(slots=True)
-class Saved:
-    out: set[str] = field(default_factory=set)  # names out by hand
-    back: dict[str, int] = field(default_factory=dict)  # names put back lately, and when, in monotonic microseconds
+class SavedCordons:
+    cordoned: set[str] = field(default_factory=set)
+    # Recently uncordoned names, with the time of that in monotonic microseconds.
+    uncordoned_at: dict[str, int] = field(default_factory=dict)
 
 
-def _read(raw: bytes) -> Saved:
+def _read(raw: bytes) -> SavedCordons:
     """The contents; ValueError with what is wrong."""
     told = orjson.loads(raw)
     if not isinstance(told, dict):
@@ -37,7 +38,7 @@
         raise ValueError('"out" is not a list of names')
     if not isinstance(back, dict) or not all(isinstance(at, int) and at >= 0 for at in back.values()):
         raise ValueError('"back" is not an object of names and times')
-    return Saved(set(out), dict(back))
+    return SavedCordons(set(out), dict(back))
 
 
 class CordonFile:
@@ -53,7 +54,7 @@
         """Whether another process wrote it since it was last read or written here."""
         return file_version(self.path) != self._seen
 
-    def read(self) -> Saved | None:
+    def read(self) -> SavedCordons | None:
         """What it holds; None where there is none, or it cannot be read (then it is set aside and logged)."""
         self._seen = file_version(self.path)
         if self._seen is None:
@@ -84,7 +85,7 @@
         self.retry()
 
     @property
-    def behind(self) -> bool:
+    def has_unwritten(self) -> bool:
         """Whether the file lacks what this process was told last: it must not be read over that."""
         return self._unwritten is not None
 
--- a/threadhill/admin/explain.py
+++ b/threadhill/admin/explain.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Explain:
+class OverloadQueries:
     """Three calls; whoever counts is behind them."""
 
     status: Callable[[], dict[str, Any]]
--- a/threadhill/admin/http.py
+++ b/threadhill/admin/http.py
@@ -11,9 +11,9 @@
 
 from threadhill.net.listener import AcceptedConnection, Listener
 
-HEAD = 8 << 10  # bytes of a request's line and headers at most
-BODY = 1 << 20
-IDLE = 10_000_000  # microseconds without a request after which a connection is closed
+MAX_HEAD = 8 << 10  # bytes of a request's line and headers at most
+MAX_BODY = 1 << 20
+IDLE_TIMEOUT_US = 10_000_000  # microseconds without a request after which a connection is closed
 REASONS = {
     200: "OK",
     201: "Created",
@@ -67,10 +67,10 @@
 Handler = Callable[[Call], tuple[int, Any]]
 
 
-class Doorkeeper(Protocol):
+class Authenticator(Protocol):
     """Knows callers by keys of their own."""
 
-    def admit(self, headers: dict[str, str], peer: str) -> Any:
+    def authenticate(self, headers: dict[str, str], peer: str) -> Any:
         """Who it is; Problem where nobody is known by this."""
         ...
 
@@ -97,19 +97,19 @@
 class HttpConnection(AcceptedConnection):
     """One connection; requests follow each other, a pipelined one waits its turn."""
 
-    idle = IDLE
+    idle = IDLE_TIMEOUT_US
 
     def __init__(
         self,
-        token: str | Doorkeeper | None,
+        auth: str | Authenticator | None,
         handler: Handler,
-        door: Listener,
-        most_body: int = BODY,
-        once: bool = False,
+        listener: Listener,
+        max_body: int = MAX_BODY,
+        single_call: bool = False,
     ) -> None:
-        super().__init__(door, HEAD + most_body, 4 * most_body)
+        super().__init__(listener, MAX_HEAD + max_body, 4 * max_body)
         # No token: an address that only operators reach. Once: one call a connection, then it is closed.
-        self._token, self._handler, self._most, self._once = token, handler, most_body, once
+        self._auth, self._handler, self._max_body, self._single_call = auth, handler, max_body, single_call
         self._head: tuple[str, str, dict[str, str]] | None = None
         self._length = 0
         self._caller: Any = None
@@ -134,11 +134,11 @@
     def _next(self) -> bool:
         """Answer one request if it is whole."""
         if self._head is None:
-            raw = self.inbound.peek(HEAD)
+            raw = self.inbound.peek(MAX_HEAD)
             end = raw.find(b"\r\n\r\n")
             if end < 0:
-                if len(raw) >= HEAD:
-                    raise Problem(431, "head-too-large", f"the head has over {HEAD} bytes")
+                if len(raw) >= MAX_HEAD:
+                    raise Problem(431, "head-too-large", f"the head has over {MAX_HEAD} bytes")
                 return False
             self._head = read_head(raw[:end])
             self._length = self._body_length(self._head[2])
@@ -153,7 +153,7 @@
         method, path, headers = self._head
         self._head, self.bytes_needed = None, 1
         call = Call(method, path, headers, self.inbound.take(self._length), self._caller)
-        keep = headers.get("connection", "").lower() != "close" and not self._once
+        keep = headers.get("connection", "").lower() != "close" and not self._single_call
         allow = ""
         try:
             status, body = self._handler(call)
@@ -168,19 +168,19 @@
         text = headers.get("content-length", "0")
         if not text.isascii() or not text.isdigit():
             raise Problem(400, "bad-request", "Content-Length is not a number")
-        if len(text) > 9 or int(text) > self._most:
-            raise Problem(413, "body-too-large", f"the body has over {self._most} bytes")
+        if len(text) > 9 or int(text) > self._max_body:
+            raise Problem(413, "body-too-large", f"the body has over {self._max_body} bytes")
         return int(text)
 
     def _authorize(self, headers: dict[str, str]) -> None:
-        if self._token is None:
+        if self._auth is None:
             return
-        if not isinstance(self._token, str):
+        if not isinstance(self._auth, str):
             peer = self.transport.get_extra_info("peername") if self.transport is not None else None
-            self._caller = self._token.admit(headers, peer[0] if peer else "")
+            self._caller = self._auth.authenticate(headers, peer[0] if peer else "")
             return
         scheme, _, token = headers.get("authorization", "").partition(" ")
-        if scheme.lower() != "bearer" or not hmac.compare_digest(token.strip().encode(), self._token.encode()):
+        if scheme.lower() != "bearer" or not hmac.compare_digest(token.strip().encode(), self._auth.encode()):
             raise Problem(401, "unauthorized", "a valid bearer token is needed")
 
     def _send(self, status: int, body: Any, keep: bool, allow: str = "") -> None:
--- a/threadhill/admin/management.py
+++ b/threadhill/admin/management.py
@@ -19,8 +19,8 @@
 from threadhill.core.metrics import format_metrics
 from threadhill.net.listener import Listener
 
-BODY = 4_096  # bytes of a call's body at most
-NAME = 256  # characters of a cache server's id at most
+MAX_BODY = 4_096  # bytes of a call's body at most
+MAX_NAME_LENGTH = 256  # characters of a cache server's id at most
 
 
 class Controls(Protocol):
@@ -49,8 +49,8 @@
     if not isinstance(body, dict) or "name" not in body:
         raise Problem(400, "no-name", 'the body is {"name":"ID"}, with the id of a cache server')
     name = body["name"]
-    if not isinstance(name, str) or not name or len(name) > NAME:
-        raise Problem(400, "bad-name", f"name is a cache server's id, a string of 1 to {NAME} characters")
+    if not isinstance(name, str) or not name or len(name) > MAX_NAME_LENGTH:
+        raise Problem(400, "bad-name", f"name is a cache server's id, a string of 1 to {MAX_NAME_LENGTH} characters")
     return name
 
 
@@ -107,7 +107,13 @@
         return 200, {"status": "serving"}
 
 
-def management_door(host: Any, controls: Controls, log: Any, callers: int) -> Listener:
+def management_listener(host: Any, controls: Controls, log: Any, max_connections: int) -> Listener:
     """The listener, not yet listening; who says nothing makes room for who calls."""
     routes = Management(controls)
-    return Listener(host, "operator", callers, lambda door: HttpConnection(None, routes, door, BODY, once=True), log)
+    return Listener(
+        host,
+        "operator",
+        max_connections,
+        lambda listener: HttpConnection(None, routes, listener, MAX_BODY, single_call=True),
+        log,
+    )
--- a/threadhill/cli.py
+++ b/threadhill/cli.py
@@ -162,7 +162,7 @@
         if put:
             keyfile.write(file, known | {key.id: key for key in put})
         return told
-    except (keys.Refused, Malformed, OSError, ValueError) as error:
+    except (keys.KeyChangeRefused, Malformed, OSError, ValueError) as error:
         _fail(error)
 
 
@@ -180,7 +180,7 @@
     """
 
     def change(keys: ModuleType, known: dict[str, Any], now: int) -> tuple[list[Any], str]:
-        key, text = keys.make([keys.Scope(s) for s in scope], now, life, tenant, note)
+        key, text = keys.create([keys.Scope(s) for s in scope], now, life, tenant, note)
         return [key], text
 
     typer.echo(_access(file, change))
@@ -192,8 +192,8 @@
 
     now = unix_seconds()
     for key in _access(file, lambda keys, known, now: ([], list(known.values()))):
-        state = "revoked" if key.revoked else "good" if key.good(now) else "expired"
-        left = f"{key.expires - now} s left" if key.expires and key.good(now) else ""
+        state = "revoked" if key.revoked else "good" if key.is_valid(now) else "expired"
+        left = f"{key.expires - now} s left" if key.expires and key.is_valid(now) else ""
         scopes = ",".join(sorted(s.value for s in key.scopes))
         typer.echo(f"{key.id}  {state:<8} {scopes:<24} {key.tenant or '(operator)':<20} {left:<16} {key.note}")
 
@@ -229,7 +229,7 @@
 
     try:
         count, last = audit.verify(path)
-    except (audit.Broken, OSError) as error:
+    except (audit.CorruptLog, OSError) as error:
         _fail(f"{path}: {error}")
     typer.echo(f"{count} lines hold together; the last one's hash is {last}")
 
@@ -697,11 +697,11 @@
 
     try:
         return ask(client)
-    except (client.Failed, documents.Invalid) as error:
+    except (client.RequestFailed, documents.Invalid) as error:
         _fail(error, CHANGES)
 
 
 def _told(result: dict[str, Any], json: bool) -> None:
     from threadhill.admin import client
 
-    typer.echo(orjson.dumps(result).decode() if json else client.told(result))
+    typer.echo(orjson.dumps(result).decode() if json else client.format_result(result))
--- a/threadhill/serve.py
+++ b/threadhill/serve.py
@@ -31,7 +31,7 @@
 
 if TYPE_CHECKING:  # imported only where the operator's file enables them, to save memory
     from threadhill.admin.access import Access
-    from threadhill.admin.explain import Explain
+    from threadhill.admin.explain import OverloadQueries
     from threadhill.dns.front import DnsConfig, DnsFront
     from threadhill.dns.signing import Signer
     from threadhill.operators import AdminConfig, OperatorConfig
@@ -294,34 +294,33 @@
         if config.keys_file is None and config.audit_file is None:
             return config.token, None
         from threadhill.admin.access import Access
-        from threadhill.tenancy.audit import Broken
-        from threadhill.tenancy.audit import Log as AuditLog
+        from threadhill.tenancy.audit import AuditLog, CorruptLog
         from threadhill.tenancy.keyfile import KeyFile
-        from threadhill.tenancy.keys import Gate
+        from threadhill.tenancy.keys import KeyChecker
 
         try:
             audit = AuditLog(config.audit_file, log.write) if config.audit_file is not None else None
             file = KeyFile(config.keys_file, log.write) if config.keys_file is not None else None
-        except Broken as error:
+        except CorruptLog as error:
             raise BadConfig(
                 f"admin.audit_file: {config.audit_file}: {error}; keep it aside and begin a new one"
             ) from None
         except (Malformed, OSError) as error:
             raise BadConfig(f"admin: {error}") from None
         # Unix time, as people read the audit log and keys expire at a date.
-        access = Access(Gate(file.keys if file is not None else {}), audit, lambda: self.clock.unix_now() / 1e6)
+        access = Access(KeyChecker(file.keys if file is not None else {}), audit, lambda: self.clock.unix_now() / 1e6)
 
         def poll() -> None:
-            if file is not None and file.look():
-                access.gate.take(file.keys)
+            if file is not None and file.reload_if_changed():
+                access.key_checker.replace_keys(file.keys)
                 self.stats.count("admin", "keys taken")
             self.deadlines.add(self.clock.now() + KEY_POLL_INTERVAL, poll)
 
         poll()
-        return access if file is not None else config.token, access.note if audit is not None else None
+        return access if file is not None else config.token, access.record if audit is not None else None
 
-    def _explain(self) -> Explain:
-        from threadhill.admin.explain import Explain
+    def _explain(self) -> OverloadQueries:
+        from threadhill.admin.explain import OverloadQueries
         from threadhill.overload.metrics import page_renderer
 
         control = self.overload_control
@@ -338,33 +337,33 @@
                 None,
             )
 
-        return Explain(status, why, page_renderer(self.stats, control.status, self.clock.now))
+        return OverloadQueries(status, why, page_renderer(self.stats, control.status, self.clock.now))
 
     async def _serve_management(self, where: tuple[str, int]) -> None:
         import tempfile  # loads many modules, so it is imported only when needed
 
         from threadhill.admin.cordon_file import CordonFile
-        from threadhill.admin.management import management_door
+        from threadhill.admin.management import management_listener
 
         self.cordon_file = CordonFile(Path(tempfile.gettempdir()), log)
         self._load_cordons()
-        listener = management_door(self.engine, self, log, MAX_MANAGEMENT_CONNECTIONS)
+        listener = management_listener(self.engine, self, log, MAX_MANAGEMENT_CONNECTIONS)
         log.write(f"management: serving on {where[0]}:{await listener.listen(*where)}")
 
     def _load_cordons(self) -> None:
         """Apply cordons set through another process of this proxy, and its recently uncordoned servers."""
         self.cordon_file.retry()
-        if not self.cordon_file.behind and self.cordon_file.changed():
+        if not self.cordon_file.has_unwritten and self.cordon_file.changed():
             saved = self.cordon_file.read()
             if saved is not None:
                 cordons = self.engine.cordons
                 for number, name in list(cordons.cordoned.items()):
-                    if name not in saved.out:
-                        at = saved.back.get(name)
+                    if name not in saved.cordoned:
+                        at = saved.uncordoned_at.get(name)
                         self.engine.uncordon(number, None if at is None else self.clock.from_monotonic(at))
-                for name in saved.out:
+                for name in saved.cordoned:
                     self.engine.cordon(server_number(name), name, allow_unlisted=True)
-                for name, at in saved.back.items():
+                for name, at in saved.uncordoned_at.items():
                     self.engine.uncordoned_elsewhere(server_number(name), name, self.clock.from_monotonic(at))
         self.deadlines.add(self.clock.now() + CORDON_POLL_INTERVAL, self._load_cordons)
 
--- a/threadhill/tenancy/audit.py
+++ b/threadhill/tenancy/audit.py
@@ -11,92 +11,94 @@
 from pathlib import Path
 from typing import Any
 
-FIRST = "0" * 64
-MOST_LINE = 64 << 10
-MOST_TEXT = 4_096  # characters of what was done
-TAIL = 1 << 20
+INITIAL_HASH = "0" * 64
+MAX_LINE = 64 << 10
+MAX_DETAIL = 4_096  # characters of what was done
+TAIL_BYTES = 1 << 20
 
 
-def digest(before: str, body: str) -> str:
-    return hashlib.sha256(f"{before}\n{body}".encode()).hexdigest()
+def chain_hash(previous_hash: str, body: str) -> str:
+    return hashlib.sha256(f"{previous_hash}\n{body}".encode()).hexdigest()
 
 
-def line(number: int, at: int, who: str, did: str, what: Any, outcome: int, before: str) -> tuple[str, str]:
+def format_line(
+    number: int, at: int, actor: str, action: str, detail: Any, outcome: int, previous_hash: str
+) -> tuple[str, str]:
     """One line and its hash."""
     body = json.dumps(
         {
             "n": number,
             "at": at,
-            "who": who[:200],
-            "did": did[:300],
+            "who": actor[:200],
+            "did": action[:300],
             "outcome": outcome,
-            "what": what if len(json.dumps(what)) <= MOST_TEXT else "too long to be kept",
+            "what": detail if len(json.dumps(detail)) <= MAX_DETAIL else "too long to be kept",
         },
         sort_keys=True,
         separators=(",", ":"),
     )
-    found = digest(before, body)
-    return json.dumps({"body": body, "hash": found}, separators=(",", ":")) + "\n", found
+    line_hash = chain_hash(previous_hash, body)
+    return json.dumps({"body": body, "hash": line_hash}, separators=(",", ":")) + "\n", line_hash
 
 
-class Broken(Exception):
+class CorruptLog(Exception):
     """The log does not hold together; the text says where and how."""
 
 
-def read_line(raw: str, number: int, before: str) -> tuple[dict[str, Any], str]:
+def read_line(raw: str, number: int, previous_hash: str) -> tuple[dict[str, Any], str]:
     """A line's body and hash, checked against what comes before it."""
     try:
         outer = json.loads(raw)
-        body, found = outer["body"], outer["hash"]
+        body, line_hash = outer["body"], outer["hash"]
         inner = json.loads(body)
         count = inner["n"]
     except (ValueError, KeyError, TypeError):
-        raise Broken(f"line {number}: is no line of an audit log") from None
-    if found != digest(before, body):
-        raise Broken(f"line {number}: its hash does not fit: it, or the line before it, was altered or left out")
+        raise CorruptLog(f"line {number}: is no line of an audit log") from None
+    if line_hash != chain_hash(previous_hash, body):
+        raise CorruptLog(f"line {number}: its hash does not fit: it, or the line before it, was altered or left out")
     if count != number:
-        raise Broken(f"line {number}: says that it is line {count}")
-    return inner, found
+        raise CorruptLog(f"line {number}: says that it is line {count}")
+    return inner, line_hash
 
 
 def verify(path: Path) -> tuple[int, str]:
-    """How many lines, and the last one's hash; Broken where one does not hold."""
-    number, before = 0, FIRST
+    """How many lines, and the last one's hash; CorruptLog where one does not hold."""
+    number, last_hash = 0, INITIAL_HASH
     with path.open(encoding="utf-8", errors="replace") as file:
         for raw in file:
-            if len(raw) > MOST_LINE or not raw.endswith("\n"):
-                raise Broken(f"line {number + 1}: is cut off or too long")
+            if len(raw) > MAX_LINE or not raw.endswith("\n"):
+                raise CorruptLog(f"line {number + 1}: is cut off or too long")
             number += 1
-            _, before = read_line(raw, number, before)
-    return number, before
+            _, last_hash = read_line(raw, number, last_hash)
+    return number, last_hash
 
 
-class Log:
+class AuditLog:
     """Appends; goes on from what is there. A line that was cut off by a crash is taken off and told."""
 
-    def __init__(self, path: Path, told: Callable[[str], None]) -> None:
-        self.path, self.told = path, told
+    def __init__(self, path: Path, log: Callable[[str], None]) -> None:
+        self.path, self.log = path, log
         descriptor = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
         self.file = os.fdopen(descriptor, "r+b")
-        self._mend()
-        self.number, self.before = verify(path)
+        self._truncate_partial_line()
+        self.last_number, self.last_hash = verify(path)
         self.file.seek(0, os.SEEK_END)
 
-    def _mend(self) -> None:
+    def _truncate_partial_line(self) -> None:
         size = os.fstat(self.file.fileno()).st_size
-        self.file.seek(max(0, size - TAIL))
+        self.file.seek(max(0, size - TAIL_BYTES))
         tail = self.file.read()
         if tail and not tail.endswith(b"\n"):
-            whole = size - len(tail) + tail.rfind(b"\n") + 1
-            self.told(f"audit: {self.path}: {size - whole} bytes of a line that was cut off are taken off its end")
-            self.file.truncate(whole)
+            kept_size = size - len(tail) + tail.rfind(b"\n") + 1
+            self.log(f"audit: {self.path}: {size - kept_size} bytes of a line that was cut off are taken off its end")
+            self.file.truncate(kept_size)
 
-    def add(self, at: int, who: str, did: str, what: Any, outcome: int) -> None:
-        text, found = line(self.number + 1, at, who, did, what, outcome, self.before)
+    def add(self, at: int, actor: str, action: str, detail: Any, outcome: int) -> None:
+        text, line_hash = format_line(self.last_number + 1, at, actor, action, detail, outcome, self.last_hash)
         self.file.write(text.encode())
         self.file.flush()
         os.fsync(self.file.fileno())
-        self.number, self.before = self.number + 1, found
+        self.last_number, self.last_hash = self.last_number + 1, line_hash
 
     def close(self) -> None:
         self.file.close()
