--- a/threadhill/admin/api.py
+++ b/threadhill/admin/api.py
@@ -1,16 +1,16 @@
-"""The administration API, version 1: what can be asked of the tenants and the counters.
-
-GET    /v1/state            the state's version and all tenants
-POST   /v1/apply            {"version": N, "tenants": [...]}: make these all the tenants, if still at N
-GET    /v1/tenants          the tenants
-GET    /v1/tenants/NAME     one of them
-PUT    /v1/tenants/NAME     make or replace one; If-Match holds the state version it was planned on
-DELETE /v1/tenants/NAME     remove one
+"""The administration API, version 1: tenants, counters, overload control and DNS resolvers.
+
+GET    /v1/state            the state version and all tenants
+POST   /v1/apply            {"version": N, "tenants": [...]}: replace all tenants, if the state version is still N
+GET    /v1/tenants          all tenants
+GET    /v1/tenants/NAME     one tenant
+PUT    /v1/tenants/NAME     create or replace a tenant; If-Match holds the expected state version
+DELETE /v1/tenants/NAME     remove a tenant
 GET    /v1/stats            the counters
-GET    /v1/overload         the state of overload control, its figures and the limits that bind now
-GET    /v1/overload/why/ID  why the request with this id was refused, of the last some thousand
-GET    /metrics             the same and the counters, for Prometheus
-GET    /v1/dns/resolvers    what each resolver's answers are charged, and which of them keep answers of TTL 0
+GET    /v1/overload         the state of overload control, its figures and the limits in force
+GET    /v1/overload/why/ID  why the request with this id was refused; the last few thousand refusals are kept
+GET    /metrics             the overload figures and the counters, for Prometheus
+GET    /v1/dns/resolvers    the load charged to each resolver, and which resolvers cache answers of TTL 0
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Api:
-    """Answers calls. Each one checks all that it is given before it changes anything."""
+    """Handles calls. Each handler validates its whole input before it changes anything."""
 
     def __init__(
         self,
@@ -39,20 +39,20 @@
     ) -> None:
         self.tenants, self.stats, self._on_change, self._resolvers = tenants, stats, on_change, resolvers
         self._overload_queries = overload_queries
-        self._record = record  # the audit log, where there is one
+        self._record = record  # appends to the audit log; None without one
 
     def __call__(self, call: Call) -> tuple[int, Any]:
-        """Answer a call; each change, and each that was refused, is noted before its answer goes out."""
+        """Answer a call; changes and refused changes are written to the audit log before the answer is sent."""
         if call.method in ("GET", "HEAD") or self._record is None:
             return self._answer(call)
-        who = f"key {call.caller.id}" if call.caller is not None else "token"
-        did, what = f"{call.method} {call.path}", call.body.decode("utf-8", "replace")
+        actor = f"key {call.caller.id}" if call.caller is not None else "token"
+        action, detail = f"{call.method} {call.path}", call.body.decode("utf-8", "replace")
         try:
             status, body = self._answer(call)
         except Problem as problem:
-            self._record(who, did, what, problem.status)
+            self._record(actor, action, detail, problem.status)
             raise
-        self._record(who, did, what, status)
+        self._record(actor, action, detail, status)
         return status, body
 
     def _answer(self, call: Call) -> tuple[int, Any]:
@@ -77,9 +77,9 @@
         else:
             methods = routes.get(tuple(path[1:]), {})
         if not methods:
-            raise Problem(404, "not-found", f"nothing at {call.path}")
+            raise Problem(404, "not-found", f"there is no resource {call.path}")
         if call.method not in methods:
-            raise Problem(405, "method-not-allowed", f"{call.method} is not for {call.path}", ", ".join(methods))
+            raise Problem(405, "method-not-allowed", f"{call.path} does not allow {call.method}", ", ".join(methods))
         try:
             self._check_permission(call, path)
             return methods[call.method](call, *path[2:])
@@ -114,17 +114,17 @@
 
     def _overload(self) -> OverloadQueries:
         if self._overload_queries is None:
-            raise Problem(404, "no-overload", "overload control is off: the operator's file has no [overload]")
+            raise Problem(404, "no-overload", "overload control is off: the operator's file has no [overload] section")
         return self._overload_queries
 
     def _overload_status(self, call: Call, *_: str) -> tuple[int, Any]:
         return 200, self._overload().status()
 
     def _overload_why(self, call: Call, rid: str) -> tuple[int, Any]:
-        told = self._overload().why(rid)
-        if told is None:
-            raise Problem(404, "not-refused", f"none of the last refusals was of {rid[:60]!r}")
-        return 200, {"rid": rid, **told}
+        refusal = self._overload().why(rid)
+        if refusal is None:
+            raise Problem(404, "not-refused", f"none of the recent refusals has the request id {rid[:60]!r}")
+        return 200, {"rid": rid, **refusal}
 
     def _list(self, call: Call) -> tuple[int, Any]:
         return 200, {"tenants": [write_tenant(t) for t in self._all()]}
@@ -144,35 +144,35 @@
             raise Problem(
                 422,
                 "invalid",
-                "version: must be the state version that was planned on",
-                faults=[{"at": "version", "fault": "must be a whole number"}],
+                "version: must be the state version that the plan was made for",
+                faults=[{"at": "version", "fault": "must be an integer"}],
             )
         tenants = read_tenants(raw.get("tenants"))
         steps = difference(self._all(), tenants)
-        # What is so already is no conflict: an apply whose answer was lost may simply be sent again.
+        # Without a difference the version is not checked, so an apply whose answer was lost can be sent again.
         self._replace(tenants, raw["version"] if steps else None)
         return 200, {"version": self.tenants.version, "steps": steps}
 
     def _put(self, call: Call, name: str) -> tuple[int, Any]:
         tenant = read_tenant(call.json(), "tenant", name)
-        made = name not in self.tenants.by_name
-        self._replace([*(t for t in self._all() if t.name != name), tenant], self._planned_on(call))
-        return 201 if made else 200, {"version": self.tenants.version, "tenant": write_tenant(tenant)}
+        created = name not in self.tenants.by_name
+        self._replace([*(t for t in self._all() if t.name != name), tenant], self._expected_version(call))
+        return 201 if created else 200, {"version": self.tenants.version, "tenant": write_tenant(tenant)}
 
     def _delete(self, call: Call, name: str) -> tuple[int, Any]:
         self._known(name)
-        self._replace([t for t in self._all() if t.name != name], self._planned_on(call))
+        self._replace([t for t in self._all() if t.name != name], self._expected_version(call))
         return 200, {"version": self.tenants.version}
 
     @staticmethod
-    def _planned_on(call: Call) -> int | None:
+    def _expected_version(call: Call) -> int | None:
         text = call.headers.get("if-match", "").strip('"')
         if text in ("", "*"):
             return None
         if not text.isascii() or not text.isdigit():
-            raise Problem(400, "bad-request", "If-Match holds a state version")
+            raise Problem(400, "bad-request", "If-Match must hold a state version")
         return int(text)
 
-    def _replace(self, tenants: list[Tenant], on: int | None) -> None:
-        if self.tenants.replace(tenants, on):
+    def _replace(self, tenants: list[Tenant], expected_version: int | None) -> None:
+        if self.tenants.replace(tenants, expected_version):
             self._on_change()
--- a/threadhill/admin/client.py
+++ b/threadhill/admin/client.py
@@ -1,4 +1,4 @@
-"""The command line's side of plan and apply: a file, the running state, and the difference."""
+"""Client of the administration API for the commands that plan and apply a file of tenants."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 
 class RequestFailed(Exception):
-    """The API could not be asked, or said no."""
+    """The file could not be read, or the API was not reached or answered with an error."""
 
 
 def read_file(path: Path) -> list[Tenant]:
-    """The tenants that a file asks for: TOML with a [[tenants]] table each, or JSON."""
+    """Read tenants from a file: TOML with one [[tenants]] table each, or JSON."""
     try:
         raw = path.read_bytes()
         document = orjson.loads(raw) if path.suffix == ".json" else tomllib.loads(raw.decode())
     except (OSError, ValueError) as error:
         raise RequestFailed(f"{path}: {error}") from None
     if not isinstance(document, dict) or set(document) - {"tenants"}:
-        raise RequestFailed(f"{path}: must hold `tenants` and nothing else")
+        raise RequestFailed(f"{path}: must contain only the key `tenants`")
     return read_tenants(document.get("tenants", []))
 
 
 def call(address: str, token: str, method: str, path: str, body: Any = None) -> Any:
-    """One call of the API; what it answers."""
+    """Send one call to the API and return its answer."""
     connection = http.client.HTTPConnection(address, timeout=10)
     try:
         raw = None if body is None else orjson.dumps(body)
@@ -50,14 +50,14 @@
 
 
 def plan(address: str, token: str, path: Path) -> dict[str, Any]:
-    """What applying the file would change, and the version that this holds for."""
+    """Return the changes that applying the file would make, and the state version that they are based on."""
     wanted = read_file(path)
     state = call(address, token, "GET", "/v1/state")
     return {"version": state["version"], "steps": difference(read_tenants(state["tenants"]), wanted)}
 
 
 def apply(address: str, token: str, path: Path, expected_version: int | None) -> dict[str, Any]:
-    """Make the file's tenants the running ones, against the version given or else the one just read."""
+    """Replace the running tenants by the file's, if the state still has the given version, or else the current one."""
     wanted = read_file(path)
     version = call(address, token, "GET", "/v1/state")["version"] if expected_version is None else expected_version
     tenants = [write_tenant(tenant) for tenant in wanted]
@@ -65,7 +65,7 @@
 
 
 def format_result(result: dict[str, Any]) -> str:
-    """A plan or what was applied, for people."""
+    """Format a plan or the result of an apply as text."""
     lines = []
     for step in result["steps"]:
         lines.append(f"{STEP_SYMBOLS[step['step']]} tenant {step['name']}")
--- a/threadhill/admin/explain.py
+++ b/threadhill/admin/explain.py
@@ -1,4 +1,4 @@
-"""What the administration API tells of overload control: its state, why one request was refused, and metrics."""
+"""Queries of the administration API on overload control: its state, why a request was refused, and metrics."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OverloadQueries:
-    """Three calls; whoever counts is behind them."""
+    """The three queries, as functions of the overload control that answers them."""
 
     status: Callable[[], dict[str, Any]]
     why: Callable[[str], dict[str, Any] | None]
--- a/threadhill/admin/http.py
+++ b/threadhill/admin/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as far as the administration API needs it: whole requests with a length, JSON both ways."""
+"""A small HTTP/1.1 server for the APIs: requests with a Content-Length, bodies and answers in JSON."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 from threadhill.net.listener import AcceptedConnection, Listener
 
-MAX_HEAD = 8 << 10  # bytes of a request's line and headers at most
-MAX_BODY = 1 << 20
-IDLE_TIMEOUT_US = 10_000_000  # microseconds without a request after which a connection is closed
+MAX_HEAD = 8 << 10  # bytes of the request line and headers
+MAX_BODY = 1 << 20  # bytes
+IDLE_TIMEOUT_US = 10_000_000  # a connection without a request for this long is closed
 REASONS = {
     200: "OK",
     201: "Created",
@@ -39,7 +39,7 @@
 
 
 class Problem(Exception):
-    """An answer that is an error: `{"error":{"code":…,"message":…}}` and whatever else helps."""
+    """An error answer: `{"error":{"code":…,"message":…}}` with optional further details."""
 
     def __init__(self, status: int, code: str, message: str, allow: str = "", **more: Any) -> None:
         super().__init__(message)
@@ -49,13 +49,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request, whole."""
+    """One complete request."""
 
     method: str
     path: str
     headers: dict[str, str]
     body: bytes
-    caller: Any = None  # whose key it came with, where callers have keys of their own
+    caller: Any = None  # the key that authenticated it; None with a shared token or none
 
     def json(self) -> Any:
         try:
@@ -68,34 +68,34 @@
 
 
 class Authenticator(Protocol):
-    """Knows callers by keys of their own."""
+    """Authenticates callers by individual keys."""
 
     def authenticate(self, headers: dict[str, str], peer: str) -> Any:
-        """Who it is; Problem where nobody is known by this."""
+        """Return the caller; raises Problem if the credentials are not valid."""
         ...
 
 
 def read_head(raw: bytes) -> tuple[str, str, dict[str, str]]:
-    """Method, path and headers, their names in lower case."""
+    """Parse method, path and headers; header names are in lower case."""
     lines = raw.decode("latin-1").split("\r\n")
     words = lines[0].split(" ")
     if len(words) != 3 or not words[0].isalpha() or not words[1].startswith("/"):
-        raise Problem(400, "bad-request", "not a request line")
+        raise Problem(400, "bad-request", "malformed request line")
     if words[2] not in ("HTTP/1.0", "HTTP/1.1"):
-        raise Problem(505, "bad-version", "HTTP/1.0 or HTTP/1.1 only")
+        raise Problem(505, "bad-version", "only HTTP/1.0 and HTTP/1.1 are supported")
     headers: dict[str, str] = {}
     for line in lines[1:]:
         name, colon, value = line.partition(":")
         if not colon or not name or name != name.strip():
-            raise Problem(400, "bad-request", "not a header line")
+            raise Problem(400, "bad-request", "malformed header line")
         if name.lower() in headers and name.lower() in ("content-length", "authorization", "host"):
-            raise Problem(400, "bad-request", f"{name} stands twice")
+            raise Problem(400, "bad-request", f"duplicate header {name}")
         headers[name.lower()] = value.strip()
     return words[0], words[1], headers
 
 
 class HttpConnection(AcceptedConnection):
-    """One connection; requests follow each other, a pipelined one waits its turn."""
+    """One connection; pipelined requests are answered in order."""
 
     idle = IDLE_TIMEOUT_US
 
@@ -108,7 +108,7 @@
         single_call: bool = False,
     ) -> None:
         super().__init__(listener, MAX_HEAD + max_body, 4 * max_body)
-        # No token: an address that only operators reach. Once: one call a connection, then it is closed.
+        # auth None: no authentication, for an address that only operators reach. single_call: close after one call.
         self._auth, self._handler, self._max_body, self._single_call = auth, handler, max_body, single_call
         self._head: tuple[str, str, dict[str, str]] | None = None
         self._length = 0
@@ -124,7 +124,7 @@
         try:
             while not self._closing and not self.slow and self._next():
                 self.message_received()
-        except Problem as problem:  # how far the faulty request reaches is not known: nothing after it is read
+        except Problem as problem:  # the end of the faulty request is unknown: read nothing after it
             self._send(problem.status, problem.body, keep=False)
 
     def backlog_changed(self) -> None:
@@ -132,18 +132,18 @@
             self.process_input()
 
     def _next(self) -> bool:
-        """Answer one request if it is whole."""
+        """Answer one request if it has arrived completely."""
         if self._head is None:
             raw = self.inbound.peek(MAX_HEAD)
             end = raw.find(b"\r\n\r\n")
             if end < 0:
                 if len(raw) >= MAX_HEAD:
-                    raise Problem(431, "head-too-large", f"the head has over {MAX_HEAD} bytes")
+                    raise Problem(431, "head-too-large", f"the request head is larger than {MAX_HEAD} bytes")
                 return False
             self._head = read_head(raw[:end])
             self._length = self._body_length(self._head[2])
             self.inbound.skip(end + 4)
-            # Before the body is taken in: who has no token gets no memory either.
+            # Before the body is buffered, so that unauthenticated callers use no memory for it.
             self._authorize(self._head[2])
             if self._head[2].get("expect", "").lower() == "100-continue":
                 self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -169,7 +169,7 @@
         if not text.isascii() or not text.isdigit():
             raise Problem(400, "bad-request", "Content-Length is not a number")
         if len(text) > 9 or int(text) > self._max_body:
-            raise Problem(413, "body-too-large", f"the body has over {self._max_body} bytes")
+            raise Problem(413, "body-too-large", f"the body is larger than {self._max_body} bytes")
         return int(text)
 
     def _authorize(self, headers: dict[str, str]) -> None:
@@ -181,10 +181,10 @@
             return
         scheme, _, token = headers.get("authorization", "").partition(" ")
         if scheme.lower() != "bearer" or not hmac.compare_digest(token.strip().encode(), self._auth.encode()):
-            raise Problem(401, "unauthorized", "a valid bearer token is needed")
+            raise Problem(401, "unauthorized", "a valid bearer token is required")
 
     def _send(self, status: int, body: Any, keep: bool, allow: str = "") -> None:
-        text = isinstance(body, bytes)  # figures go as lines of text, the rest as JSON
+        text = isinstance(body, bytes)  # metrics are sent as lines of text, everything else as JSON
         raw = b"" if status == 204 else body if text else orjson.dumps(body)
         lines = [f"HTTP/1.1 {status} {REASONS[status]}", f"Content-Length: {len(raw)}"]
         if raw:
--- a/threadhill/admin/management.py
+++ b/threadhill/admin/management.py
@@ -1,14 +1,14 @@
-"""The operators' address: HTTP/1.1, one call a connection, 2xx for yes and 4xx or 5xx for no.
+"""The management address for operators: HTTP/1.1, one call per connection, 2xx for success and 4xx or 5xx for errors.
 
-    GET  /admin/health                   yes once this process takes clients
-    GET  /admin/stats                    the figures, `name=value` a line
-    POST /admin/cordon   {"name":"ID"}   take that cache server out
-    POST /admin/uncordon {"name":"ID"}   put it back
-    POST /admin/quiesce                  send clients away
-    POST /admin/resume                   take them again
+    GET  /admin/health                   200 once this process accepts clients
+    GET  /admin/stats                    the metrics, one `name=value` per line
+    POST /admin/cordon   {"name":"ID"}   take that cache server out of rotation
+    POST /admin/uncordon {"name":"ID"}   put it back into rotation
+    POST /admin/quiesce                  disconnect clients and accept no new ones
+    POST /admin/resume                   accept clients again
 
-It shares the door of every other front: bounded connections, a deadline for each call to come whole, heads and bodies
-of bounded size. What it decides lies in the core; this only reads calls and says what came of them.
+It uses the same listener as the other fronts: a bounded number of connections, a deadline for each call to arrive
+completely, heads and bodies of bounded size. The core carries out the calls; this module only parses and answers them.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 from threadhill.core.metrics import format_metrics
 from threadhill.net.listener import Listener
 
-MAX_BODY = 4_096  # bytes of a call's body at most
-MAX_NAME_LENGTH = 256  # characters of a cache server's id at most
+MAX_BODY = 4_096  # bytes of a call's body
+MAX_NAME_LENGTH = 256  # characters of a cache server's id
 
 
 class Controls(Protocol):
-    """What the proxy does for its operators."""
+    """The operations that the proxy offers to its operators."""
 
     def healthy(self) -> bool: ...
 
     def figures(self) -> dict[str, int]: ...
 
     def cordon(self, name: str) -> bool:
-        """False where nobody has this id."""
+        """Return False if no cache server has this id."""
         ...
 
     def uncordon(self, name: str) -> bool:
-        """False where it is not out by hand."""
+        """Return False if it is not cordoned."""
         ...
 
     def quiesce(self) -> None: ...
@@ -44,18 +44,20 @@
 
 
 def _name(call: Call) -> str:
-    """The `name` of a call's body, checked."""
+    """Return the validated `name` in a call's body."""
     body = call.json()
     if not isinstance(body, dict) or "name" not in body:
-        raise Problem(400, "no-name", 'the body is {"name":"ID"}, with the id of a cache server')
+        raise Problem(400, "no-name", 'the body must be {"name":"ID"}, with the id of a cache server')
     name = body["name"]
     if not isinstance(name, str) or not name or len(name) > MAX_NAME_LENGTH:
-        raise Problem(400, "bad-name", f"name is a cache server's id, a string of 1 to {MAX_NAME_LENGTH} characters")
+        raise Problem(
+            400, "bad-name", f"name must be a cache server's id, a string of 1 to {MAX_NAME_LENGTH} characters"
+        )
     return name
 
 
 class Management:
-    """The calls, by method and path."""
+    """Dispatches calls by path and method."""
 
     def __init__(self, controls: Controls) -> None:
         self.controls = controls
@@ -72,15 +74,15 @@
         path = call.path.partition("?")[0]
         route = self.routes.get(path)
         if route is None:
-            raise Problem(404, "no-such-path", f"no call {path[:80]}; the calls are {', '.join(self.routes)}")
+            raise Problem(404, "no-such-path", f"there is no call {path[:80]}; the calls are {', '.join(self.routes)}")
         method, handle = route
         if call.method != method and not (method == "GET" and call.method == "HEAD"):
-            raise Problem(405, "wrong-method", f"{path} takes {method}", allow=method)
+            raise Problem(405, "wrong-method", f"{path} requires {method}", allow=method)
         return handle(call)
 
     def _health(self, call: Call) -> tuple[int, Any]:
         if not self.controls.healthy():
-            raise Problem(503, "not-serving", "this process does not take clients")
+            raise Problem(503, "not-serving", "this process does not accept clients")
         return 200, {"status": "serving"}
 
     def _stats(self, call: Call) -> tuple[int, Any]:
@@ -95,7 +97,7 @@
     def _uncordon(self, call: Call) -> tuple[int, Any]:
         name = _name(call)
         if not self.controls.uncordon(name):
-            raise Problem(404, "not-cordoned", f"{name[:80]!r} is not out by hand")
+            raise Problem(404, "not-cordoned", f"{name[:80]!r} is not cordoned")
         return 200, {"uncordoned": name}
 
     def _quiesce(self, call: Call) -> tuple[int, Any]:
@@ -108,7 +110,7 @@
 
 
 def management_listener(host: Any, controls: Controls, log: Any, max_connections: int) -> Listener:
-    """The listener, not yet listening; who says nothing makes room for who calls."""
+    """Create the listener without starting it. When it is full, silent connections are closed for new callers."""
     routes = Management(controls)
     return Listener(
         host,
