--- a/threadhill/admin/cordon_file.py
+++ b/threadhill/admin/cordon_file.py
@@ -1,8 +1,8 @@
-"""Cordons kept in `$TMPDIR`, which the processes of one proxy share across an upgrade: a new process starts with
-what the old one was told, and each takes up what the other was told while both run.
+"""Stores cordons in a file in `$TMPDIR`, shared by the processes of one proxy across an upgrade: a new process starts
+with the cordons of the old one, and while both run each applies the changes made through the other.
 
-The file is written whole to a file beside it and renamed over it, so that a reader never sees half of one. A file
-that cannot be read is set aside, not deleted, and the log says which and what to do.
+The file is replaced atomically (written beside it, then renamed), so that a reader never sees a partial one. A file
+that cannot be read is renamed, not deleted, and the log names it and says what to do.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 from threadhill.files import FileVersion, file_version, replace_atomically
 
-NAME = "threadhill-cordons.json"
-MOST = 1 << 20  # bytes that the file may have: far more than any list of names
+FILE_NAME = "threadhill-cordons.json"
+MAX_FILE_BYTES = 1 << 20  # far more than any list of names needs
 
 
 @dataclass(slots=True)
@@ -29,11 +29,11 @@
 
 
 def _read(raw: bytes) -> SavedCordons:
-    """The contents; ValueError with what is wrong."""
-    told = orjson.loads(raw)
-    if not isinstance(told, dict):
+    """Parse the file's contents; raises ValueError if they are not valid."""
+    document = orjson.loads(raw)
+    if not isinstance(document, dict):
         raise ValueError("it is not a JSON object")
-    out, back = told.get("out", []), told.get("back", {})
+    out, back = document.get("out", []), document.get("back", {})
     if not isinstance(out, list) or not all(isinstance(name, str) and name for name in out):
         raise ValueError('"out" is not a list of names')
     if not isinstance(back, dict) or not all(isinstance(at, int) and at >= 0 for at in back.values()):
@@ -42,26 +42,26 @@
 
 
 class CordonFile:
-    """The one file, and what was last seen of it."""
+    """Reads and writes the file, and detects changes by other processes."""
 
     def __init__(self, folder: Path, log: Callable[[str], None]) -> None:
-        self.path, self.log = folder / NAME, log
-        self._seen: FileVersion | None = None  # of the version last read or written
-        self._unwritten: bytes | None = None  # what the folder did not take yet
-        self._told = False  # its failure was logged
+        self.path, self.log = folder / FILE_NAME, log
+        self._version: FileVersion | None = None  # as last read or written
+        self._unwritten: bytes | None = None  # contents of a write that failed and is to be retried
+        self._failure_logged = False
 
     def changed(self) -> bool:
-        """Whether another process wrote it since it was last read or written here."""
-        return file_version(self.path) != self._seen
+        """Whether another process wrote the file since this one last read or wrote it."""
+        return file_version(self.path) != self._version
 
     def read(self) -> SavedCordons | None:
-        """What it holds; None where there is none, or it cannot be read (then it is set aside and logged)."""
-        self._seen = file_version(self.path)
-        if self._seen is None:
+        """Return the contents; None if there is no file or it cannot be read (then it is renamed and logged)."""
+        self._version = file_version(self.path)
+        if self._version is None:
             return None
         try:
-            if self._seen[1] > MOST:
-                raise ValueError(f"it has over {MOST} bytes")
+            if self._version[1] > MAX_FILE_BYTES:
+                raise ValueError(f"it is larger than {MAX_FILE_BYTES} bytes")
             return _read(self.path.read_bytes())
         except (OSError, ValueError) as error:
             aside = self.path.with_suffix(".damaged")
@@ -73,37 +73,37 @@
                 f"cordons: {self.path}: cannot be read: {error}; it is kept as {aside}, and no server is out by "
                 "hand: cordon again those that are to stay out"
             )
-            self._seen = file_version(self.path)
+            self._version = file_version(self.path)
             return None
 
     def write(self, saved: dict[str, Any], monotonic: Callable[[int], int]) -> None:
-        """Replace it whole. Times are written as `monotonic` turns them: all processes of a machine share that clock,
-        while the wall clock may be stepped between two of them. What cannot be written is kept and tried again by
-        `retry`; the cordons hold in memory meanwhile."""
+        """Replace the contents. `monotonic` converts times to the machine's monotonic clock, which all its processes
+        share, while the wall clock may be stepped between two of them. If the write fails, `retry` repeats it; the
+        cordons stay in force in memory meanwhile."""
         back = {name: max(0, monotonic(at)) for name, at in saved["back"].items()}
         self._unwritten = orjson.dumps(saved | {"back": back})
         self.retry()
 
     @property
     def has_unwritten(self) -> bool:
-        """Whether the file lacks what this process was told last: it must not be read over that."""
+        """Whether a change of this process is not written yet; reading the file now would undo that change."""
         return self._unwritten is not None
 
     def retry(self) -> None:
-        """Write what could not be written yet, if anything."""
+        """Repeat a write that failed, if there is one."""
         if self._unwritten is None:
             return
         try:
             replace_atomically(self.path, self._unwritten)
         except OSError as error:
-            if not self._told:
+            if not self._failure_logged:
                 self.log(
                     f"cordons: {self.path}: not written: {error}; they hold in this process, one that starts now "
                     "will not know them; it is tried again until it is written"
                 )
-            self._told = True
+            self._failure_logged = True
             return
-        if self._told:
+        if self._failure_logged:
             self.log(f"cordons: {self.path}: written again")
-        self._unwritten, self._told = None, False
-        self._seen = file_version(self.path)
+        self._unwritten, self._failure_logged = None, False
+        self._version = file_version(self.path)
