--- a/threadhill/tenancy/__init__.py
+++ b/threadhill/tenancy/__init__.py
@@ -1,1 +1,1 @@
-"""Who may call the administration API, and what they did. Decisions without I/O, and the files that hold both."""
+"""Keys of callers of the administration API, and its audit log: the logic without I/O, and the files of both."""
--- a/threadhill/tenancy/audit.py
+++ b/threadhill/tenancy/audit.py
@@ -1,6 +1,6 @@
-"""The audit log: a line of JSON for each change and each refused call, its hash made over the one before as well, so
-that a line that was altered, left out or put in shows. What hashes can't show is a tail cut off: `verify` tells the
-last number and hash, to be held against what was noted elsewhere."""
+"""The audit log: one line of JSON for each change and each refused call. The hash of each line covers the hash of the
+line before, so that altered, missing or inserted lines are detected. The hash chain does not detect a truncated log:
+`verify` returns the last number and hash, to be compared with a record kept elsewhere."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from typing import Any
 
 INITIAL_HASH = "0" * 64
-MAX_LINE = 64 << 10
-MAX_DETAIL = 4_096  # characters of what was done
-TAIL_BYTES = 1 << 20
+MAX_LINE = 64 << 10  # characters
+MAX_DETAIL = 4_096  # characters of a line's detail as JSON; a longer one is not kept
+TAIL_BYTES = 1 << 20  # searched from the end of the file for a partial line
 
 
 def chain_hash(previous_hash: str, body: str) -> str:
@@ -24,7 +24,7 @@
 def format_line(
     number: int, at: int, actor: str, action: str, detail: Any, outcome: int, previous_hash: str
 ) -> tuple[str, str]:
-    """One line and its hash."""
+    """Return one line and its hash."""
     body = json.dumps(
         {
             "n": number,
@@ -42,27 +42,29 @@
 
 
 class CorruptLog(Exception):
-    """The log does not hold together; the text says where and how."""
+    """The log fails verification; the text says at which line and why."""
 
 
 def read_line(raw: str, number: int, previous_hash: str) -> tuple[dict[str, Any], str]:
-    """A line's body and hash, checked against what comes before it."""
+    """Return a line's body and hash, verified against its number and the hash of the line before."""
     try:
         outer = json.loads(raw)
         body, line_hash = outer["body"], outer["hash"]
         inner = json.loads(body)
         count = inner["n"]
     except (ValueError, KeyError, TypeError):
-        raise CorruptLog(f"line {number}: is no line of an audit log") from None
+        raise CorruptLog(f"line {number}: is not a line of an audit log") from None
     if line_hash != chain_hash(previous_hash, body):
-        raise CorruptLog(f"line {number}: its hash does not fit: it, or the line before it, was altered or left out")
+        raise CorruptLog(
+            f"line {number}: its hash does not match: this line or the one before it was altered or removed"
+        )
     if count != number:
-        raise CorruptLog(f"line {number}: says that it is line {count}")
+        raise CorruptLog(f"line {number}: is numbered {count}")
     return inner, line_hash
 
 
 def verify(path: Path) -> tuple[int, str]:
-    """How many lines, and the last one's hash; CorruptLog where one does not hold."""
+    """Return the number of lines and the hash of the last one; raises CorruptLog at the first line that fails."""
     number, last_hash = 0, INITIAL_HASH
     with path.open(encoding="utf-8", errors="replace") as file:
         for raw in file:
@@ -74,7 +76,7 @@
 
 
 class AuditLog:
-    """Appends; goes on from what is there. A line that was cut off by a crash is taken off and told."""
+    """Appends to a log file, after its existing lines. A partial last line, left by a crash, is removed and logged."""
 
     def __init__(self, path: Path, log: Callable[[str], None]) -> None:
         self.path, self.log = path, log
@@ -90,7 +92,9 @@
         tail = self.file.read()
         if tail and not tail.endswith(b"\n"):
             kept_size = size - len(tail) + tail.rfind(b"\n") + 1
-            self.log(f"audit: {self.path}: {size - kept_size} bytes of a line that was cut off are taken off its end")
+            self.log(
+                f"audit: {self.path}: {size - kept_size} bytes of a line that was cut off were removed from its end"
+            )
             self.file.truncate(kept_size)
 
     def add(self, at: int, actor: str, action: str, detail: Any, outcome: int) -> None:
--- a/threadhill/tenancy/keyfile.py
+++ b/threadhill/tenancy/keyfile.py
@@ -1,4 +1,4 @@
-"""The file of keys: written whole and readable by its owner only, looked at again and again by the running proxy."""
+"""The file of keys: replaced atomically, readable only by its owner, and polled by the running proxy."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from threadhill.settings import Malformed
 from threadhill.tenancy.keys import MAX_KEYS, Key, read_key
 
-MAX_FILE_BYTES = 8 << 20  # bytes of the file: keys have some 300 each
+MAX_FILE_BYTES = 8 << 20  # a key takes some 300 bytes
 
 
 def read(path: Path) -> dict[str, Key]:
-    """All keys by id; Malformed says what is wrong with the file and what to do."""
+    """Read all keys, by id. Malformed says what is wrong with the file and what to do."""
     check_private(path, MAX_FILE_BYTES)
     try:
         raw = json.loads(path.read_text())
         if not isinstance(raw, dict) or not isinstance(raw.get("keys"), list) or len(raw["keys"]) > MAX_KEYS:
-            raise ValueError(f"it holds no list of {MAX_KEYS} keys at most")
+            raise ValueError(f"it does not hold a list of at most {MAX_KEYS} keys")
         keys = [read_key(item) for item in raw["keys"]]
     except ValueError as error:
         raise Malformed(
-            f"{path}: not a file of keys: {str(error)[:160]}; put back a copy of it, or make a new one "
+            f"{path}: not a file of keys: {str(error)[:160]}; restore a copy of it, or create a new one "
             "with `threadhill key create`"
         ) from None
     return {key.id: key for key in keys}
@@ -32,7 +32,7 @@
 
 def write(path: Path, keys: dict[str, Key]) -> None:
     if len(keys) > MAX_KEYS:
-        raise Malformed(f"{path}: has {MAX_KEYS} keys, the most there may be: remove revoked ones")
+        raise Malformed(f"{path}: has more than {MAX_KEYS} keys: remove revoked ones")
     temporary = path.with_name(f".{path.name}.new")
     temporary.unlink(missing_ok=True)
     with os.fdopen(os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as file:
@@ -43,7 +43,7 @@
 
 
 class KeyFile:
-    """The keys in use. A file that cannot be used is told once and changes nothing."""
+    """The keys in use. A version of the file that is not valid is logged once, and the keys stay as they are."""
 
     def __init__(self, path: Path, log: Callable[[str], None]) -> None:
         self.path, self.log = path, log
@@ -51,7 +51,7 @@
         self.keys = read(path)
 
     def reload_if_changed(self) -> bool:
-        """Whether other keys were taken."""
+        """Read the file again if it has changed; return whether its keys were loaded."""
         version = file_version(self.path)
         if version == self._version:
             return False
@@ -59,6 +59,6 @@
         try:
             self.keys = read(self.path)
         except (Malformed, OSError) as error:
-            self.log(f"keys: {error}; the keys taken before stay in use")
+            self.log(f"keys: {error}; the keys loaded before stay in use")
             return False
         return True
--- a/threadhill/tenancy/keys.py
+++ b/threadhill/tenancy/keys.py
@@ -1,5 +1,6 @@
-"""Keys of operators and tenants for the administration API: hashed at rest, scoped, expiring, rolled with an overlap,
-revoked. A key's text is shown once, when it is made. Decisions only: the time is given; the file is in `keyfile`."""
+"""Keys of operators and tenants for the administration API: stored as hashes, with scopes and an expiry, rolled with
+an overlap, revoked. A key's text is shown only when it is created. Without I/O: callers pass the time, and `keyfile`
+holds the file."""
 
 from __future__ import annotations
 
@@ -16,31 +17,31 @@
 
 PREFIX = "thk"
 KEY_PATTERN = re.compile(rf"{PREFIX}_([0-9a-f]{{12}})_([A-Za-z0-9_-]{{43}})")
-SCRYPT_N = 1 << 12  # scrypt's N: 4 MB and some 10 ms a check; a secret has 256 bits, so nothing is gained by guessing
+SCRYPT_N = 1 << 12  # 4 MB and some 10 ms per check; secrets have 256 random bits, so guessing gains nothing
 MAX_KEYS = 10_000
-MAX_LIFETIME_S = 3_650 * 86_400
+MAX_LIFETIME_S = 3_650 * 86_400  # ten years
 TENANT_NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
-MAX_VERIFIED = 1_024  # texts whose check is remembered, by a digest under a secret of this process
-MAX_SOURCES = 1_024  # addresses whose failed tries are remembered
-FREE_FAILURES = 3  # failed tries of one address before it has to wait
-FIRST_WAIT_S, MAX_WAIT_S = 0.5, 30.0  # seconds after the next one, doubled each time
-CHECKS_PER_S = 20.0  # full checks a second, of all addresses together
+MAX_VERIFIED = 1_024  # cached successful checks, by the text's HMAC under a secret of this process
+MAX_SOURCES = 1_024  # addresses whose failed attempts are remembered
+FREE_FAILURES = 3  # failed attempts of one address before it has to wait
+FIRST_WAIT_S, MAX_WAIT_S = 0.5, 30.0  # after the next failure, doubled with each further one
+CHECKS_PER_S = 20.0  # scrypt checks per second, for all addresses together
 
 
 class Scope(Enum):
     READ = "read"
     PURGE = "purge"
     QUOTA = "quota"
-    ADMIN = "admin"  # holds all others
+    ADMIN = "admin"  # includes all others
 
 
 class KeyChangeRefused(Exception):
-    """A change of keys that can't be made; the text says why."""
+    """A change of keys is not possible; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """What is kept of one key. `tenant` "": an operator's."""
+    """The stored record of one key. An operator's key has the tenant ""."""
 
     id: str
     scopes: frozenset[Scope]
@@ -49,7 +50,7 @@
     created: int  # Unix seconds
     expires: int  # 0: never
     tenant: str = ""
-    revoked: int = 0
+    revoked: int = 0  # Unix seconds; 0: not revoked
     note: str = ""
 
     def is_valid(self, now: int) -> bool:
@@ -73,9 +74,9 @@
 
 
 def read_key(raw: Any) -> Key:
-    """A key from its document; ValueError where it is none."""
+    """Parse a key's document; raises ValueError if it is not valid."""
     if not isinstance(raw, dict):
-        raise ValueError("a key is an object")
+        raise ValueError("a key must be a JSON object")
     try:
         key = Key(
             raw["id"],
@@ -89,7 +90,7 @@
             raw["note"],
         )
     except (KeyError, TypeError) as error:
-        raise ValueError(f"a key without {error}") from None
+        raise ValueError(f"a key is incomplete: {error}") from None
     times_valid = all(type(value) is int and value >= 0 for value in (key.created, key.expires, key.revoked))
     texts_valid = isinstance(key.id, str) and isinstance(key.note, str) and isinstance(key.tenant, str)
     if (
@@ -99,7 +100,7 @@
         or len(key.hash) != 32
         or not key.scopes
     ):
-        raise ValueError("a key's id, times, scopes or hash cannot be used")
+        raise ValueError("a key's id, times, scopes or hash are not valid")
     return key
 
 
@@ -108,16 +109,16 @@
 
 
 def create(scopes: Iterable[Scope], now: int, lifetime_s: int = 0, tenant: str = "", note: str = "") -> tuple[Key, str]:
-    """A new key and its text, which is nowhere else."""
+    """Create a key; returns it and its text, which is not stored."""
     scopes = frozenset(scopes)
     if not scopes:
-        raise KeyChangeRefused("a key has at least one scope: " + ", ".join(scope.value for scope in Scope))
+        raise KeyChangeRefused("a key needs at least one scope: " + ", ".join(scope.value for scope in Scope))
     if tenant and not TENANT_NAME.fullmatch(tenant):
-        raise KeyChangeRefused(f"{tenant[:60]!r} is no tenant's name")
+        raise KeyChangeRefused(f"{tenant[:60]!r} is not a valid tenant name")
     if tenant and Scope.ADMIN in scopes:
         raise KeyChangeRefused("a tenant's key can't have the scope admin: that is for operators")
     if not 0 <= lifetime_s <= MAX_LIFETIME_S:
-        raise KeyChangeRefused("a key's life is from 0 (no end) to ten years")
+        raise KeyChangeRefused("a key's lifetime must be from 0 (no expiry) to ten years")
     id, secret, salt = secrets.token_hex(6), secrets.token_urlsafe(32), secrets.token_bytes(16)
     key = Key(
         id, scopes, salt, hash_secret(secret, salt), now, now + lifetime_s if lifetime_s else 0, tenant, note=note[:200]
@@ -133,10 +134,10 @@
 
 
 def roll(keys: dict[str, Key], id: str, overlap: int, now: int) -> tuple[Key, Key, str]:
-    """A new key like this one; the old one is good for so many seconds more. (Old, new, the new one's text.)"""
+    """Create a key like this one; the old one stays valid for `overlap` seconds. Returns old, new, the new text."""
     old = find(keys, id)
     if not old.is_valid(now):
-        raise KeyChangeRefused(f"key {id} is revoked or has expired: make a new one")
+        raise KeyChangeRefused(f"key {id} is revoked or has expired: create a new one")
     lifetime_s = old.expires - old.created if old.expires else 0
     new, text = create(old.scopes, now, lifetime_s, old.tenant, old.note)
     end = now + max(1, overlap)
@@ -156,7 +157,7 @@
 
 @dataclass(slots=True)
 class KeyChecker:
-    """Checks the texts that callers bring, and slows down who brings wrong ones."""
+    """Checks the keys that callers present, and delays addresses that present wrong ones."""
 
     keys: dict[str, Key]
     _verified: OrderedDict[bytes, str] = field(default_factory=OrderedDict)
@@ -166,17 +167,17 @@
     _refilled_at: float = 0.0
 
     def replace_keys(self, keys: dict[str, Key]) -> None:
-        """Other keys from now on. What was checked before counts no more than its key."""
+        """Use other keys from now on; cached checks of keys that are gone are dropped."""
         self.keys = keys
         self._verified = OrderedDict((digest, id) for digest, id in self._verified.items() if id in keys)
 
     def retry_delay(self, source: str, now: float) -> float:
-        """Seconds that this address has to wait before its next try."""
+        """Seconds that this address has to wait before its next attempt."""
         attempts = self._sources.get(source)
         return max(0.0, attempts.blocked_until - now) if attempts is not None else 0.0
 
     def check(self, text: str, source: str, now: float) -> Key | None:
-        """The key that this text is of, if it is good now."""
+        """Return the key with this text, if it is valid now."""
         digest = hmac.digest(self._secret, text.encode(), "sha256")
         id = self._verified.get(digest)
         if id is None:
@@ -193,7 +194,7 @@
         return key
 
     def _check_hash(self, text: str, now: float) -> str | None:
-        """The check that costs: as often as is allowed, and as dear for a key that nobody has."""
+        """Check the text by scrypt, within the rate limit. An unknown id costs as much as a known one."""
         self._check_tokens = min(CHECKS_PER_S, self._check_tokens + CHECKS_PER_S * max(0.0, now - self._refilled_at))
         self._refilled_at = now
         match = KEY_PATTERN.fullmatch(text)
