--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -204,6 +204,6 @@
         ]
         assert any(d["did"] == "authorize" and d["outcome"] == 401 for d in done)
         assert tenant not in (tmp_path / "audit.log").read_text() and tenant not in Path(file).read_text()
-        assert "hold together" in await run(None, command, "audit", "verify", str(tmp_path / "audit.log"))
+        assert "lines verified" in await run(None, command, "audit", "verify", str(tmp_path / "audit.log"))
 
     run_scenario(tmp_path, scene, OPERATOR + '\n[dns]\nlisten = "127.0.0.1:0"\n')
--- a/threadhill/__main__.py
+++ b/threadhill/__main__.py
@@ -1,6 +1,7 @@
 """`python -m threadhill`: the command line.
 
-A proxy as the platform starts it needs none of it: the library behind it costs more of a start than the proxy itself.
+`serve` as the platform calls it bypasses the command line library, whose import takes longer than the rest of a
+proxy's start.
 """
 
 import os
--- a/threadhill/admin/api.py
+++ b/threadhill/admin/api.py
@@ -8,7 +8,7 @@
 DELETE /v1/tenants/NAME     remove a tenant
 GET    /v1/stats            the counters
 GET    /v1/overload         the state of overload control, its figures and the limits in force
-GET    /v1/overload/why/ID  why the request with this id was refused; the last few thousand refusals are kept
+GET    /v1/overload/why/ID  why the request with this id was refused; the last 2,048 refusals are kept
 GET    /metrics             the overload figures and the counters, for Prometheus
 GET    /v1/dns/resolvers    the load charged to each resolver, and which resolvers cache answers of TTL 0
 """
--- a/threadhill/cli_codes.py
+++ b/threadhill/cli_codes.py
@@ -1,7 +1,7 @@
 """Exit codes of the command line, as its help documents them."""
 
 DONE = 0  # or nothing to do
-ERROR = 1  # it is told on standard error
-CHANGES = 2  # `plan`: there is something to do; elsewhere, words that can't be used
-HALTED = 3  # an apply needs an operator, and stays open
-CONFLICT = 4  # the state has moved on, or somebody else is applying
+ERROR = 1  # printed on standard error
+CHANGES = 2  # `plan`: there are changes; elsewhere, invalid arguments
+HALTED = 3  # an apply stays open and needs an operator
+CONFLICT = 4  # the state has changed, or another apply is running
