--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Callers' keys and the audit log: scopes, tenants, rolls, revocation, failed tries, and a chain that shows changes."""
+"""Callers' keys and the audit log: scopes, tenants, rolls, revocation, failed attempts, and the hash chain."""
 
 from __future__ import annotations
 
@@ -38,18 +38,18 @@
 """
 
 
-def command(*words: str) -> str:
+def run_command(*words: str) -> str:
     return subprocess.run(
         [sys.executable, "-m", "threadhill", *words], cwd=ROOT, capture_output=True, text=True, check=True
     ).stdout.strip()
 
 
-def test_keys_are_known_while_they_are_good_and_by_nothing_else() -> None:
+def test_only_valid_keys_are_accepted() -> None:
     key, text = keys.create([Scope.READ], 1_000, lifetime_s=60)
     checker = KeyChecker({key.id: key})
     assert text not in json.dumps(key.to_document()) and text.split("_", 2)[2] not in str(key)
     assert checker.check(text, "a", 1_000) == key and checker.check(text, "a", 1_059) == key
-    assert checker.check(text, "a", 1_060) is None  # it has expired, though its check is remembered
+    assert checker.check(text, "a", 1_060) is None  # expired, although its successful check is cached
     checker.replace_keys({key.id: replace(key, revoked=1_010)})
     assert checker.check(text, "b", 1_010) is None
     other = text[:-5] + ("aaaaa" if text[-5:] != "aaaaa" else "bbbbb")
@@ -58,7 +58,7 @@
     assert keys.read_key(key.to_document()) == key
 
 
-def test_failed_tries_are_slowed_by_their_source_and_checks_bounded_for_all() -> None:
+def test_failed_attempts_are_delayed_by_source_and_checks_are_rate_limited() -> None:
     key, text = keys.create([Scope.ADMIN], 0)
     checker, now = KeyChecker({key.id: key}), 1_000.0
     for _ in range(keys.FREE_FAILURES + 3):
@@ -72,15 +72,15 @@
     for n in range(3 * keys.MAX_SOURCES):
         checker.check("thk_wrong", f"s{n}", now)
     assert len(checker._sources) <= keys.MAX_SOURCES
-    stranger = f"thk_{'0' * 12}_{'x' * 43}"
+    unknown_key = f"thk_{'0' * 12}_{'x' * 43}"
     began = time.perf_counter()
-    for _ in range(2_000):  # made-up keys in the right form: only so many are worked out
-        checker.check(stranger, "s", now)
+    for _ in range(2_000):  # well-formed unknown keys: scrypt runs only at the limited rate
+        checker.check(unknown_key, "s", now)
     assert time.perf_counter() - began < 10 and checker._check_tokens < 1
-    assert checker.check(text, "good", now) == key  # one that is known costs nothing of that
+    assert checker.check(text, "good", now) == key  # a cached check does not count against the limit
 
 
-def test_a_roll_overlaps_and_what_cannot_be_made_is_refused() -> None:
+def test_roll_overlaps_and_invalid_keys_are_not_created() -> None:
     old, _ = keys.create([Scope.READ, Scope.QUOTA], 1_000, lifetime_s=500, tenant="acme")
     before, new, text = keys.roll({old.id: old}, old.id, 30, 1_100)
     assert before.is_valid(1_129) and not before.is_valid(1_130) and new.is_valid(1_599) and not new.is_valid(1_600)
@@ -93,23 +93,23 @@
             keys.create(scopes, 0, life, tenant)
 
 
-def test_a_file_of_keys_that_cannot_be_used_is_told_once_and_the_old_ones_stay(tmp_path: Path) -> None:
-    path, told = tmp_path / "keys.json", []
+def test_invalid_key_file_is_logged_once_and_old_keys_stay(tmp_path: Path) -> None:
+    path, messages = tmp_path / "keys.json", []
     key, _ = keys.create([Scope.READ], 0)
     keyfile.write(path, {key.id: key})
     assert os.stat(path).st_mode & 0o777 == 0o600
-    file = keyfile.KeyFile(path, told.append)
-    good = path.read_text()
-    for spoilt in ("{", "[]", good.replace(key.id, "zz"), good.replace("read", "root")):
-        path.write_text(spoilt)
+    file = keyfile.KeyFile(path, messages.append)
+    valid = path.read_text()
+    for damaged in ("{", "[]", valid.replace(key.id, "zz"), valid.replace("read", "root")):
+        path.write_text(damaged)
         assert not file.reload_if_changed() and not file.reload_if_changed() and file.keys == {key.id: key}
-    assert len(told) == 4
+    assert len(messages) == 4
     os.chmod(path, 0o644)
     with pytest.raises(Malformed, match="chmod 600"):
         keyfile.read(path)
 
 
-def written(path: Path, count: int) -> list[str]:
+def write_log(path: Path, count: int) -> list[str]:
     log = audit.AuditLog(path, lambda text: None)
     for n in range(count):
         log.add(n, "key 1", "PUT /v1/tenants/a", {"n": n}, 200)
@@ -119,11 +119,11 @@
 
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(st.integers(0, 5), st.sampled_from(["alter", "drop", "swap", "double", "put in"]), st.integers(0, 10**6))
-def test_every_change_of_the_log_shows(
+def test_every_change_of_the_audit_log_is_detected(
     tmp_path_factory: pytest.TempPathFactory, place: int, how: str, pick: int
 ) -> None:
     path = tmp_path_factory.mktemp("audit") / "log"
-    lines = written(path, 7)
+    lines = write_log(path, 7)
     if how == "alter":
         at = pick % (len(lines[place]) - 1)
         lines[place] = lines[place][:at] + chr(33 + (ord(lines[place][at]) - 32) % 90) + lines[place][at + 1 :]
@@ -143,57 +143,57 @@
         audit.verify(path)
 
 
-def test_the_log_goes_on_after_a_restart_and_mends_a_line_that_was_cut_off(tmp_path: Path) -> None:
-    path, told = tmp_path / "log", []
-    written(path, 3)
+def test_audit_log_continues_after_restart_and_removes_a_partial_line(tmp_path: Path) -> None:
+    path, messages = tmp_path / "log", []
+    write_log(path, 3)
     with path.open("a") as file:
         file.write('{"body":"cut')
-    log = audit.AuditLog(path, told.append)
+    log = audit.AuditLog(path, messages.append)
     log.add(9, "token", "DELETE /v1/tenants/b", None, 200)
     log.close()
-    assert audit.verify(path)[0] == 4 and "cut off" in told[0]
+    assert audit.verify(path)[0] == 4 and "cut off" in messages[0]
 
 
-def test_scopes_tenants_revocation_and_the_audit_log_in_the_running_program(tmp_path: Path) -> None:
+def test_scopes_tenants_revocation_and_audit_log_of_the_running_program(tmp_path: Path) -> None:
     file = str(tmp_path / "keys.json")
-    admin = command("key", "create", "--file", file, "--scope", "admin", "--note", "on call")
-    tenant = command("key", "create", "--file", file, "--scope", "read", "--scope", "quota", "--tenant", "acme")
-    reader = command("key", "create", "--file", file, "--scope", "read")
+    admin = run_command("key", "create", "--file", file, "--scope", "admin", "--note", "on call")
+    tenant = run_command("key", "create", "--file", file, "--scope", "read", "--scope", "quota", "--tenant", "acme")
+    reader = run_command("key", "create", "--file", file, "--scope", "read")
 
-    async def scene(w: ProxyHarness, _: object) -> None:
+    async def scenario(w: ProxyHarness, _: object) -> None:
         port = await w.listening_port("admin")
 
         async def call(key: str, method: str, path: str, body: Any = None) -> int:
             raw = b"" if body is None else json.dumps(body).encode()
-            come, go = await asyncio.open_connection("127.0.0.1", port)
-            go.write(
+            reader_stream, writer = await asyncio.open_connection("127.0.0.1", port)
+            writer.write(
                 f"{method} {path} HTTP/1.1\r\nAuthorization: Bearer {key}\r\nConnection: close\r\n"
                 f"Content-Length: {len(raw)}\r\n\r\n".encode()
                 + raw
             )
-            answer = await come.read()
-            go.close()
+            answer = await reader_stream.read()
+            writer.close()
             return int(answer.split(b" ", 2)[1])
 
         acme, beta = "/v1/tenants/acme", "/v1/tenants/beta"
         zones = ["route.example"]
         assert [await call(key, "GET", "/v1/state") for key in (admin, reader, tenant)] == [200, 200, 403]
         assert [await call(tenant, "GET", path) for path in (acme, beta, "/v1/stats")] == [200, 403, 403]
-        assert await call(tenant, "PUT", acme, {"zones": zones, "quota": 9}) == 200  # its quota, as its scope says
+        assert await call(tenant, "PUT", acme, {"zones": zones, "quota": 9}) == 200  # the scope permits quota changes
         assert await call(tenant, "PUT", acme, {"zones": ["other.example"], "quota": 9}) == 403
         assert await call(tenant, "PUT", beta, {"quota": 1}) == 403 and await call(tenant, "DELETE", acme) == 403
         assert await call(reader, "PUT", acme, {"zones": zones, "quota": 1}) == 403
         assert await call(admin, "PUT", beta, {"zones": ["b.example"]}) == 200
         run = asyncio.get_running_loop().run_in_executor
-        await run(None, command, "key", "revoke", tenant.split("_")[1], "--file", file)
+        await run(None, run_command, "key", "revoke", tenant.split("_")[1], "--file", file)
         began = time.monotonic()
         while await call(tenant, "GET", acme) != 401:
             assert time.monotonic() - began < 20
             await asyncio.sleep(0.1)
-        assert "revoked" in await run(None, command, "key", "list", "--file", file)
+        assert "revoked" in await run(None, run_command, "key", "list", "--file", file)
         statuses = [await call("thk_wrong", "GET", "/v1/state") for _ in range(8)]
         assert statuses[0] == 401 and statuses[-1] == 429
-        assert await call(admin, "GET", "/v1/state") == 429  # whatever that address brings, for a while
+        assert await call(admin, "GET", "/v1/state") == 429  # the address is blocked for a while, even with a valid key
         await until(lambda: audit.verify(tmp_path / "audit.log")[0] >= 7, "the audit log")
         done = [json.loads(json.loads(line)["body"]) for line in (tmp_path / "audit.log").read_text().splitlines()]
         assert [(d["did"], d["outcome"]) for d in done if d["who"] == f"key {tenant.split('_')[1]}"] == [
@@ -204,6 +204,6 @@
         ]
         assert any(d["did"] == "authorize" and d["outcome"] == 401 for d in done)
         assert tenant not in (tmp_path / "audit.log").read_text() and tenant not in Path(file).read_text()
-        assert "lines verified" in await run(None, command, "audit", "verify", str(tmp_path / "audit.log"))
+        assert "lines verified" in await run(None, run_command, "audit", "verify", str(tmp_path / "audit.log"))
 
-    run_scenario(tmp_path, scene, OPERATOR + '\n[dns]\nlisten = "127.0.0.1:0"\n')
+    run_scenario(tmp_path, scenario, OPERATOR + '\n[dns]\nlisten = "127.0.0.1:0"\n')
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -25,14 +25,14 @@
 ACME = {"name": "acme", "zones": ["route.example"], "quota": 5.0}
 
 
-class Admin:
-    """Calls the API as any HTTP client would."""
+class AdminClient:
+    """Calls the API over plain sockets, and runs the command line against it."""
 
-    def __init__(self, world: ProxyHarness, port: int) -> None:
-        self.world, self.port = world, port
+    def __init__(self, harness: ProxyHarness, port: int) -> None:
+        self.harness, self.port = harness, port
 
     async def raw(self, data: bytes) -> bytes:
-        """What the API says until it closes the connection."""
+        """Send `data` and return all that the API answers until it closes the connection."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(data)
         answer = await reader.read()
@@ -56,7 +56,7 @@
         return int(head.split()[1]), json.loads(answer)
 
     async def run(self, *words: str) -> tuple[int, str, str]:
-        """The command line, against this API."""
+        """Run the command line against this API; returns its exit code, output and error output."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -74,21 +74,21 @@
         return process.returncode, out.decode(), err.decode()
 
 
-def play(folder: Path, scene: Callable[[ProxyHarness, Admin], Awaitable[None]]) -> None:
+def run_scenario(folder: Path, scenario: Callable[[ProxyHarness, AdminClient], Awaitable[None]]) -> None:
     async def run() -> None:
-        async with ProxyHarness(folder, operator=OPERATOR) as world:
-            await scene(world, Admin(world, await world.listening_port("admin")))
+        async with ProxyHarness(folder, operator=OPERATOR) as harness:
+            await scenario(harness, AdminClient(harness, await harness.listening_port("admin")))
 
     asyncio.run(run())
 
 
-def test_tenants_are_made_changed_and_removed_each_as_a_new_version(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness, api: Admin) -> None:
+def test_each_change_of_tenants_makes_a_new_version(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness, api: AdminClient) -> None:
         assert await api("GET", "/v1/state") == (200, {"version": 1, "tenants": [ACME]})
         beta = {"name": "beta", "zones": ["b.example"], "quota": 0.0}
-        made = await api("PUT", "/v1/tenants/beta", {"zones": ["B.example."]})
-        assert made == (201, {"version": 2, "tenant": beta})
-        assert (await api("PUT", "/v1/tenants/beta", beta))[1]["version"] == 2  # the same again changes nothing
+        created = await api("PUT", "/v1/tenants/beta", {"zones": ["B.example."]})
+        assert created == (201, {"version": 2, "tenant": beta})
+        assert (await api("PUT", "/v1/tenants/beta", beta))[1]["version"] == 2  # an identical PUT changes nothing
         assert await api("GET", "/v1/tenants/beta") == (200, beta)
         assert (await api("PUT", "/v1/tenants/beta", beta | {"quota": 3}, If_Match="1"))[0] == 409
         assert (await api("PUT", "/v1/tenants/beta", beta | {"quota": 3}, If_Match="2"))[0] == 200
@@ -96,12 +96,12 @@
         assert (await api("GET", "/v1/tenants"))[1]["tenants"] == [beta | {"quota": 3.0}]
         assert (await api("GET", "/v1/tenants/acme"))[0] == 404
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_every_fault_is_told_as_json_and_nothing_is_changed(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness, api: Admin) -> None:
-        bad = [
+def test_errors_are_reported_as_json_and_change_nothing(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness, api: AdminClient) -> None:
+        invalid = [
             {"name": "ok"},
             {"name": "Bad!"},
             {"name": "q", "quota": -1},
@@ -111,7 +111,7 @@
             7,
             {"name": "k", "colour": 1},
         ]
-        status, answer = await api("POST", "/v1/apply", {"version": 1, "tenants": bad})
+        status, answer = await api("POST", "/v1/apply", {"version": 1, "tenants": invalid})
         assert (status, answer["error"]["code"]) == (422, "invalid")
         assert [fault["at"] for fault in answer["error"]["faults"]] == [
             "tenants[1].name",
@@ -145,11 +145,11 @@
         ):
             assert (await api.raw(raw)).split()[1] == code, raw
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_plan_is_applied_once_and_only_to_the_state_it_was_made_for(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness, api: Admin) -> None:
+def test_plan_is_applied_once_and_only_to_its_state_version(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness, api: AdminClient) -> None:
         file = tmp_path / "tenants.toml"
         file.write_text(
             '[[tenants]]\nname = "acme"\nzones = ["route.example"]\nquota = 9\n'
@@ -168,8 +168,8 @@
             ("add", "beta"),
             ("remove", "other"),
         ]
-        for more in ((), ("--on", "2")):  # again, also with the version of an answer that was lost
-            code, out, _ = await api.run("apply", str(file), *more)
+        for options in ((), ("--on", "2")):  # repeated, also with the version of an apply whose answer was lost
+            code, out, _ = await api.run("apply", str(file), *options)
             assert code == 0 and "0 to add, 0 to remove, 0 to change; state version 3" in out
         file.write_text('[[tenants]]\nname = "acme"\n[[tenants]]\nname = "acme"\n')
         code, _, err = await api.run("apply", str(file))
@@ -178,30 +178,30 @@
         code, out, _ = await api.run("stats")
         assert code == 0 and json.loads(out)["admin"]["PUT"] == 1
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_quota_binds_its_tenant_on_the_platforms_front_too(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness, api: Admin) -> None:
+def test_quota_limits_its_tenant_on_the_platform_front(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness, api: AdminClient) -> None:
         client = await w.client()
         await api("PUT", "/v1/tenants/acme", {"quota": 0.01})
         first, *rest = [await client.get(acct="acme") for _ in range(4)]
         assert first[0] == "200" and all(word == "503" and int(fields["backoff"]) > 0 for word, fields, _ in rest)
         assert (await client.get())[0] == "200"
-        assert len(w.asked()) == 2  # what was refused reached nobody
+        assert len(w.asked()) == 2  # refused requests reached no server
         assert (await client.get(acct="nobody"))[0] == "500" and len(w.asked()) == 2
         await api("PUT", "/v1/tenants/acme", {"quota": 0})
         assert [(await client.get(acct="acme"))[0] for _ in range(12)] == ["200"] * 12
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_request_in_pieces_and_two_on_one_connection(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness, api: Admin) -> None:
+def test_split_and_pipelined_requests_are_answered(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness, api: AdminClient) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", api.port)
         one = f"GET /v1/state HTTP/1.1\r\nAuthorization: Bearer {TOKEN}\r\n\r\n".encode()
-        for piece in (one[:10], one[10:] + one):
-            writer.write(piece)
+        for segment in (one[:10], one[10:] + one):
+            writer.write(segment)
             await writer.drain()
         for _ in range(2):
             head = await reader.readuntil(b"\r\n\r\n")
@@ -210,44 +210,44 @@
             assert json.loads(await reader.readexactly(size))["version"] == 1
         writer.close()
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_without_an_operators_file_nothing_else_is_on(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_without_operators_file_no_dns_or_admin_front_runs(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with ProxyHarness(tmp_path) as w:
             assert "dns:" not in w.log and "admin:" not in w.log
             client = await w.client()
             assert (await client.get(acct="acme"))[0] == "200"
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_bad_operators_file_ends_the_start_with_a_message(tmp_path: Path) -> None:
-    async def scene() -> None:
-        for text, said in (
+def test_invalid_operators_file_stops_the_start_with_a_message(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        for text, expected in (
             ("[dsn]\n", "dsn: no such key"),
             ('[admin]\nlisten = "10.0.0.1:1"\ntoken_env = "TOKEN"\n', "loopback"),
             ('[admin]\nlisten = "127.0.0.1:0"\ntoken_env = "NONE"\n', "token"),
             ('[[tenants]]\nname = "X"\n', "tenants[0].name"),
         ):
-            world = ProxyHarness(tmp_path, operator=text)
-            starting = asyncio.ensure_future(world.__aenter__())
-            await until(lambda world=world: getattr(world, "process", None), "the process")
-            assert await world.process.wait() == 2
-            await until(lambda world=world, said=said: said in world.log, said)
+            harness = ProxyHarness(tmp_path, operator=text)
+            starting = asyncio.ensure_future(harness.__aenter__())
+            await until(lambda harness=harness: getattr(harness, "process", None), "the process")
+            assert await harness.process.wait() == 2
+            await until(lambda harness=harness, expected=expected: expected in harness.log, expected)
             starting.cancel()
-            await world.__aexit__()
+            await harness.__aexit__()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_silent_connections_shut_nobody_out_of_the_api(tmp_path: Path) -> None:
-    async def scene(w: ProxyHarness, api: Admin) -> None:
+def test_silent_connections_do_not_block_the_api(tmp_path: Path) -> None:
+    async def scenario(w: ProxyHarness, api: AdminClient) -> None:
         silent = await open_silent_connections(api.port, 40)
         assert (await api("GET", "/v1/state"))[0] == 200
         for reader, writer in silent:
             await read_to_end(reader)
             writer.close()
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
--- a/threadhill/cli.py
+++ b/threadhill/cli.py
@@ -415,7 +415,7 @@
     var_file: VarFiles = [],  # noqa: B006
     to: Annotated[int | None, typer.Option("--to", help="plan a rollback to this version, without files")] = None,
     out: Annotated[Path | None, typer.Option("--out", help="save the plan, for `apply`")] = None,
-    why: Annotated[str, typer.Option("--why", help="kept with the version")] = "",
+    why: Annotated[str, typer.Option("--why", help="a reason, stored with the version")] = "",
     forecast: Annotated[bool, typer.Option(help="calculate each server's share of requests")] = True,
     rate: Annotated[float | None, typer.Option("--rate", help="requests a second at each node")] = None,
     mix: Annotated[Path | None, typer.Option("--mix", help="the mix of requests, as NAME = VALUE lines")] = None,
@@ -448,7 +448,7 @@
     on: Annotated[int | None, typer.Option("--on", help="tenants: the version that was planned on")] = None,
     resume: Annotated[bool, typer.Option("--resume", help="continue the open apply")] = False,
     abandon: Annotated[bool, typer.Option("--abandon", help="end the open apply at its current step")] = False,
-    why: Annotated[str, typer.Option("--why", help="kept with the version")] = "",
+    why: Annotated[str, typer.Option("--why", help="a reason, stored with the version")] = "",
     json: Json = False,
 ) -> None:
     """Carry out a saved plan exactly, or nothing; or plan files and carry out that plan.
