--- a/threadhill/admin/cordon_file.py
+++ b/threadhill/admin/cordon_file.py
@@ -23,6 +23,8 @@
 
 @dataclass(slots=True)
 class SavedCordons:
+    """The contents of the cordon file."""
+
     cordoned: set[str] = field(default_factory=set)
     # Recently uncordoned names, with the time of that in monotonic microseconds.
     uncordoned_at: dict[str, int] = field(default_factory=dict)
@@ -70,8 +72,8 @@
             except OSError:
                 aside = self.path
             self.log(
-                f"cordons: {self.path}: cannot be read: {error}; it is kept as {aside}, and no server is out by "
-                "hand: cordon again those that are to stay out"
+                f"cordons: {self.path}: cannot be read: {error}; it is kept as {aside}, and its cordons are not "
+                "in force: cordon again the servers that are to stay out of rotation"
             )
             self._version = file_version(self.path)
             return None
@@ -98,8 +100,8 @@
         except OSError as error:
             if not self._failure_logged:
                 self.log(
-                    f"cordons: {self.path}: not written: {error}; they hold in this process, one that starts now "
-                    "will not know them; it is tried again until it is written"
+                    f"cordons: {self.path}: not written: {error}; the cordons are in force in this process, but "
+                    "one that starts now will not load them; the write is repeated until it succeeds"
                 )
             self._failure_logged = True
             return
--- a/threadhill/tenancy/audit.py
+++ b/threadhill/tenancy/audit.py
@@ -98,6 +98,7 @@
             self.file.truncate(kept_size)
 
     def add(self, at: int, actor: str, action: str, detail: Any, outcome: int) -> None:
+        """Append a line and sync it to disk."""
         text, line_hash = format_line(self.last_number + 1, at, actor, action, detail, outcome, self.last_hash)
         self.file.write(text.encode())
         self.file.flush()
--- a/threadhill/tenancy/keyfile.py
+++ b/threadhill/tenancy/keyfile.py
@@ -31,6 +31,7 @@
 
 
 def write(path: Path, keys: dict[str, Key]) -> None:
+    """Replace the file atomically, synced to disk and readable only by its owner."""
     if len(keys) > MAX_KEYS:
         raise Malformed(f"{path}: has more than {MAX_KEYS} keys: remove revoked ones")
     temporary = path.with_name(f".{path.name}.new")
--- a/threadhill/tenancy/keys.py
+++ b/threadhill/tenancy/keys.py
@@ -127,6 +127,7 @@
 
 
 def find(keys: dict[str, Key], id: str) -> Key:
+    """Return the key with this id; raises KeyChangeRefused if there is none."""
     key = keys.get(id)
     if key is None:
         raise KeyChangeRefused(f"no key has the id {id[:40]!r}")
@@ -145,12 +146,15 @@
 
 
 def revoke(keys: dict[str, Key], id: str, now: int) -> Key:
+    """Return the key as revoked; a key that is revoked already keeps its time."""
     key = find(keys, id)
     return key if key.revoked else replace(key, revoked=now)
 
 
 @dataclass(slots=True)
 class FailedAttempts:
+    """The failed attempts of one address, and the time until which it has to wait."""
+
     count: int = 0
     blocked_until: float = 0.0
 
