--- a/threadhill/admin/cordon_file.py
+++ b/threadhill/admin/cordon_file.py
@@ -73,7 +73,7 @@
                 aside = self.path
             self.log(
                 f"cordons: {self.path}: cannot be read: {error}; it is kept as {aside}, and its cordons are not "
-                "in force: cordon again the servers that are to stay out of rotation"
+                "loaded: cordon again the servers that are to stay out of rotation"
             )
             self._version = file_version(self.path)
             return None
--- a/threadhill/cli.py
+++ b/threadhill/cli.py
@@ -661,7 +661,7 @@
     data: Annotated[Path | None, typer.Option(help="keep the state here; default: a temporary folder")] = None,
     var: Vars = [],  # noqa: B006
 ) -> None:
-    """Start a whole installation on loopback: control plane, stand-in servers and proxies as FOLDER says.
+    """Start a complete installation on loopback: the control plane, stand-in servers and the proxies of FOLDER.
 
     Example: threadhill dev, and in a second terminal: threadhill ask art-pages 7f3a9c21e0b4d655
     """
