--- a/threadhill/standin/servers.py
+++ b/threadhill/standin/servers.py
@@ -1,7 +1,7 @@
-"""Cache boxes, upper caches and the library, as far as their lines show: bounded copies, fills, cold starts.
+"""Stand-ins for cache servers, parent caches and the origin: bounded copies, fills and cold starts.
 
-They answer `do`, `undo` and `ping` on real sockets and note what came when. What an object is follows from its name, so
-every answer can be checked. Times are Unix seconds.
+They answer `do`, `undo` and `ping` on real sockets and record the arrival of each request. The content of an object is
+derived from its name, so that every answer can be checked. Times are Unix seconds.
 """
 
 from __future__ import annotations
@@ -16,39 +16,40 @@
 
 from threadhill.decision.hashing import hash_name
 
-BASE = 0.004  # seconds that an answer takes at full capacity
-FILL_TIME = 2.0  # seconds after which a fill is given up
-KEPT = 4_000  # copies that a box keeps
-PURGE_SLACK = 0.55  # seconds after a purge in which an older copy is no fault of who asks for it
-PURGE_TAKES = 6.0  # seconds after which real caches have dropped all older copies, which these keep
-NOTED = 200_000  # arrivals that are remembered
-SMALLEST, LARGEST = 1_000, 24_000  # bytes of a part
+ANSWER_TIME = 0.004  # seconds that an answer takes at full capacity
+FILL_TIMEOUT = 2.0  # seconds until a fill times out
+MAX_COPIES = 4_000  # copies that a server stores
+PURGE_SLACK = 0.55  # seconds after a purge in which an answer from an older copy is not counted as stale
+PURGE_DURATION = 6.0  # seconds after a purge until real caches have dropped all older copies; the stand-ins keep theirs
+MAX_ARRIVALS = 200_000  # arrivals that a server records; older ones are dropped
+MIN_PART_BYTES, MAX_PART_BYTES = 1_000, 24_000  # least and greatest size of a part in bytes
 
 
-def body_of(thing: str, nth: str) -> bytes:
-    """The bytes of one part of an object."""
-    size = SMALLEST + hash_name(f"{thing}/{nth}") % (LARGEST - SMALLEST)
-    word = f"{thing}/{nth};".encode()
-    return (word * (size // len(word) + 1))[:size]
+def body_of(obj: str, part: str) -> bytes:
+    """Return the content of one part of an object: its name repeated, with a size derived from a hash of the name."""
+    size = MIN_PART_BYTES + hash_name(f"{obj}/{part}") % (MAX_PART_BYTES - MIN_PART_BYTES)
+    status = f"{obj}/{part};".encode()
+    return (status * (size // len(status) + 1))[:size]
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that has come whole; `source` is what it says a miss is filled from."""
+    """A request that was received whole; `source` is the server that it names for the fill of a miss."""
 
     at: float
     cls: str
-    thing: str
-    nth: str
+    obj: str
+    part: str
     source: str
-    fill: bool = False  # asked by another server
+    fill: bool = False  # sent by another server, to fill a copy
 
 
 @dataclass(slots=True)
 class Copies:
-    """Bounded copies: the lowest rank goes first, within it what was used longest ago, and nothing for a lower rank."""
+    """Bounded store of copies: evicts the least recently used copy of the lowest rank, and no copy for one of a lower
+    rank."""
 
-    most: int = KEPT
+    max_copies: int = MAX_COPIES
     by_rank: list[OrderedDict[tuple[str, str], float]] = field(
         default_factory=lambda: [OrderedDict() for _ in range(4)]
     )
@@ -57,7 +58,7 @@
         return sum(len(kept) for kept in self.by_rank)
 
     def get(self, key: tuple[str, str], rank: int) -> float | None:
-        """When the origin gave this copy out, if it is held; a rank given is its rank from now on."""
+        """Return when the origin issued this copy, or None if it is absent; a rank other than 0 replaces its rank."""
         for held, kept in enumerate(self.by_rank):
             if key in kept:
                 born = kept.pop(key)
@@ -68,7 +69,7 @@
     def put(self, key: tuple[str, str], born: float, rank: int) -> None:
         if not rank:
             return
-        while len(self) >= self.most:
+        while len(self) >= self.max_copies:
             lowest = next(i for i, kept in enumerate(self.by_rank) if kept)
             if lowest > rank:
                 return
@@ -77,7 +78,7 @@
 
 
 class Server:
-    """One stand-in; `kind` is box, parent or library. `where` finds the address of a source by its name."""
+    """One stand-in server; `kind` is box, parent or library. `where` looks up the address of a source by its name."""
 
     def __init__(
         self,
@@ -92,35 +93,35 @@
         self.name, self.kind, self.address, self.where = name, kind, address, where
         self.started, self.cold, self.cold_from, self.upstream = time.time(), cold, cold_from, upstream
         self.copies = Copies()
-        self.arrivals: deque[Arrival] = deque(maxlen=NOTED)
+        self.arrivals: deque[Arrival] = deque(maxlen=MAX_ARRIVALS)
         self.open = 0
-        self.taken = 0  # connections so far
-        self.most_open: dict[int, int] = {}  # second -> most requests in hand in it
+        self.taken = 0  # connections accepted so far
+        self.most_open: dict[int, int] = {}  # Unix second -> most requests open at once in it
         self.hits = self.misses = 0
         self.slow = 1.0
-        self.workers = 0  # requests in work at once; 0: no bound
-        self.queue = 8  # that may wait beyond those; more are refused
-        self.base = BASE
-        self.failing = 0.0  # part of the requests that fail fast
-        self.late = 0.0  # seconds that reports are old
+        self.workers = 0  # requests processed at once; 0: unlimited
+        self.queue = 8  # requests that may wait beyond `workers`; further ones are refused
+        self.base = ANSWER_TIME
+        self.failing = 0.0  # share of the requests that fail at once
+        self.late = 0.0  # age of the load reports in seconds
         self.refusals = 0
-        self.purged: dict[str, float] = {}  # object -> when it was purged: older copies are none that may be answered
-        self.stale = 0  # answers from older copies to what came later than the rules leave for that
-        self._slots: asyncio.Semaphore | None = None
+        self.purged: dict[str, float] = {}  # object -> when it was purged; older copies must not be served any more
+        self.stale = 0  # answers from copies older than a purge, to requests that came over PURGE_SLACK after it
+        self._worker_slots: asyncio.Semaphore | None = None
         self._reports: deque[tuple[float, str]] = deque(maxlen=4_096)
-        self._draw = random.Random(name)
-        self.sources: dict[str, Source] = {}
-        self.filling: dict[tuple[str, str], asyncio.Future[float | None]] = {}
-        self.links: set[Link] = set()
+        self._random = random.Random(name)
+        self.sources: dict[str, SourceConnection] = {}
+        self.running_fills: dict[tuple[str, str], asyncio.Future[float | None]] = {}
+        self.links: set[ServerConnection] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: Link(self), *self.address)
+        self._server = await loop.create_server(lambda: ServerConnection(self), *self.address)
         self.address = self._server.sockets[0].getsockname()[:2]
 
     def stop(self) -> None:
-        """End as a process that dies does: connections are reset, and nobody listens any more."""
+        """Stop as a killed process does: connections are reset and the listener is closed."""
         if self._server is not None:
             self._server.close()
         for link in list(self.links):
@@ -129,26 +130,26 @@
             source.close()
 
     def capacity(self, now: float) -> float:
-        """The part of its full capacity that it has by now."""
+        """Return the share of its full capacity that the server has reached; it rises linearly after a cold start."""
         if not self.cold:
             return 1.0
         return min(1.0, self.cold_from + (1 - self.cold_from) * (now - self.started) / self.cold)
 
     async def back(self, cold: float = 0.0) -> None:
-        """Start again after `stop`, at the same address, with nothing kept."""
+        """Start again after `stop`, at the same address, without any copies."""
         self.started, self.cold, self.copies, self.open = time.time(), cold, Copies(), 0
         await self.start()
 
-    def in_work(self) -> asyncio.Semaphore | nullcontext[None]:
-        """A place among the workers."""
+    def worker_slot(self) -> asyncio.Semaphore | nullcontext[None]:
+        """Return a context manager that holds one of the worker slots."""
         if not self.workers:
             return nullcontext()
-        if self._slots is None:
-            self._slots = asyncio.Semaphore(self.workers)
-        return self._slots
+        if self._worker_slots is None:
+            self._worker_slots = asyncio.Semaphore(self.workers)
+        return self._worker_slots
 
     def report(self) -> str:
-        """The load report, as old as it comes now."""
+        """Return the load report, delayed by `late` seconds."""
         now = time.time()
         self._reports.append((now, self._report()))
         while len(self._reports) > 1 and self._reports[1][0] <= now - self.late:
@@ -160,13 +161,13 @@
         return f"report=inflight:{self.open};util:{min(1.0, self.open / 32):.2f};x1:0.10;x0:{share:.2f}"
 
     async def answer(self, fields: dict[str, str], fill: bool) -> tuple[str, float]:
-        """The word, and when the copy was given out."""
+        """Return the status word, and when the origin issued the copy."""
         came, purged = time.time(), self.purged.get(fields.get("thing", ""))
-        word, born = await self._answer(fields)
-        due = purged is not None and PURGE_SLACK < came - purged < PURGE_TAKES
-        if due and word == "ok" and born < purged and not fill:
+        status, born = await self._answer(fields)
+        due = purged is not None and PURGE_SLACK < came - purged < PURGE_DURATION
+        if due and status == "ok" and born < purged and not fill:
             self.stale += 1
-        return word, born
+        return status, born
 
     async def _answer(self, fields: dict[str, str]) -> tuple[str, float]:
         key = fields.get("thing", ""), fields.get("nth", "0")
@@ -182,10 +183,10 @@
         self.misses += 1
         if not source or source == self.name or "only-if-cached" in fields.get("mode", "") and self.kind == "parent":
             return "nothing", 0.0
-        running = self.filling.get(key)
+        running = self.running_fills.get(key)
         if running is None:
-            running = self.filling[key] = asyncio.ensure_future(self._fill(source, fields))
-            running.add_done_callback(lambda done: self.filling.pop(key, None))
+            running = self.running_fills[key] = asyncio.ensure_future(self._fill(source, fields))
+            running.add_done_callback(lambda done: self.running_fills.pop(key, None))
         born = await asyncio.shield(running)
         if born is None:
             return "refused", 0.0
@@ -193,14 +194,14 @@
         return "ok", born
 
     async def _fill(self, source: str, fields: dict[str, str]) -> float | None:
-        """Ask the source; when its copy was given out, or None."""
+        """Fetch from the source; return when the origin issued its copy, or None if the fill failed."""
         link = self.sources.get(source)
         if link is None or link.lost:
             address = self.where(source)
             if address is None:
                 return None
             try:
-                link = await Source.connect(address)
+                link = await SourceConnection.connect(address)
             except OSError:
                 return None
             self.sources[source] = link
@@ -208,14 +209,14 @@
         if "only-if-cached" in fields.get("mode", ""):
             asked["mode"] = "only-if-cached"
         try:
-            async with asyncio.timeout(FILL_TIME):
+            async with asyncio.timeout(FILL_TIMEOUT):
                 return await link.ask(asked)
         except TimeoutError:
             return None
 
 
-class Lines(asyncio.Protocol):
-    """Lines whose last word may be the length of a body behind them."""
+class LineProtocol(asyncio.Protocol):
+    """Parser of the line protocol: a line of four words ends with the length of the body that follows it."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
@@ -233,18 +234,18 @@
                 return
             body = self.buffer[end + 2 : end + 2 + max(0, size - 2)]
             self.buffer = self.buffer[end + 2 + size :]
-            self.line(words, body)
+            self.line_received(words, body)
 
-    def line(self, words: list[str], body: bytes) -> None:
+    def line_received(self, words: list[str], body: bytes) -> None:
         raise NotImplementedError
 
 
-def fields_of(text: str) -> dict[str, str]:
+def parse_fields(text: str) -> dict[str, str]:
     return dict(item.split("=", 1) for item in text.split(",")) if text != "-" else {}
 
 
-class Link(Lines):
-    """A connection that a proxy or another server has opened."""
+class ServerConnection(LineProtocol):
+    """A connection that a proxy or another server opened to this server."""
 
     def __init__(self, server: Server) -> None:
         super().__init__()
@@ -261,7 +262,7 @@
         for task in self.tasks.values():
             task.cancel()
 
-    def line(self, words: list[str], body: bytes) -> None:
+    def line_received(self, words: list[str], body: bytes) -> None:
         if words[0] == "ping":
             self.transport.write(f"{words[1]} yes - 0\r\n\r\n".encode())
         elif words[0] == "undo":
@@ -269,7 +270,7 @@
             if task is not None:
                 task.cancel()
         elif words[0] == "do" and len(words) == 4:
-            fields = fields_of(words[2])
+            fields = parse_fields(words[2])
             self.server.arrivals.append(
                 Arrival(
                     time.time(),
@@ -295,23 +296,23 @@
         second = int(time.time())
         server.most_open[second] = max(server.most_open.get(second, 0), server.open)
         try:
-            if server.failing and server._draw.random() < server.failing:
-                word, born = "error", 0.0
+            if server.failing and server._random.random() < server.failing:
+                status, born = "error", 0.0
             else:
-                word, born = await server.answer(fields, "fill" in fields)
-                if word == "ok":  # what takes a worker's time is sending; to look and find nothing takes next to none
-                    async with server.in_work():
+                status, born = await server.answer(fields, "fill" in fields)
+                if status == "ok":  # sending occupies a worker; a lookup that misses takes next to no time
+                    async with server.worker_slot():
                         await asyncio.sleep(server.base * server.slow / server.capacity(time.time()))
-            body = body_of(fields.get("thing", ""), fields.get("nth", "0")) if word == "ok" else b""
-            about = f"ver=v{int(born)},born={int(born * 1e3)}," if word == "ok" else ""
-            self.transport.write(f"{id} {word} {about}{server.report()} {len(body)}\r\n".encode() + body + b"\r\n")
+            body = body_of(fields.get("thing", ""), fields.get("nth", "0")) if status == "ok" else b""
+            about = f"ver=v{int(born)},born={int(born * 1e3)}," if status == "ok" else ""
+            self.transport.write(f"{id} {status} {about}{server.report()} {len(body)}\r\n".encode() + body + b"\r\n")
         finally:
             server.open -= 1
             self.tasks.pop(id, None)
 
 
-class Source(Lines):
-    """A connection to where fills come from."""
+class SourceConnection(LineProtocol):
+    """A connection to a source of fills."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -320,7 +321,7 @@
         self.number = 0
 
     @classmethod
-    async def connect(cls, address: tuple[str, int]) -> Source:
+    async def connect(cls, address: tuple[str, int]) -> SourceConnection:
         _, link = await asyncio.get_running_loop().create_connection(cls, *address)
         return link
 
@@ -335,10 +336,10 @@
         finally:
             self.waiting.pop(id, None)
 
-    def line(self, words: list[str], body: bytes) -> None:
+    def line_received(self, words: list[str], body: bytes) -> None:
         future = self.waiting.get(words[0])
         if future is not None and not future.done():
-            fields = fields_of(words[2])
+            fields = parse_fields(words[2])
             future.set_result(int(fields["born"]) / 1e3 if words[1] == "ok" else None)
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -353,7 +354,7 @@
 
 
 class Fleet:
-    """All stand-ins of an installation, by name."""
+    """All stand-in servers of an installation, by name."""
 
     def __init__(self) -> None:
         self.servers: dict[str, Server] = {}
