--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -68,7 +68,7 @@
 async def watch_dials(swarm: Swarm, into: list[tuple[float, int]]) -> None:
     """Connections taken by all servers so far, ten times a second."""
     while True:
-        into.append((time.monotonic(), sum(server.taken for server in swarm.fleet.servers.values())))
+        into.append((time.monotonic(), sum(server.accepted_connections for server in swarm.fleet.servers.values())))
         await asyncio.sleep(0.1)
 
 
@@ -215,7 +215,7 @@
     try:
         await swarm.serve(CACHES)
         for box in swarm.boxes:
-            box.workers, box.base, box.queue = WORKERS, BASE_S, 64
+            box.workers, box.answer_time, box.queue_limit = WORKERS, BASE_S, 64
         (operators,) = free_ports(host, 1)
         names = [
             swarm.configure(f"p{n}", management=f"{host}:{operators if n == PROXIES - 1 else 0}").name
@@ -238,7 +238,7 @@
         for name in killed:
             await swarm.proxies[name].process.wait()
         swarm.fleet.servers[cold].stop()
-        await swarm.fleet.servers[cold].back(cold=COLD_S)
+        await swarm.fleet.servers[cold].restart(cold=COLD_S)
         await swarm.journal.hosts(swarm.member(drained, "DRAINING"), swarm.member(cold))
         for box in swarm.boxes:
             box.purged[PURGED] = time.time()
@@ -269,7 +269,7 @@
                 default=0,
             ),
             "pushed": pushed(swarm.fleet.servers[cold], back_at, time.time()),
-            "stale": sum(box.stale for box in swarm.boxes),
+            "stale": sum(box.stale_answers for box in swarm.boxes),
             "cordoned": sum(a.at > back_at and not a.fill for a in swarm.fleet.servers[out].arrivals),
             "first": (fresh["200"] / max(1, fresh.total())) / max(0.01, warm["200"] / max(1, warm.total())),
             "drained": sum(a.at > back_at + 0.5 and not a.fill for a in swarm.fleet.servers[drained].arrivals),
--- a/benchmarks/plan_apply.py
+++ b/benchmarks/plan_apply.py
@@ -118,7 +118,7 @@
         if s.kind == "box":
             arrivals[s.name] = [a for a in s.arrivals if not a.fill]
             for a in arrivals[s.name][::7]:
-                sizes[a.cls].append(len(body_of(a.thing, a.nth)))
+                sizes[a.cls].append(len(body_of(a.obj, a.part)))
     work = {cls: sum(by) / len(by) / 4e6 for cls, by in sizes.items()}
     all_arrivals = [a for by in arrivals.values() for a in by]
     span = max(a.at for a in all_arrivals) - min(a.at for a in all_arrivals)
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -106,7 +106,7 @@
         await crowd.run(SETTLE_S)
         crowd.answers.clear()
         cpu = sum(p.resources()[0] for p in swarm.proxies.values())
-        dials = sum(box.taken for box in swarm.fleet.servers.values())
+        dials = sum(box.accepted_connections for box in swarm.fleet.servers.values())
         since = time.time()
         crowd.seed += 1
         await crowd.run(calm)
@@ -114,7 +114,8 @@
             "start_s": start,
             "refused": 1 - crowd.answers["200"] / crowd.answers.total(),
             "cpu": (sum(p.resources()[0] for p in swarm.proxies.values()) - cpu) / crowd.answers.total(),
-            "dials": (sum(b.taken for b in swarm.fleet.servers.values()) - dials) / crowd.answers.total(),
+            "dials": (sum(b.accepted_connections for b in swarm.fleet.servers.values()) - dials)
+            / crowd.answers.total(),
             "memory_mb": max(p.resources()[1] for p in swarm.proxies.values()),
             "wrong": crowd.wrong,
             "times": arrivals(swarm, since, since + calm),
@@ -128,7 +129,7 @@
             told["release_times"] = arrivals(swarm, since, since + RELEASE_S)
         told["hint_bytes"] = swarm.journal.hint_bytes / crew / (time.monotonic() - began - start)
         told["pushed_over"] = sum(
-            most > 2 * INITIAL_INFLIGHT_LIMIT for box in swarm.boxes for most in box.most_open.values()
+            most > 2 * INITIAL_INFLIGHT_LIMIT for box in swarm.boxes for most in box.peak_open.values()
         )
         crowd.close()
         told["twice"] = crowd.twice
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -70,7 +70,7 @@
     await rig.live()
     for server in rig.installation.fleet.servers.values():
         if server.kind == "box":
-            server.workers, server.base, server.queue = WORKERS, BASE, 12
+            server.workers, server.answer_time, server.queue_limit = WORKERS, BASE, 12
     return rig
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -211,7 +211,7 @@
 def test_delayed_load_reports_during_a_burst_cause_no_herding_to_one_cache(tmp_path: Path) -> None:
     async def scene(one: Swarm, crowd: Crowd) -> None:
         for box in one.boxes:
-            box.late = 4.0
+            box.report_delay = 4.0
         await crowd.run(3)
         crowd.rate, since = 4 * RATE, time.time()
         crowd.answers.clear()
@@ -235,7 +235,7 @@
             replacement = await one.fleet.add(
                 f"s-0000aa{n:02x}", "box", (one.host, 0), cold=16.0, upstream="s-00000200"
             )
-            replacement.base = 0.025
+            replacement.answer_time = 0.025
             replacements.append(replacement)
             await one.link(replacement.name, replacement)
             await one.journal.hosts(one.member(replacement.name), one.member(name, "DRAINING"))
@@ -247,8 +247,8 @@
             late = [a for a in one.fleet.servers[name].arrivals if a.at > drained + 0.5]
             assert not late, f"{name} got {len(late)} after it drained"
         # The peers' peak shows the capacity when warm; a cold one starts at 0.16 of it, and collapses at 2.5 times it.
-        peak = max(box.most_open[s] for box in one.boxes for s in box.most_open)
-        assert all(max(replacement.most_open.values(), default=0) <= max(6, peak) for replacement in replacements)
+        peak = max(box.peak_open[s] for box in one.boxes for s in box.peak_open)
+        assert all(max(replacement.peak_open.values(), default=0) <= max(6, peak) for replacement in replacements)
         assert sum(len(replacement.arrivals) for replacement in replacements) > 0
 
     with_swarm(tmp_path, scene)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -446,7 +446,7 @@
             async with asyncio.timeout(100):
                 await scene(swarm, crowd)
             crowd.close()
-            assert not crowd.wrong and not crowd.twice and not sum(box.stale for box in swarm.boxes)
+            assert not crowd.wrong and not crowd.twice and not sum(box.stale_answers for box in swarm.boxes)
         finally:
             await swarm.close()
 
@@ -496,7 +496,7 @@
             await swarm.proxies[name].process.wait()
         for box in swarm.boxes[1:3]:
             box.stop()
-            await box.back(cold=8.0)
+            await box.restart(cold=8.0)
         await swarm.journal.hosts(
             swarm.member(drained, "DRAINING"), *(swarm.member(box.name) for box in swarm.boxes[1:3])
         )
@@ -561,7 +561,7 @@
         assert not requests_to(swarm, drained, since)
         born = swarm.fleet.servers[drained]
         born.stop()
-        await born.back(cold=1.0)
+        await born.restart(cold=1.0)
         await swarm.journal.hosts(swarm.member(drained))  # restarted: it counts as another server now
         await wait_until_served(crowd, 0.99)
         await wait_until_served(crowd, 0.99)
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -23,7 +23,7 @@
 from threadhill.settings import Malformed
 from threadhill.standin import faults
 from threadhill.standin.players import Players
-from threadhill.standin.servers import Copies, Fleet
+from threadhill.standin.servers import CopyStore, Fleet
 
 OPERATOR = """
 [overload]
@@ -161,7 +161,7 @@
     async def scene() -> None:
         fleet = Fleet()
         box = await fleet.add("b", "library", ("127.0.0.1", 0))
-        box.workers, box.queue = 1, 1
+        box.workers, box.queue_limit = 1, 1
 
         async def ask(count: int) -> list[str]:
             reader, writer = await asyncio.open_connection(*box.address)
@@ -176,11 +176,11 @@
 
         assert sorted(set(await ask(6))) == ["ok", "refused"]  # one is processed, one waits
         failing = asyncio.ensure_future(faults.play(box, faults.Fault("fail", 0, 0.2, 1.0)))
-        await until(lambda: box.failing)
+        await until(lambda: box.failure_share)
         assert await ask(1) == ["error"]
         await failing
         late = asyncio.ensure_future(faults.play(box, faults.Fault("late", 0, 0.2, 60)))
-        await until(lambda: box.late)
+        await until(lambda: box.report_delay)
         assert box.report() == box.report()
         await late
         stopped = asyncio.ensure_future(faults.play(box, faults.Fault("stop", 0, 0.2, 9.0)))
@@ -190,7 +190,7 @@
         await stopped
         assert await ask(1) == ["ok"] and box.cold == 9.0
         reader, _ = await asyncio.open_connection(*box.address)
-        await until(lambda: box.links)
+        await until(lambda: box.connections)
         reset = asyncio.ensure_future(faults.play(box, faults.Fault("reset", 0, 0.1)))
         with suppress(ConnectionError):
             assert await asyncio.wait_for(reader.read(), 30) == b""  # the connection was closed
@@ -230,7 +230,7 @@
             players.outcomes.clear()
             begun = time.time()
             for server in servers.values():
-                server.copies = Copies()
+                server.copies = CopyStore()
             await asyncio.gather(
                 players.run(9),
                 faults.play(library, faults.Fault("slow", 0, 3, 5.0)),
--- a/threadhill/drills/run.py
+++ b/threadhill/drills/run.py
@@ -92,7 +92,7 @@
             self.swarm.fleet.servers[name].stop()
         elif fault.do == "back":
             server = self.swarm.fleet.servers[name]
-            await server.back(cold=fault.amount or COLD_S)
+            await server.restart(cold=fault.amount or COLD_S)
             await self.swarm.journal.hosts(self.swarm.member(name))
         elif fault.do == "drain":
             await self.swarm.journal.hosts(self.swarm.member(name, "DRAINING"))
--- a/threadhill/standin/faults.py
+++ b/threadhill/standin/faults.py
@@ -30,21 +30,21 @@
     if fault.kind == "stop":
         server.stop()
         await asyncio.sleep(fault.seconds)
-        await server.back(cold=fault.amount)
+        await server.restart(cold=fault.amount)
     elif fault.kind == "slow":
-        server.slow = fault.amount
+        server.slowdown = fault.amount
         await asyncio.sleep(fault.seconds)
-        server.slow = 1.0
+        server.slowdown = 1.0
     elif fault.kind == "fail":
-        server.failing = fault.amount
+        server.failure_share = fault.amount
         await asyncio.sleep(fault.seconds)
-        server.failing = 0.0
+        server.failure_share = 0.0
     elif fault.kind == "late":
-        server.late = fault.amount
+        server.report_delay = fault.amount
         await asyncio.sleep(fault.seconds)
-        server.late = 0.0
+        server.report_delay = 0.0
     else:
         for _ in range(int(10 * fault.seconds)):
-            for link in list(server.links):
+            for link in list(server.connections):
                 link.transport.abort()
             await asyncio.sleep(0.1)
--- a/threadhill/standin/servers.py
+++ b/threadhill/standin/servers.py
@@ -28,8 +28,8 @@
 def body_of(obj: str, part: str) -> bytes:
     """Return the content of one part of an object: its name repeated, with a size derived from a hash of the name."""
     size = MIN_PART_BYTES + hash_name(f"{obj}/{part}") % (MAX_PART_BYTES - MIN_PART_BYTES)
-    status = f"{obj}/{part};".encode()
-    return (status * (size // len(status) + 1))[:size]
+    pattern = f"{obj}/{part};".encode()
+    return (pattern * (size // len(pattern) + 1))[:size]
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class Copies:
+class CopyStore:
     """Bounded store of copies: evicts the least recently used copy of the lowest rank, and no copy for one of a lower
     rank."""
 
@@ -78,41 +78,43 @@
 
 
 class Server:
-    """One stand-in server; `kind` is box, parent or library. `where` looks up the address of a source by its name."""
+    """One stand-in server; `kind` is box, parent or library. `address_of` gives the address of a source by its name."""
 
     def __init__(
         self,
         name: str,
         kind: str,
         address: tuple[str, int],
-        where: Callable[[str], tuple[str, int] | None],
+        address_of: Callable[[str], tuple[str, int] | None],
         cold: float = 0.0,
         cold_from: float = 0.16,
         upstream: str = "",
     ) -> None:
-        self.name, self.kind, self.address, self.where = name, kind, address, where
+        self.name, self.kind, self.address, self.address_of = name, kind, address, address_of
         self.started, self.cold, self.cold_from, self.upstream = time.time(), cold, cold_from, upstream
-        self.copies = Copies()
+        self.copies = CopyStore()
         self.arrivals: deque[Arrival] = deque(maxlen=MAX_ARRIVALS)
         self.open = 0
-        self.taken = 0  # connections accepted so far
-        self.most_open: dict[int, int] = {}  # Unix second -> most requests open at once in it
+        self.accepted_connections = 0
+        self.peak_open: dict[int, int] = {}  # Unix second -> most requests open at once in it
         self.hits = self.misses = 0
-        self.slow = 1.0
+        self.slowdown = 1.0
         self.workers = 0  # requests processed at once; 0: unlimited
-        self.queue = 8  # requests that may wait beyond `workers`; further ones are refused
-        self.base = ANSWER_TIME
-        self.failing = 0.0  # share of the requests that fail at once
-        self.late = 0.0  # age of the load reports in seconds
+        self.queue_limit = 8  # requests that may wait beyond `workers`; further ones are refused
+        self.answer_time = ANSWER_TIME
+        self.failure_share = 0.0  # share of the requests that fail at once
+        self.report_delay = 0.0  # age of the load reports in seconds
         self.refusals = 0
         self.purged: dict[str, float] = {}  # object -> when it was purged; older copies must not be served any more
-        self.stale = 0  # answers from copies older than a purge, to requests that came over PURGE_SLACK after it
+        self.stale_answers = (
+            0  # answers from copies older than a purge, to requests that came over PURGE_SLACK after it
+        )
         self._worker_slots: asyncio.Semaphore | None = None
         self._reports: deque[tuple[float, str]] = deque(maxlen=4_096)
         self._random = random.Random(name)
         self.sources: dict[str, SourceConnection] = {}
         self.running_fills: dict[tuple[str, str], asyncio.Future[float | None]] = {}
-        self.links: set[ServerConnection] = set()
+        self.connections: set[ServerConnection] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
@@ -124,7 +126,7 @@
         """Stop as a killed process does: connections are reset and the listener is closed."""
         if self._server is not None:
             self._server.close()
-        for link in list(self.links):
+        for link in list(self.connections):
             link.transport.abort()
         for source in self.sources.values():
             source.close()
@@ -135,9 +137,9 @@
             return 1.0
         return min(1.0, self.cold_from + (1 - self.cold_from) * (now - self.started) / self.cold)
 
-    async def back(self, cold: float = 0.0) -> None:
+    async def restart(self, cold: float = 0.0) -> None:
         """Start again after `stop`, at the same address, without any copies."""
-        self.started, self.cold, self.copies, self.open = time.time(), cold, Copies(), 0
+        self.started, self.cold, self.copies, self.open = time.time(), cold, CopyStore(), 0
         await self.start()
 
     def worker_slot(self) -> asyncio.Semaphore | nullcontext[None]:
@@ -149,12 +151,12 @@
         return self._worker_slots
 
     def report(self) -> str:
-        """Return the load report, delayed by `late` seconds."""
+        """Return the load report, delayed by `report_delay` seconds."""
         now = time.time()
         self._reports.append((now, self._report()))
-        while len(self._reports) > 1 and self._reports[1][0] <= now - self.late:
+        while len(self._reports) > 1 and self._reports[1][0] <= now - self.report_delay:
             self._reports.popleft()
-        return self._reports[0][1] if self.late else self._reports[-1][1]
+        return self._reports[0][1] if self.report_delay else self._reports[-1][1]
 
     def _report(self) -> str:
         share = self.hits / (self.hits + self.misses) if self.hits + self.misses else 0.0
@@ -166,7 +168,7 @@
         status, born = await self._answer(fields)
         due = purged is not None and PURGE_SLACK < came - purged < PURGE_DURATION
         if due and status == "ok" and born < purged and not fill:
-            self.stale += 1
+            self.stale_answers += 1
         return status, born
 
     async def _answer(self, fields: dict[str, str]) -> tuple[str, float]:
@@ -197,7 +199,7 @@
         """Fetch from the source; return when the origin issued its copy, or None if the fill failed."""
         link = self.sources.get(source)
         if link is None or link.lost:
-            address = self.where(source)
+            address = self.address_of(source)
             if address is None:
                 return None
             try:
@@ -254,11 +256,11 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.server.links.add(self)
-        self.server.taken += 1
+        self.server.connections.add(self)
+        self.server.accepted_connections += 1
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.server.links.discard(self)
+        self.server.connections.discard(self)
         for task in self.tasks.values():
             task.cancel()
 
@@ -287,22 +289,22 @@
 
     async def _serve(self, id: str, fields: dict[str, str]) -> None:
         server = self.server
-        if server.workers and server.open >= server.workers + server.queue:
+        if server.workers and server.open >= server.workers + server.queue_limit:
             server.refusals += 1
             self.transport.write(f"{id} refused {server.report()} 0\r\n\r\n".encode())
             self.tasks.pop(id, None)
             return
         server.open += 1
         second = int(time.time())
-        server.most_open[second] = max(server.most_open.get(second, 0), server.open)
+        server.peak_open[second] = max(server.peak_open.get(second, 0), server.open)
         try:
-            if server.failing and server._random.random() < server.failing:
+            if server.failure_share and server._random.random() < server.failure_share:
                 status, born = "error", 0.0
             else:
                 status, born = await server.answer(fields, "fill" in fields)
                 if status == "ok":  # sending occupies a worker; a lookup that misses takes next to no time
                     async with server.worker_slot():
-                        await asyncio.sleep(server.base * server.slow / server.capacity(time.time()))
+                        await asyncio.sleep(server.answer_time * server.slowdown / server.capacity(time.time()))
             body = body_of(fields.get("thing", ""), fields.get("nth", "0")) if status == "ok" else b""
             about = f"ver=v{int(born)},born={int(born * 1e3)}," if status == "ok" else ""
             self.transport.write(f"{id} {status} {about}{server.report()} {len(body)}\r\n".encode() + body + b"\r\n")
@@ -359,7 +361,7 @@
     def __init__(self) -> None:
         self.servers: dict[str, Server] = {}
 
-    def where(self, name: str) -> tuple[str, int] | None:
+    def address_of(self, name: str) -> tuple[str, int] | None:
         server = self.servers.get(name)
         return server.address if server is not None else None
 
@@ -372,7 +374,7 @@
         cold_from: float = 0.16,
         upstream: str = "",
     ) -> Server:
-        server = Server(name, kind, address, self.where, cold, cold_from, upstream)
+        server = Server(name, kind, address, self.address_of, cold, cold_from, upstream)
         await server.start()
         self.servers[name] = server
         return server
--- a/threadhill/standin/swarm.py
+++ b/threadhill/standin/swarm.py
@@ -213,7 +213,7 @@
         names += [(f"s-000001{i:02x}", "parent") for i in range(parents)] + [("s-00000200", "library")]
         for name, kind in names:
             server = await self.fleet.add(name, kind, (self.host, 0), upstream="s-00000200")
-            server.base = base if kind == "box" else base / 5
+            server.answer_time = base if kind == "box" else base / 5
             if linked and kind == "box":
                 await self.link(name, server)
         if linked:
