--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -93,7 +93,7 @@
         reader, writer = await asyncio.open_connection(*relay.address)
         writer.write(b"back")
         assert await reader.read(100) == b"back"
-        with pytest.raises(ValueError, match="no such change"):
+        with pytest.raises(ValueError, match="unknown change"):
             await play({"a": relay}, [Change(0.0, ("a",), "melt")])
 
     with_relay(scene)
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -195,7 +195,7 @@
         with suppress(ConnectionError):
             assert await asyncio.wait_for(reader.read(), 30) == b""  # the connection was closed
         await reset
-        with pytest.raises(ValueError, match="no such fault"):
+        with pytest.raises(ValueError, match="unknown fault"):
             await faults.play(box, faults.Fault("melt", 0, 0))
         fleet.close()
 
--- a/threadhill/standin/faults.py
+++ b/threadhill/standin/faults.py
@@ -1,4 +1,4 @@
-"""Scripted faults of stand-in servers: what happens, to whom, when, and for how long."""
+"""Scripted faults of stand-in servers: kind, server, start and duration."""
 
 from __future__ import annotations
 
@@ -10,8 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """`kind` is stop (it ends, and comes back cold), slow (so many times), fail (that part of requests), late (reports
-    so many seconds old) or reset (its connections, every tenth of a second)."""
+    """A fault of one server. `kind` is stop (the server stops, then restarts with a cold start of `amount` seconds),
+    slow (answers take `amount` times as long), fail (that share of the requests fails), late (load reports are `amount`
+    seconds old) or reset (all its connections, every 0.1 s)."""
 
     kind: str
     at: float  # seconds from the start of the script
@@ -23,9 +24,9 @@
 
 
 async def play(server: Server, fault: Fault) -> None:
-    """Bring the fault about, and end it."""
+    """Wait until the fault is due, apply it, and end it after its duration."""
     if fault.kind not in KINDS:
-        raise ValueError(f"{fault.kind}: no such fault; there are {', '.join(KINDS)}")
+        raise ValueError(f"unknown fault {fault.kind}; known faults: {', '.join(KINDS)}")
     await asyncio.sleep(fault.at)
     if fault.kind == "stop":
         server.stop()
--- a/threadhill/standin/links.py
+++ b/threadhill/standin/links.py
@@ -1,7 +1,7 @@
-"""Links that fail: relays on loopback that stand between any two processes, and can be switched while traffic runs.
+"""Network faults between processes: TCP relays on loopback whose impairments can be changed while traffic runs.
 
-A relay takes connections at an address of its own and opens one each to its target. What its link does with bytes is
-told for each direction apart, so that one may fail while the other works.
+A relay accepts connections at an address of its own and opens one to its target for each. Impairments are set for each
+direction separately, so that one may fail while the other works.
 """
 
 from __future__ import annotations
@@ -12,49 +12,49 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-HELD = 256 << 10  # bytes of one direction of a connection that wait here at most, then its sender is read no more
-RATE_TURN = 0.02  # seconds of sending that a slow link takes at a time
+HELD = 256 << 10  # bytes buffered for one direction of a connection; above this, reading from its sender pauses
+RATE_TURN = 0.02  # greatest interval in seconds between writes to a rate-limited link
 
 
 @dataclass(frozen=True, slots=True)
 class Way:
-    """What one direction does: all bytes pass at once unless a field says otherwise."""
+    """Impairment of one direction; with the defaults all bytes pass at once."""
 
-    drop: bool = False  # they vanish in silence, and an end of the connection with them
-    stall: bool = False  # they wait, as behind a peer that does not read, and pass when the stall ends
-    delay: float = 0.0  # seconds that each byte takes longer
-    rate: float = 0.0  # bytes a second; 0: no bound
+    drop: bool = False  # bytes and the end of the connection are silently discarded
+    stall: bool = False  # bytes are held back, as by a peer that does not read, and pass when the stall ends
+    delay: float = 0.0  # seconds added to the delivery of each byte
+    rate: float = 0.0  # bytes a second; 0: unlimited
 
     def __post_init__(self) -> None:
         if self.delay < 0 or self.rate < 0:
-            raise ValueError("delay and rate of a link are not negative")
+            raise ValueError("delay and rate of a link must not be negative")
 
 
 PASS = Way()
 
 
 def cut(transport: asyncio.BaseTransport | None) -> None:
-    """End a connection with a reset: without the linger of nothing, the peer would read a usual end."""
+    """Close a connection with a TCP reset; without SO_LINGER set to zero the peer would see an orderly close."""
     if transport is not None:
         where = transport.get_extra_info("socket")
-        if where is not None and where.fileno() >= 0:  # it may have ended by itself in this very turn
+        if where is not None and where.fileno() >= 0:  # it may have been closed in this event-loop iteration already
             where.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         transport.abort()
 
 
 class Side(asyncio.Protocol):
-    """One connection of a pair: what it reads goes out on the other."""
+    """One connection of a pair: what it receives is written to the other."""
 
     def __init__(self, relay: Relay, name: str) -> None:
-        self.relay, self.name = relay, name  # name: the way that its bytes take, up or down
+        self.relay, self.name = relay, name  # name: the direction of the bytes that it receives, up or down
         self.transport: asyncio.Transport | None = None
         self.other: Side | None = None
-        self.waiting: list[tuple[float, bytes]] = []  # when each may go, in order
+        self.waiting: list[tuple[float, bytes]] = []  # loop time from which each chunk may be sent, in order
         self.bytes = 0
-        self.full = False  # the other side's peer does not read
+        self.full = False  # the other connection's write buffer is full
         self.ended = False
         self._timer: asyncio.TimerHandle | None = None
-        self._next = 0.0  # when a slow link is free again
+        self._next = 0.0  # loop time at which a rate-limited link is free again
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
@@ -75,7 +75,7 @@
         self.pump()
 
     def pump(self) -> None:
-        """Pass on what is due."""
+        """Send the chunks that are due to the other connection."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -121,8 +121,8 @@
 
 @dataclass(slots=True)
 class Relay:
-    """A link to `target`, looked up anew for each connection. `accepts` is all (usual), none (connections are refused)
-    or half (they come up, and nobody is behind them)."""
+    """A link to `target`, which is called for each connection. `accepts` is all (the default) or half (connections are
+    accepted, but none to the target is opened)."""
 
     target: Callable[[], tuple[str, int] | None]
     host: str = "127.0.0.1"
@@ -130,7 +130,7 @@
     accepts: str = "all"
     ways: dict[str, Way] = field(default_factory=lambda: {"up": PASS, "down": PASS})
     sides: set[Side] = field(default_factory=set)
-    taken: int = 0  # connections so far
+    taken: int = 0  # connections accepted so far
     _server: asyncio.Server | None = None
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
@@ -166,7 +166,7 @@
         side.pump()
 
     def set(self, up: Way | None = None, down: Way | None = None) -> None:
-        """What the link does from now on; what waited behind a stall goes when that ends."""
+        """Set the impairment of one or both directions; bytes held by a stall that ends are sent."""
         self.ways = {"up": up or self.ways["up"], "down": down or self.ways["down"]}
         for side in list(self.sides):
             side.pump()
@@ -175,12 +175,12 @@
         self.set(way, way)
 
     def reset(self) -> None:
-        """Cut every connection, with a reset to both ends."""
+        """Reset every connection at both ends."""
         for side in list(self.sides):
             cut(side.transport)
 
     async def refuse(self, refuses: bool) -> None:
-        """Refuse connections, or take them again at the same address."""
+        """Refuse connections, or accept them again at the same address."""
         if refuses and self._server is not None:
             self._server.close()
             self._server = None
@@ -198,7 +198,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One step of a script of links: at so many seconds, these links get these ways, or are reset, refuse or accept."""
+    """One step of a script: `at` seconds after its start, the named links change as `kind` says (one of KINDS)."""
 
     at: float
     links: tuple[str, ...]
@@ -211,11 +211,11 @@
 
 
 async def switch(relay: Relay, change: Change) -> None:
-    """Bring one change about."""
+    """Apply one change to a relay."""
     if change.kind not in KINDS or change.direction not in ("both", "up", "down"):
         raise ValueError(
-            f"{change.kind} {change.direction}: no such change of a link; there are {', '.join(KINDS)}, "
-            "each for both, up or down"
+            f"unknown change of a link: {change.kind} {change.direction}; known: {', '.join(KINDS)}, "
+            "each with direction both, up or down"
         )
     if change.kind == "reset":
         relay.reset()
@@ -240,7 +240,7 @@
 
 
 async def play(links: dict[str, Relay], script: list[Change]) -> None:
-    """All changes, each at its time from now on."""
+    """Apply all changes, each at its time after this call."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     for change in sorted(script, key=lambda one: one.at):
--- a/threadhill/standin/resp.py
+++ b/threadhill/standin/resp.py
@@ -1,15 +1,18 @@
-"""RESP as clients of the platform's front write and read it."""
+"""Encoding and decoding of RESP as clients of the platform's front use it."""
 
 from __future__ import annotations
 
 
 def message(*words: bytes) -> bytes:
-    """A RESP array of bulk strings."""
+    """Encode a RESP array of bulk strings."""
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
 
 
 def read_array(data: bytes) -> tuple[list[bytes], int] | None:
-    """The first whole array of bulk strings, and its length; None where it is not whole. ValueError: it is none."""
+    """Decode the first array of bulk strings and return it with its length in bytes; None if it is incomplete.
+
+    Raises ValueError if the data are not such an array.
+    """
     end = data.find(b"\r\n")
     if end < 0:
         return None
