--- a/threadhill/standin/links.py
+++ b/threadhill/standin/links.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-HELD = 256 << 10  # bytes buffered for one direction of a connection; above this, reading from its sender pauses
-RATE_TURN = 0.02  # greatest interval in seconds between writes to a rate-limited link
+MAX_BUFFERED = 256 << 10  # bytes buffered for one direction of a connection; above this, reading from its sender pauses
+RATE_INTERVAL = 0.02  # greatest interval in seconds between writes to a rate-limited link
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
 PASS = Way()
 
 
-def cut(transport: asyncio.BaseTransport | None) -> None:
+def reset_connection(transport: asyncio.BaseTransport | None) -> None:
     """Close a connection with a TCP reset; without SO_LINGER set to zero the peer would see an orderly close."""
     if transport is not None:
         where = transport.get_extra_info("socket")
@@ -42,81 +42,81 @@
         transport.abort()
 
 
-class Side(asyncio.Protocol):
+class RelayConnection(asyncio.Protocol):
     """One connection of a pair: what it receives is written to the other."""
 
     def __init__(self, relay: Relay, name: str) -> None:
         self.relay, self.name = relay, name  # name: the direction of the bytes that it receives, up or down
         self.transport: asyncio.Transport | None = None
-        self.other: Side | None = None
-        self.waiting: list[tuple[float, bytes]] = []  # loop time from which each chunk may be sent, in order
-        self.bytes = 0
-        self.full = False  # the other connection's write buffer is full
+        self.other: RelayConnection | None = None
+        self.pending: list[tuple[float, bytes]] = []  # loop time from which each chunk may be sent, in order
+        self.pending_bytes = 0
+        self.write_blocked = False  # the other connection's write buffer is full
         self.ended = False
         self._timer: asyncio.TimerHandle | None = None
-        self._next = 0.0  # loop time at which a rate-limited link is free again
+        self._free_at = 0.0  # loop time at which a rate-limited link is free again
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
         if self.other is not None and self.other.transport is not None:
-            self.other.pump()
+            self.other.send_due()
 
     def data_received(self, data: bytes) -> None:
-        way = self.relay.ways[self.name]
-        if way.drop:
+        impairment = self.relay.impairments[self.name]
+        if impairment.drop:
             return
         now = asyncio.get_running_loop().time()
-        if way.rate:
-            self._next = max(now, self._next) + len(data) / way.rate
-        self.waiting.append((max(now + way.delay, self._next if way.rate else 0.0), data))
-        self.bytes += len(data)
-        if self.bytes > HELD:
+        if impairment.rate:
+            self._free_at = max(now, self._free_at) + len(data) / impairment.rate
+        self.pending.append((max(now + impairment.delay, self._free_at if impairment.rate else 0.0), data))
+        self.pending_bytes += len(data)
+        if self.pending_bytes > MAX_BUFFERED:
             self.transport.pause_reading()
-        self.pump()
+        self.send_due()
 
-    def pump(self) -> None:
+    def send_due(self) -> None:
         """Send the chunks that are due to the other connection."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         peer = self.other.transport if self.other is not None else None
-        if peer is None or self.full or self.relay.ways[self.name].stall:
+        if peer is None or self.write_blocked or self.relay.impairments[self.name].stall:
             return
         now = asyncio.get_running_loop().time()
-        while self.waiting and self.waiting[0][0] <= now:
-            data = self.waiting.pop(0)[1]
-            self.bytes -= len(data)
+        while self.pending and self.pending[0][0] <= now:
+            data = self.pending.pop(0)[1]
+            self.pending_bytes -= len(data)
             peer.write(data)
-        if self.waiting:
+        if self.pending:
             wait = (
-                min(self.waiting[0][0] - now, RATE_TURN)
-                if self.relay.ways[self.name].rate
-                else self.waiting[0][0] - now
+                min(self.pending[0][0] - now, RATE_INTERVAL)
+                if self.relay.impairments[self.name].rate
+                else self.pending[0][0] - now
             )
-            self._timer = asyncio.get_running_loop().call_later(wait, self.pump)
+            self._timer = asyncio.get_running_loop().call_later(wait, self.send_due)
         elif self.ended:
             peer.close()
-        if self.bytes <= HELD and self.transport is not None and not self.ended:
+        if self.pending_bytes <= MAX_BUFFERED and self.transport is not None and not self.ended:
             self.transport.resume_reading()
 
     def pause_writing(self) -> None:
         if self.other is not None:
-            self.other.full = True
+            self.other.write_blocked = True
 
     def resume_writing(self) -> None:
         if self.other is not None:
-            self.other.full = False
-            self.other.pump()
+            self.other.write_blocked = False
+            self.other.send_due()
 
     def connection_lost(self, error: Exception | None) -> None:
         self.ended = True
-        self.relay.sides.discard(self)
-        if self.relay.ways[self.name].drop or self.other is None or self.other.transport is None:
+        self.relay.connections.discard(self)
+        if self.relay.impairments[self.name].drop or self.other is None or self.other.transport is None:
             return
         if error is not None:
-            cut(self.other.transport)
+            reset_connection(self.other.transport)
         else:
-            self.pump()
+            self.send_due()
 
 
 @dataclass(slots=True)
@@ -128,9 +128,9 @@
     host: str = "127.0.0.1"
     address: tuple[str, int] = ("", 0)
     accepts: str = "all"
-    ways: dict[str, Way] = field(default_factory=lambda: {"up": PASS, "down": PASS})
-    sides: set[Side] = field(default_factory=set)
-    taken: int = 0  # connections accepted so far
+    impairments: dict[str, Way] = field(default_factory=lambda: {"up": PASS, "down": PASS})
+    connections: set[RelayConnection] = field(default_factory=set)
+    accepted_connections: int = 0
     _server: asyncio.Server | None = None
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
@@ -141,43 +141,43 @@
         self.address = self._server.sockets[0].getsockname()[:2]
         return self.address
 
-    def _accept(self) -> Side:
-        self.taken += 1
-        side = Side(self, "up")
-        self.sides.add(side)
+    def _accept(self) -> RelayConnection:
+        self.accepted_connections += 1
+        connection = RelayConnection(self, "up")
+        self.connections.add(connection)
         if self.accepts == "all":
-            task = asyncio.get_running_loop().create_task(self._connect(side))
+            task = asyncio.get_running_loop().create_task(self._connect(connection))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-        return side
+        return connection
 
-    async def _connect(self, side: Side) -> None:
-        other = Side(self, "down")
-        side.other, other.other = other, side
+    async def _connect(self, connection: RelayConnection) -> None:
+        other = RelayConnection(self, "down")
+        connection.other, other.other = other, connection
         where = self.target()
         try:
             if where is None:
                 raise ConnectionRefusedError
             await asyncio.get_running_loop().create_connection(lambda: other, *where)
         except OSError:
-            cut(side.transport)
+            reset_connection(connection.transport)
             return
-        self.sides.add(other)
-        side.pump()
+        self.connections.add(other)
+        connection.send_due()
 
     def set(self, up: Way | None = None, down: Way | None = None) -> None:
         """Set the impairment of one or both directions; bytes held by a stall that ends are sent."""
-        self.ways = {"up": up or self.ways["up"], "down": down or self.ways["down"]}
-        for side in list(self.sides):
-            side.pump()
+        self.impairments = {"up": up or self.impairments["up"], "down": down or self.impairments["down"]}
+        for connection in list(self.connections):
+            connection.send_due()
 
-    def both(self, way: Way) -> None:
-        self.set(way, way)
+    def both(self, impairment: Way) -> None:
+        self.set(impairment, impairment)
 
     def reset(self) -> None:
         """Reset every connection at both ends."""
-        for side in list(self.sides):
-            cut(side.transport)
+        for connection in list(self.connections):
+            reset_connection(connection.transport)
 
     async def refuse(self, refuses: bool) -> None:
         """Refuse connections, or accept them again at the same address."""
@@ -227,7 +227,7 @@
     if change.kind == "half":
         relay.accepts = "half"
         return
-    way = {
+    impairment = {
         "pass": PASS,
         "drop": Way(drop=True),
         "stall": Way(stall=True),
@@ -236,7 +236,7 @@
     }[change.kind]
     if change.kind == "pass":
         relay.accepts = "all"
-    relay.set(way if change.direction != "down" else None, way if change.direction != "up" else None)
+    relay.set(impairment if change.direction != "down" else None, impairment if change.direction != "up" else None)
 
 
 async def play(links: dict[str, Relay], script: list[Change]) -> None:
