--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -90,7 +90,7 @@
         playing = asyncio.gather(
             players.run(whole),
             *(people.listen(n, whole) for n in range(LISTENERS)),
-            faults.play(box, faults.Fault("stop", BEFORE_S, FAULT_S, COLD_S)),
+            faults.inject(box, faults.Fault("stop", BEFORE_S, FAULT_S, COLD_S)),
         )
         await asyncio.sleep(BEFORE_S)
         players.rate = TIMES * CALM * ROOM
--- a/benchmarks/trio.py
+++ b/benchmarks/trio.py
@@ -18,7 +18,7 @@
 from benchmarks.rig import TOKEN, Rig, free_ports
 from threadhill.control import client
 from threadhill.standin.dev import Installation, environment
-from threadhill.standin.links import Change, Relay, switch
+from threadhill.standin.links import LinkChange, Relay, apply_change
 
 NAMES = ("a", "b", "c")
 PATIENCE = 40.0
@@ -150,11 +150,11 @@
         """Between members: `how` is what a link does from now on; dropped bytes are lost, so the connection ends with
         them."""
         for pair in pairs:
-            await switch(self.links[pair], Change(0.0, (pair,), how, direction=direction))
+            await apply_change(self.links[pair], LinkChange(0.0, (pair,), how, direction=direction))
 
     async def heal(self, pairs: list[str]) -> None:
         for pair in pairs:
-            await switch(self.links[pair], Change(0.0, (pair,), "pass"))
+            await apply_change(self.links[pair], LinkChange(0.0, (pair,), "pass"))
             self.links[pair].reset()
 
     def pairs(self, name: str) -> list[str]:
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -22,7 +22,7 @@
 from threadhill.knowledge.merge import MAX_CACHES, MAX_OBJECTS, MAX_REPORT_AGE, ReportAggregator
 from threadhill.knowledge.report import ReportBuilder
 from threadhill.settings import Malformed
-from threadhill.standin.links import PASS, Way
+from threadhill.standin.links import UNIMPAIRED, Impairment
 from threadhill.standin.swarm import Crowd, Swarm, settings_for
 
 
@@ -281,12 +281,12 @@
                 crowd.stopped = False
 
             await all_hear([0] * 24)
-            swarm.links["journal"].both(Way(drop=True))
+            swarm.links["journal"].impair_both(Impairment(drop=True))
             crowd.answers.clear()
             await crowd.run(10)
             assert crowd.answers["200"] >= 0.99 * crowd.answers.total()
             before = await taken()
-            swarm.links["journal"].both(PASS)
+            swarm.links["journal"].impair_both(UNIMPAIRED)
             swarm.links["journal"].reset()
             await all_hear([max(before)] * 24)
             crowd.close()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.harness import ROOT, until
-from threadhill.standin.links import PASS, Change, Relay, Way, play
+from threadhill.standin.links import UNIMPAIRED, Impairment, LinkChange, Relay, run_changes
 from threadhill.standin.swarm import Crowd, JournalService, Swarm, settings_for
 
 PROXIES, CACHES, RATE = 24, 8, 120.0
@@ -55,19 +55,19 @@
         reader, writer = await asyncio.open_connection(*relay.address)
         writer.write(b"one")
         assert await reader.read(100) == b"one"
-        relay.set(down=Way(drop=True))  # one direction only
+        relay.impair(down=Impairment(drop=True))  # one direction only
         writer.write(b"lost")
         assert await read_or_silence(reader) == b"(silence)"
-        relay.both(Way(stall=True))
+        relay.impair_both(Impairment(stall=True))
         writer.write(b"two")
         assert await read_or_silence(reader) == b"(silence)"
-        relay.both(PASS)
+        relay.impair_both(UNIMPAIRED)
         assert await reader.read(100) == b"two"
-        relay.both(Way(delay=0.15))
+        relay.impair_both(Impairment(delay=0.15))
         began = time.monotonic()
         writer.write(b"three")
         assert await reader.read(100) == b"three" and time.monotonic() - began >= 0.3
-        relay.both(Way(rate=2_000))
+        relay.impair_both(Impairment(rate=2_000))
         writer.write(b"x" * 1_000)
         began, received = time.monotonic(), 0
         while received < 1_000:
@@ -82,19 +82,19 @@
 
 def test_a_relay_refuses_connections_or_leaves_them_half_open() -> None:
     async def scene(relay: Relay) -> None:
-        await play({"a": relay}, [Change(0.0, ("a",), "half")])
+        await run_changes({"a": relay}, [LinkChange(0.0, ("a",), "half")])
         reader, writer = await asyncio.open_connection(*relay.address)
         writer.write(b"anyone?")
         assert await read_or_silence(reader) == b"(silence)"
-        await play({"a": relay}, [Change(0.0, ("a",), "refuse")])
+        await run_changes({"a": relay}, [LinkChange(0.0, ("a",), "refuse")])
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(*relay.address)
-        await play({"a": relay}, [Change(0.0, ("a",), "accept")])
+        await run_changes({"a": relay}, [LinkChange(0.0, ("a",), "accept")])
         reader, writer = await asyncio.open_connection(*relay.address)
         writer.write(b"back")
         assert await reader.read(100) == b"back"
         with pytest.raises(ValueError, match="unknown change"):
-            await play({"a": relay}, [Change(0.0, ("a",), "melt")])
+            await run_changes({"a": relay}, [LinkChange(0.0, ("a",), "melt")])
 
     with_relay(scene)
 
@@ -149,15 +149,17 @@
     async def scene(one: Swarm, crowd: Crowd) -> None:
         await crowd.run(2)
         names = [box.name for box in one.boxes]
-        resets = [Change(0.25 * n, (names[2],), "reset") for n in range(24)]
-        faults = [Change(0.0, (names[0],), "drop"), Change(0.0, (names[1],), "stall"), *resets]
-        playing = asyncio.ensure_future(play(one.links, faults))
+        resets = [LinkChange(0.25 * n, (names[2],), "reset") for n in range(24)]
+        faults = [LinkChange(0.0, (names[0],), "drop"), LinkChange(0.0, (names[1],), "stall"), *resets]
+        playing = asyncio.ensure_future(run_changes(one.links, faults))
         await crowd.run(3)
         crowd.answers.clear()
         await crowd.run(3)
         await playing
         assert crowd.answers["200"] >= 0.85 * crowd.answers.total()  # two of eight caches are gone
-        await play(one.links, [Change(0.0, tuple(names[:3]), "pass"), Change(0.0, tuple(names[:2]), "reset")])
+        await run_changes(
+            one.links, [LinkChange(0.0, tuple(names[:3]), "pass"), LinkChange(0.0, tuple(names[:2]), "reset")]
+        )
         await served_again(one, crowd, names[:3])
         crowd.answers.clear()
         await crowd.run(2)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -29,9 +29,9 @@
 from threadhill.recovery.retention import DAY, HOUR, expired_snapshots
 from threadhill.recovery.statefile import StateFile
 from threadhill.settings import Malformed
-from threadhill.standin.links import Change, Relay, play
+from threadhill.standin.links import LinkChange, Relay, run_changes
 from threadhill.standin.servers import Server
-from threadhill.standin.swarm import Crowd, Swarm, settings_for
+from threadhill.standin.swarm import LoadGenerator, Swarm, settings_for
 
 PHASE_ORDER = [Phase.BLANK, Phase.CATCHING_UP, Phase.WARMING, Phase.FULL]
 
@@ -432,7 +432,10 @@
 
 
 def fleet(
-    folder: Path, scene: Callable[[Swarm, Crowd], Awaitable[None]], proxies: int = SMALL_FLEET, operator: str = RECOVERY
+    folder: Path,
+    scene: Callable[[Swarm, LoadGenerator], Awaitable[None]],
+    proxies: int = SMALL_FLEET,
+    operator: str = RECOVERY,
 ) -> None:
     """Runs a scene with proxies that have recovery enabled, eight caches and the journal behind links, and clients."""
 
@@ -442,11 +445,15 @@
         try:
             await swarm.serve(8, linked=True)
             await swarm.launch([swarm.configure(f"p{n}").name for n in range(proxies)])
-            crowd = Crowd(swarm, RATE)
+            crowd = LoadGenerator(swarm, RATE)
             async with asyncio.timeout(100):
                 await scene(swarm, crowd)
             crowd.close()
-            assert not crowd.wrong and not crowd.twice and not sum(box.stale_answers for box in swarm.boxes)
+            assert (
+                not crowd.wrong_answers
+                and not crowd.duplicate_answers
+                and not sum(box.stale_answers for box in swarm.boxes)
+            )
         finally:
             await swarm.close()
 
@@ -462,7 +469,7 @@
     return sum(word in swarm.proxies[name].log.read_text() for name in names or swarm.proxies)
 
 
-async def wait_until_served(crowd: Crowd, share: float, seconds: float = 20.0) -> None:
+async def wait_until_served(crowd: LoadGenerator, share: float, seconds: float = 20.0) -> None:
     """Runs clients until this share of a second's requests is served."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
@@ -474,7 +481,7 @@
     raise AssertionError(f"not served again: {crowd.answers}")
 
 
-async def wait_for_full_service(swarm: Swarm, crowd: Crowd, names: list[str]) -> None:
+async def wait_for_full_service(swarm: Swarm, crowd: LoadGenerator, names: list[str]) -> None:
     """Runs clients until all of these proxies are in full service."""
     going = asyncio.ensure_future(crowd.run(30))
     await until(lambda: count_logs(swarm, "warming -> full", names) == len(names), "all in full service")
@@ -484,7 +491,7 @@
 
 
 def test_most_proxies_killed_beside_cold_caches_and_a_stalled_journal_recover_within_the_rules(tmp_path: Path) -> None:
-    async def scene(swarm: Swarm, crowd: Crowd) -> None:
+    async def scene(swarm: Swarm, crowd: LoadGenerator) -> None:
         await wait_until_served(crowd, 0.99)
         await wait_for_full_service(swarm, crowd, list(swarm.proxies))
         killed = list(swarm.proxies)[: int(0.7 * PROXIES)]
@@ -504,11 +511,11 @@
             box.purged[purged] = time.time()
         await swarm.journal.add({"expire": {"name": purged, "stamp": int(time.time() * 1e3)}})
         await asyncio.sleep(0.4)  # the surviving proxies receive all this
-        await play(swarm.links, [Change(0.0, ("journal",), "stall")])
+        await run_changes(swarm.links, [LinkChange(0.0, ("journal",), "stall")])
         since = time.time()  # the new processes have an older configuration and a silent journal
         await swarm.launch(killed)
         await asyncio.sleep(2.5)
-        await play(swarm.links, [Change(0.0, ("journal",), "pass")])
+        await run_changes(swarm.links, [LinkChange(0.0, ("journal",), "pass")])
         await going
         assert not requests_to(swarm, drained, since + 7.05)
         assert count_logs(swarm, "state: ", killed) == len(killed)  # their saved state was read
@@ -521,7 +528,7 @@
 
 
 def test_proxies_with_an_old_list_and_no_journal_send_nothing_until_caught_up(tmp_path: Path) -> None:
-    async def scene(swarm: Swarm, crowd: Crowd) -> None:
+    async def scene(swarm: Swarm, crowd: LoadGenerator) -> None:
         await wait_until_served(crowd, 0.99)
         await asyncio.sleep(0.5)  # the state is written
         names = list(swarm.proxies)
@@ -548,7 +555,7 @@
 
 
 def test_a_journal_restored_from_an_older_state_restores_no_drained_server(tmp_path: Path) -> None:
-    async def scene(swarm: Swarm, crowd: Crowd) -> None:
+    async def scene(swarm: Swarm, crowd: LoadGenerator) -> None:
         await wait_until_served(crowd, 0.99)
         older, drained = list(swarm.journal.events), swarm.boxes[0].name
         await swarm.journal.hosts(swarm.member(drained, "DRAINING"))
@@ -574,7 +581,7 @@
     """The journal of the others is silent: they serve while their list is trusted, then refuse, and resume once the
     journal is back."""
 
-    async def scene(swarm: Swarm, crowd: Crowd) -> None:
+    async def scene(swarm: Swarm, crowd: LoadGenerator) -> None:
         second = swarm.links["second"] = Relay(lambda: swarm.journal.address, swarm.host)
         await second.start()
         cut_off = list(swarm.proxies)[::2]
@@ -584,7 +591,7 @@
             swarm.configure(name, journal=f"{swarm.host}:{second.address[1]}")
         await swarm.launch(cut_off)
         await wait_until_served(crowd, 0.99)
-        await play(swarm.links, [Change(0.0, ("second",), "drop")])
+        await run_changes(swarm.links, [LinkChange(0.0, ("second",), "drop")])
         drained, purged, told = swarm.boxes[0].name, "0000000000000002", time.time()
         await swarm.journal.hosts(swarm.member(drained, "DRAINING"))
         await swarm.journal.add({"expire": {"name": purged, "stamp": int(told * 1e3)}})
@@ -595,7 +602,7 @@
         await crowd.run(3)
         assert not requests_to(swarm, drained, told + 1.5 + 0.55)  # trust_ms, and the time that the rules allow
         assert crowd.answers["503"] > 0.1 * crowd.answers.total()
-        await play(swarm.links, [Change(0.0, ("second",), "pass"), Change(0.0, ("second",), "reset")])
+        await run_changes(swarm.links, [LinkChange(0.0, ("second",), "pass"), LinkChange(0.0, ("second",), "reset")])
         await wait_until_served(crowd, 0.99)
         assert not requests_to(swarm, drained, told + 2.05)
 
@@ -605,7 +612,7 @@
 def test_a_stopped_proxy_sends_nothing_to_an_address_that_was_reassigned_meanwhile(tmp_path: Path) -> None:
     """It resumes with open requests, pending dials, and events in its socket that are older than the stop."""
 
-    async def scene(swarm: Swarm, crowd: Crowd) -> None:
+    async def scene(swarm: Swarm, crowd: LoadGenerator) -> None:
         await wait_until_served(crowd, 0.99)
         name, stopped = swarm.boxes[0].name, list(swarm.proxies)[::3]
         old = swarm.fleet.servers[name]
@@ -635,7 +642,7 @@
 def test_cordons_purges_and_drains_hold_after_a_restart(tmp_path: Path) -> None:
     """One process receives and saves them; the next one starts from an older configuration."""
 
-    async def scene(swarm: Swarm, crowd: Crowd) -> None:
+    async def scene(swarm: Swarm, crowd: LoadGenerator) -> None:
         await wait_until_served(crowd, 0.99)
         name, box = "p0", swarm.boxes[1].name
         raw = orjson.loads(swarm.proxies[name].config.read_bytes())
@@ -658,12 +665,12 @@
         state.write_bytes(saved.pack(content, installation, orjson.loads(head)["at"]))
         for server in swarm.boxes:
             server.purged[purged] = told
-        await play(swarm.links, [Change(0.0, ("journal",), "stall")])
+        await run_changes(swarm.links, [LinkChange(0.0, ("journal",), "stall")])
         swarm.proxies[name].config.write_bytes(orjson.dumps(raw))  # a new file with the old content
         await swarm.launch([name])
         await crowd.run(1, [name])
         assert "nothing is sent before" in swarm.proxies[name].log.read_text()
-        await play(swarm.links, [Change(0.0, ("journal",), "pass")])
+        await run_changes(swarm.links, [LinkChange(0.0, ("journal",), "pass")])
         crowd.answers.clear()
         end = time.monotonic() + 20
         while crowd.answers["200"] < 50 and time.monotonic() < end:
@@ -683,16 +690,16 @@
 
 
 def test_flapping_links_to_half_of_the_caches_cost_little_and_recover(tmp_path: Path) -> None:
-    async def scene(swarm: Swarm, crowd: Crowd) -> None:
+    async def scene(swarm: Swarm, crowd: LoadGenerator) -> None:
         await wait_until_served(crowd, 0.99)
         names = tuple(box.name for box in swarm.boxes[::2])
-        flaps = [Change(0.25 * n, names, ("drop", "pass")[n % 2]) for n in range(24)]
-        playing = asyncio.ensure_future(play(swarm.links, flaps))
+        flaps = [LinkChange(0.25 * n, names, ("drop", "pass")[n % 2]) for n in range(24)]
+        playing = asyncio.ensure_future(run_changes(swarm.links, flaps))
         crowd.answers.clear()
         await crowd.run(6)
         await playing
         assert crowd.answers["200"] >= 0.6 * crowd.answers.total()  # more than the other half alone would serve
-        await play(swarm.links, [Change(0.0, names, "pass")])
+        await run_changes(swarm.links, [LinkChange(0.0, names, "pass")])
         await wait_until_served(crowd, 0.99)
 
     fleet(tmp_path, scene, PROXIES)
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -175,15 +175,15 @@
             return words
 
         assert sorted(set(await ask(6))) == ["ok", "refused"]  # one is processed, one waits
-        failing = asyncio.ensure_future(faults.play(box, faults.Fault("fail", 0, 0.2, 1.0)))
+        failing = asyncio.ensure_future(faults.inject(box, faults.Fault("fail", 0, 0.2, 1.0)))
         await until(lambda: box.failure_share)
         assert await ask(1) == ["error"]
         await failing
-        late = asyncio.ensure_future(faults.play(box, faults.Fault("late", 0, 0.2, 60)))
+        late = asyncio.ensure_future(faults.inject(box, faults.Fault("late", 0, 0.2, 60)))
         await until(lambda: box.report_delay)
         assert box.report() == box.report()
         await late
-        stopped = asyncio.ensure_future(faults.play(box, faults.Fault("stop", 0, 0.2, 9.0)))
+        stopped = asyncio.ensure_future(faults.inject(box, faults.Fault("stop", 0, 0.2, 9.0)))
         await asyncio.sleep(0.05)
         with pytest.raises(OSError):
             await asyncio.open_connection(*box.address)
@@ -191,12 +191,12 @@
         assert await ask(1) == ["ok"] and box.cold == 9.0
         reader, _ = await asyncio.open_connection(*box.address)
         await until(lambda: box.connections)
-        reset = asyncio.ensure_future(faults.play(box, faults.Fault("reset", 0, 0.1)))
+        reset = asyncio.ensure_future(faults.inject(box, faults.Fault("reset", 0, 0.1)))
         with suppress(ConnectionError):
             assert await asyncio.wait_for(reader.read(), 30) == b""  # the connection was closed
         await reset
         with pytest.raises(ValueError, match="unknown fault"):
-            await faults.play(box, faults.Fault("melt", 0, 0))
+            await faults.inject(box, faults.Fault("melt", 0, 0))
         fleet.close()
 
     asyncio.run(scene())
@@ -233,8 +233,8 @@
                 server.copies = CopyStore()
             await asyncio.gather(
                 players.run(9),
-                faults.play(library, faults.Fault("slow", 0, 3, 5.0)),
-                faults.play(parents[0], faults.Fault("stop", 0, 3, 2.0)),
+                faults.inject(library, faults.Fault("slow", 0, 3, 5.0)),
+                faults.inject(parents[0], faults.Fault("stop", 0, 3, 2.0)),
             )
             return players, list(library.arrivals), begun
         finally:
--- a/threadhill/drills/run.py
+++ b/threadhill/drills/run.py
@@ -12,7 +12,7 @@
 
 from threadhill.drills.scenario import Fault, Installation, Scenario
 from threadhill.drills.verdict import Shown, show
-from threadhill.standin.links import Change, switch
+from threadhill.standin.links import LinkChange, apply_change
 from threadhill.standin.swarm import Crowd, Swarm, settings_for
 
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -85,7 +85,9 @@
 
     async def _bring(self, name: str, fault: Fault) -> None:
         if fault.target == "link":
-            await switch(self.swarm.links[name], Change(0.0, (name,), fault.do, fault.amount, fault.direction))
+            await apply_change(
+                self.swarm.links[name], LinkChange(0.0, (name,), fault.do, fault.amount, fault.direction)
+            )
         elif fault.target == "proxy":
             await self._proxy(name, fault.do)
         elif fault.do == "die":
--- a/threadhill/standin/faults.py
+++ b/threadhill/standin/faults.py
@@ -23,7 +23,7 @@
 KINDS = ("stop", "slow", "fail", "late", "reset")
 
 
-async def play(server: Server, fault: Fault) -> None:
+async def inject(server: Server, fault: Fault) -> None:
     """Wait until the fault is due, apply it, and end it after its duration."""
     if fault.kind not in KINDS:
         raise ValueError(f"unknown fault {fault.kind}; known faults: {', '.join(KINDS)}")
--- a/threadhill/standin/links.py
+++ b/threadhill/standin/links.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
+class Impairment:
     """Impairment of one direction; with the defaults all bytes pass at once."""
 
     drop: bool = False  # bytes and the end of the connection are silently discarded
@@ -30,7 +30,7 @@
             raise ValueError("delay and rate of a link must not be negative")
 
 
-PASS = Way()
+UNIMPAIRED = Impairment()
 
 
 def reset_connection(transport: asyncio.BaseTransport | None) -> None:
@@ -128,7 +128,7 @@
     host: str = "127.0.0.1"
     address: tuple[str, int] = ("", 0)
     accepts: str = "all"
-    impairments: dict[str, Way] = field(default_factory=lambda: {"up": PASS, "down": PASS})
+    impairments: dict[str, Impairment] = field(default_factory=lambda: {"up": UNIMPAIRED, "down": UNIMPAIRED})
     connections: set[RelayConnection] = field(default_factory=set)
     accepted_connections: int = 0
     _server: asyncio.Server | None = None
@@ -165,14 +165,14 @@
         self.connections.add(other)
         connection.send_due()
 
-    def set(self, up: Way | None = None, down: Way | None = None) -> None:
+    def impair(self, up: Impairment | None = None, down: Impairment | None = None) -> None:
         """Set the impairment of one or both directions; bytes held by a stall that ends are sent."""
         self.impairments = {"up": up or self.impairments["up"], "down": down or self.impairments["down"]}
         for connection in list(self.connections):
             connection.send_due()
 
-    def both(self, impairment: Way) -> None:
-        self.set(impairment, impairment)
+    def impair_both(self, impairment: Impairment) -> None:
+        self.impair(impairment, impairment)
 
     def reset(self) -> None:
         """Reset every connection at both ends."""
@@ -197,7 +197,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class LinkChange:
     """One step of a script: `at` seconds after its start, the named links change as `kind` says (one of KINDS)."""
 
     at: float
@@ -210,7 +210,7 @@
 KINDS = ("pass", "drop", "stall", "delay", "slow", "reset", "refuse", "accept", "half")
 
 
-async def switch(relay: Relay, change: Change) -> None:
+async def apply_change(relay: Relay, change: LinkChange) -> None:
     """Apply one change to a relay."""
     if change.kind not in KINDS or change.direction not in ("both", "up", "down"):
         raise ValueError(
@@ -228,22 +228,22 @@
         relay.accepts = "half"
         return
     impairment = {
-        "pass": PASS,
-        "drop": Way(drop=True),
-        "stall": Way(stall=True),
-        "delay": replace(PASS, delay=change.amount),
-        "slow": replace(PASS, rate=change.amount),
+        "pass": UNIMPAIRED,
+        "drop": Impairment(drop=True),
+        "stall": Impairment(stall=True),
+        "delay": replace(UNIMPAIRED, delay=change.amount),
+        "slow": replace(UNIMPAIRED, rate=change.amount),
     }[change.kind]
     if change.kind == "pass":
         relay.accepts = "all"
-    relay.set(impairment if change.direction != "down" else None, impairment if change.direction != "up" else None)
+    relay.impair(impairment if change.direction != "down" else None, impairment if change.direction != "up" else None)
 
 
-async def play(links: dict[str, Relay], script: list[Change]) -> None:
+async def run_changes(links: dict[str, Relay], script: list[LinkChange]) -> None:
     """Apply all changes, each at its time after this call."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     for change in sorted(script, key=lambda one: one.at):
         await asyncio.sleep(max(0.0, began + change.at - loop.time()))
         for name in change.links:
-            await switch(links[name], change)
+            await apply_change(links[name], change)
