--- a/threadhill/standin/ask.py
+++ b/threadhill/standin/ask.py
@@ -1,4 +1,4 @@
-"""A client of the platform's front: RESP requests over one connection, many at once."""
+"""A client of the platform's front: concurrent RESP requests over one connection."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class Client(asyncio.Protocol):
-    """One connection. `ask` gives the future of an answer: word, fields, body."""
+    """One connection. `ask` returns the future of an answer: status, fields, body."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.buffer = b""
         self.tags = itertools.count(1)
         self.waiting: dict[int, asyncio.Future[Answer]] = {}
-        self.twice = 0  # answers to what was answered, or never asked
+        self.twice = 0  # answers to requests that were answered already or never sent
         self.lost = False
 
     @classmethod
@@ -74,20 +74,20 @@
 
 
 def ask(proxy: str, cls: str, obj: str, part: int, count: int, budget: int, tenant: str, json: bool) -> int:
-    """Send the requests and print what came; the exit code."""
+    """Send the requests, print the answers and return the exit code."""
     try:
         host, port = address(proxy, "--proxy")
         if len(obj) != 16 or set(obj) - set("0123456789abcdef"):
             raise Malformed("OBJECT must be 16 hex digits, as in 7f3a9c21e0b4d655")
-        told = asyncio.run(_ask(host, port, cls, obj, part, count, budget, tenant))
+        results = asyncio.run(_ask(host, port, cls, obj, part, count, budget, tenant))
     except (Malformed, OSError, TimeoutError) as error:
         typer.echo(f"threadhill: {proxy}: {error}", err=True)
         return 1
-    words = Counter(answer["answer"] for answer in told)
+    words = Counter(answer["answer"] for answer in results)
     if json:
-        typer.echo(orjson.dumps({"answers": told, "words": words}).decode())
+        typer.echo(orjson.dumps({"answers": results, "words": words}).decode())
     else:
-        for answer in told[:20]:
+        for answer in results[:20]:
             typer.echo(
                 f"{answer['answer']}  {answer['ms']:.1f} ms  {answer['bytes']} bytes"
                 + (f"  come back in {answer['backoff']} ms" if answer["backoff"] else "")
@@ -103,7 +103,7 @@
     names = {"200": "served", "503": "refused"}
     loop = asyncio.get_running_loop()
     client = await Client.connect(host, port)
-    told = []
+    results = []
     more = {"acct": tenant} if tenant else {}
     keyed = {"token": os.urandom(16).hex()}
     for _ in range(count):
@@ -111,7 +111,7 @@
         async with asyncio.timeout(budget / 1e3 + 5):
             word, fields, body = await client.ask(cls, obj, part, budget, **more, **keyed)
         right = word != "200" or body == body_of(obj, str(part))
-        told.append(
+        results.append(
             {
                 "answer": names.get(word, "failed"),
                 "ms": (loop.time() - began) * 1e3,
@@ -121,4 +121,4 @@
             }
         )
     client.close()
-    return told
+    return results
--- a/threadhill/standin/dev.py
+++ b/threadhill/standin/dev.py
@@ -1,8 +1,8 @@
-"""A whole installation on loopback: one control plane, the stand-ins that its state names, and its proxies.
+"""A whole installation on loopback: one control plane, stand-ins for the servers in its state, and its proxies.
 
-The control plane and the proxies are processes of their own, as elsewhere; the stand-ins live in this one. It follows
-the control plane's state: servers and proxies come and go as changes are applied, and a proxy whose configuration has
-changed is started anew.
+The control plane and the proxies are separate processes, as elsewhere; the stand-ins run in this one. The state of the
+control plane is polled: servers and proxies are started and stopped as changes are applied, and a proxy whose
+configuration has changed is restarted.
 """
 
 from __future__ import annotations
@@ -27,46 +27,47 @@
 from threadhill.settings import address
 from threadhill.standin.servers import Fleet
 
-LOOK = 0.1  # seconds between looks at the state
+POLL_INTERVAL = 0.1  # seconds between polls of the state
 ROOT = Path(__file__).resolve().parent.parent.parent
-PATIENCE = 30.0  # seconds that the control plane may take to start
+START_TIMEOUT = 30.0  # seconds that the control plane may take to start
 
 
 def environment(**more: str) -> dict[str, str]:
-    """That of this process, with which another one finds this same program, wherever it was started."""
+    """Return this process's environment with a PYTHONPATH by which a child finds this program from any folder."""
     path = os.pathsep.join(filter(None, (str(ROOT), os.environ.get("PYTHONPATH", ""))))
     return {**os.environ, "PYTHONPATH": path, **more}
 
 
 class Installation:
-    """What runs, beside the control plane at `api`."""
+    """The stand-in servers and proxies of the control plane at `api`."""
 
     def __init__(self, data: Path, api: str, token: str, operator: str = "") -> None:
         self.data, self.api, self.token, self.operator = data, api, token, operator
         self.fleet = Fleet()
-        self.proxies: dict[str, tuple[asyncio.subprocess.Process, str]] = {}  # with the configuration that it has
-        self._asked = client.ApiClient(api, token)
-        self._looking = asyncio.Lock()
+        # The process and the configuration that it was started with, by the proxy's name.
+        self.proxies: dict[str, tuple[asyncio.subprocess.Process, str]] = {}
+        self._client = client.ApiClient(api, token)
+        self._poll_lock = asyncio.Lock()
         self._wanted: tuple[int, dict[str, dict[str, Any]]] = (0, {})
 
     async def follow(self) -> None:
-        """Make what runs what the state says, for ever."""
+        """Poll the state and apply it to servers and proxies until cancelled."""
         while True:
-            with suppress(client.ApiError):  # it is being restarted
+            with suppress(client.ApiError):  # the control plane may be restarting
                 await self.look()
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL)
 
     async def look(self) -> None:
-        """Take up what the control plane has now; when this returns, what its newest version wants is running."""
-        async with self._looking:
-            state = await asyncio.to_thread(self._asked, "GET", "/v1/state")
+        """Read the state once; on return, the servers of its newest version and the recorded proxies are running."""
+        async with self._poll_lock:
+            state = await asyncio.to_thread(self._client, "GET", "/v1/state")
             if state["version"] != self._wanted[0]:
-                version = await asyncio.to_thread(self._asked, "GET", f"/v1/versions/{state['version']}")
+                version = await asyncio.to_thread(self._client, "GET", f"/v1/versions/{state['version']}")
                 self._wanted = state["version"], version["wanted"]
             await self.make({f"{r['kind']}.{r['name']}": r["attrs"] for r in state["records"]})
 
     async def make(self, recorded: Mapping[str, Mapping[str, Any]]) -> None:
-        """Servers run before they are listed, so what is wanted runs too; those that are not recorded any more end."""
+        """Run the wanted and the recorded servers, as a server must run before it is listed, and stop all others."""
         wanted = {**self._wanted[1], **recorded}
         settings = wanted.get("settings.settings", {})
         for id, attrs in wanted.items():
@@ -132,7 +133,7 @@
 async def start_control(
     data: Path, api: str, feed: str, token: str, quiet: bool = False, *words: str
 ) -> asyncio.subprocess.Process:
-    """A control plane as a process; it answers when this returns."""
+    """Start a control plane as a process; return once it answers."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -150,7 +151,7 @@
         stderr=asyncio.subprocess.DEVNULL if quiet else None,
     )
     ask = client.ApiClient(api, token)
-    end = asyncio.get_running_loop().time() + PATIENCE
+    end = asyncio.get_running_loop().time() + START_TIMEOUT
     while True:
         try:
             await asyncio.to_thread(ask, "GET", "/v1/state")
@@ -162,7 +163,7 @@
 
 
 def dev(folder: Path, data: Path | None, var: list[str]) -> None:
-    """Run it until SIGINT or SIGTERM."""
+    """Run an installation until SIGINT or SIGTERM."""
     try:
         wanted = client.read_configuration(folder, client.read_variables([], var))
     except InvalidConfiguration as error:
--- a/threadhill/standin/players.py
+++ b/threadhill/standin/players.py
@@ -1,4 +1,4 @@
-"""Players: clients that ask as people listen, and try again in one of the ways that real ones do."""
+"""Clients that request parts as media players do, and retry by one of the policies of real clients."""
 
 from __future__ import annotations
 
@@ -11,32 +11,33 @@
 
 from threadhill.standin.ask import Client
 
-WAYS = ("at once", "fixed", "told", "silent")  # silent: at once, on another connection, and without marking it
-FIXED = 0.2  # seconds that those wait who wait a fixed time
-TRIES = 3
-LINKS = 12  # connections that the players of one group share, as those behind one address do
+# told: after the back-off in the answer; silent: at once, on another connection, without the retry mark
+RETRY_POLICIES = ("at once", "fixed", "told", "silent")
+FIXED_DELAY = 0.2  # delay in seconds before a retry by the policy "fixed"
+MAX_ATTEMPTS = 3
+CONNECTIONS = 12  # connections that a group shares, as clients behind one address do
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """One first try and all that became of it."""
+    """The result of one request, over all its attempts."""
 
     began: float
     cls: str
-    served: bool  # in time, by whichever try
+    served: bool  # within the budget, by any of the attempts
     tries: int
     took: float
-    next_part: bool = False  # of what its player was listening to
+    next_part: bool = False  # it asked for a further part of an object that is being played
 
 
 @dataclass(slots=True)
 class Players:
-    """A group at one proxy: `rate` first tries a second, in the given ways of trying again."""
+    """A group of clients of one proxy that sends `rate` new requests a second and retries by the given policies."""
 
     host: str
     port: int
     rate: float
-    ways: tuple[str, ...] = ("at once", "fixed", "told")
+    policies: tuple[str, ...] = ("at once", "fixed", "told")
     tenant: str = ""
     seed: int = 1
     objects: int = 400
@@ -44,25 +45,26 @@
     budget: float = 1.5
     listeners: int = 0
     outcomes: list[Outcome] = field(default_factory=list)
-    told: Counter[str] = field(default_factory=Counter)  # what became of those who came back as they were told
+    # Status of the answers to retries that waited for the back-off that the proxy asked for.
+    told: Counter[str] = field(default_factory=Counter)
     asked: int = 0
     stopped: bool = False
-    _links: list[Client | None] = field(default_factory=lambda: [None] * LINKS)
+    _connections: list[Client | None] = field(default_factory=lambda: [None] * CONNECTIONS)
 
     @property
     def twice(self) -> int:
-        return sum(one.twice for one in self._links if one is not None)
+        return sum(one.twice for one in self._connections if one is not None)
 
-    async def _link(self, place: int) -> Client | None:
-        one = self._links[place % LINKS]
+    async def _connection(self, place: int) -> Client | None:
+        one = self._connections[place % CONNECTIONS]
         if one is None or one.lost:
             with suppress(OSError):
-                one = self._links[place % LINKS] = await Client.connect(self.host, self.port)
+                one = self._connections[place % CONNECTIONS] = await Client.connect(self.host, self.port)
         return one if one is not None and not one.lost and len(one.waiting) < 31 else None
 
-    async def _try(self, place: int, obj: str, part: int, again: bool, left: float) -> tuple[str, float]:
-        """The word of the answer, and the seconds to stay away that came with it."""
-        one = await self._link(place)
+    async def _attempt(self, place: int, obj: str, part: int, again: bool, left: float) -> tuple[str, float]:
+        """Send one attempt; return the status of the answer and the back-off that it asks for in seconds."""
+        one = await self._connection(place)
         if one is None:
             await asyncio.sleep(0.01)
             return "no connection", 0.0
@@ -80,24 +82,24 @@
             return "silence", 0.0
         return word, int(fields.get("backoff", 0)) / 1e3
 
-    async def ask(self, way: str, place: int, obj: str, part: int, next_part: bool = False) -> bool:
-        """One request with its tries; whether it was served in time."""
+    async def ask(self, policy: str, place: int, obj: str, part: int, next_part: bool = False) -> bool:
+        """Send one request with its retries; return whether it was served in time."""
         began, tries, word = time.time(), 0, ""
         told = False
-        while tries < TRIES:
+        while tries < MAX_ATTEMPTS:
             left = self.budget - (time.time() - began)
             if left <= 0.02:
                 break
             tries += 1
-            mark = tries > 1 and way != "silent"
-            word, away = await self._try(place + (tries if way == "silent" else 0), obj, part, mark, left)
+            mark = tries > 1 and policy != "silent"
+            word, away = await self._attempt(place + (tries if policy == "silent" else 0), obj, part, mark, left)
             if told:
                 self.told[word] += 1
             if word == "200":
                 break
-            told = way == "told" and away > 0
-            if way == "fixed":
-                await asyncio.sleep(FIXED)
+            told = policy == "told" and away > 0
+            if policy == "fixed":
+                await asyncio.sleep(FIXED_DELAY)
             elif told:
                 await asyncio.sleep(away)
         took = time.time() - began
@@ -106,15 +108,17 @@
         return served
 
     async def run(self, seconds: float) -> None:
-        """Newcomers at the rate; it may be changed meanwhile."""
+        """Send new requests at `rate`, which may be changed meanwhile."""
         draw, waiting = random.Random(self.seed), set()
         weights = [1 / (i + 1) for i in range(self.objects)]
         end, due = time.monotonic() + seconds, time.monotonic()
         while time.monotonic() < end and not self.stopped:
             due += 1 / self.rate
             obj = draw.choices(range(self.objects), weights)[0]
-            way = self.ways[draw.randrange(len(self.ways))]
-            task = asyncio.ensure_future(self.ask(way, draw.randrange(LINKS), f"{obj:016x}", draw.randrange(6)))
+            policy = self.policies[draw.randrange(len(self.policies))]
+            task = asyncio.ensure_future(
+                self.ask(policy, draw.randrange(CONNECTIONS), f"{obj:016x}", draw.randrange(6))
+            )
             waiting.add(task)
             task.add_done_callback(waiting.discard)
             await asyncio.sleep(max(0.0, due - time.monotonic()))
@@ -122,7 +126,7 @@
             await asyncio.wait(waiting, timeout=self.budget + 1)
 
     async def listen(self, number: int, seconds: float, pause: float = 0.4) -> None:
-        """One listener: the parts of an object one after another, each wanted before the last one has ended."""
+        """Play one object: request its parts one after another, one every `pause` seconds."""
         end, part, obj = time.monotonic() + seconds, 0, f"{0xABC000 + number:016x}"
         while time.monotonic() < end and not self.stopped:
             began = time.monotonic()
@@ -131,6 +135,6 @@
             await asyncio.sleep(max(0.0, pause - (time.monotonic() - began)))
 
     def close(self) -> None:
-        for one in self._links:
+        for one in self._connections:
             if one is not None:
                 one.close()
--- a/threadhill/standin/swarm.py
+++ b/threadhill/standin/swarm.py
@@ -1,6 +1,6 @@
-"""Many proxies as processes of their own, with stand-ins for all that they talk to, for tests and benchmarks.
+"""Runs many proxies as separate processes against stand-ins for their peers, for tests and benchmarks.
 
-The stand-in servers and the journal live in this process; a link that can fail may stand before each of them.
+The stand-in servers and the journal run in this process; each may be reached through a relay that injects faults.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 from threadhill.standin.links import Relay
 from threadhill.standin.servers import Fleet, Server, body_of
 
-PATIENCE = 60.0  # seconds in which a process must come up
-BEAT = 0.5  # seconds between the journal's lines that hold only the last number
+START_TIMEOUT = 60.0  # seconds until a process must listen
+POSITION_INTERVAL = 0.5  # seconds between the journal's lines that hold only the last position
 
 
 def settings_for(crew: int, **limits: Any) -> dict[str, Any]:
-    """Settings of one location with so many proxies, reports of load in every answer, and a class of small objects."""
+    """Return the settings of one location with `crew` proxies, load reports in answers and one class of requests."""
     return {
         "extra": {
             "bypass-allowed": True,
@@ -89,16 +89,16 @@
 
 
 class JournalService:
-    """The journal service: numbered events to whoever asks for those behind a number."""
+    """Stand-in for the journal service: sends numbered events to clients that ask for those after a position."""
 
     def __init__(self, aggregator: ReportAggregator | None = None) -> None:
-        self.aggregator = aggregator  # where proxies say what they know: it tells them what all say
+        self.aggregator = aggregator  # merges what proxies report and gives the hints sent back to them
         self.hint_bytes = 0
         self.events: list[bytes] = []
         self.members: dict[str, dict[str, Any]] = {}
         self.dials: deque[float] = deque(maxlen=100_000)
         self.address: tuple[str, int] = ("", 0)
-        self._guests: set[asyncio.StreamWriter] = set()
+        self._writers: set[asyncio.StreamWriter] = set()
         self._more = asyncio.Condition()
         self._server: asyncio.Server | None = None
 
@@ -108,30 +108,31 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.dials.append(time.monotonic())
-        self._guests.add(writer)
-        names, beats, reading, first = list[str](), 0, None, True  # the number at once behind what was asked for
+        self._writers.add(writer)
+        # first: the position follows the requested events at once
+        names, idle_intervals, reader_task, first = list[str](), 0, None, True
         with suppress(ConnectionError, asyncio.IncompleteReadError, ValueError, IndexError, asyncio.CancelledError):
             last = int((await reader.readline()).split()[1])
             if self.aggregator is not None:
-                reading = asyncio.ensure_future(self._reports(reader, names))
-            while not writer.is_closing() and not (reading is not None and reading.done()):
+                reader_task = asyncio.ensure_future(self._reports(reader, names))
+            while not writer.is_closing() and not (reader_task is not None and reader_task.done()):
                 fresh = self.events[last:]
-                beats += not fresh
-                hint = self._hint(names) if beats % 2 else b""  # one a second
-                told = b"" if fresh and not first else b"%d\n" % len(self.events)
-                writer.write(b"".join(fresh) + told + hint)
+                idle_intervals += not fresh
+                hint = self._hint(names) if idle_intervals % 2 else b""  # one a second
+                position = b"" if fresh and not first else b"%d\n" % len(self.events)
+                writer.write(b"".join(fresh) + position + hint)
                 last, first = max(last, len(self.events)), False
                 await writer.drain()
                 with suppress(TimeoutError):
-                    async with asyncio.timeout(BEAT), self._more:
+                    async with asyncio.timeout(POSITION_INTERVAL), self._more:
                         await self._more.wait()
-        if reading is not None:
-            reading.cancel()
-        self._guests.discard(writer)
+        if reader_task is not None:
+            reader_task.cancel()
+        self._writers.discard(writer)
         writer.close()
 
     async def _reports(self, reader: asyncio.StreamReader, names: list[str]) -> None:
-        """A proxy's reports, until its connection ends; `names` gets its name."""
+        """Read a proxy's reports until its connection ends; `names` receives its name."""
         with suppress(ConnectionError, ValueError):
             while line := await reader.readline():
                 raw = orjson.loads(line)
@@ -139,8 +140,8 @@
                     names[:] = [raw["proxy"]]
 
     def _hint(self, names: list[str]) -> bytes:
-        told = self.aggregator is not None and names
-        hint = self.aggregator.hint(names[0], int(time.time() * 1e3)) if told else None
+        reported = self.aggregator is not None and names
+        hint = self.aggregator.hint(names[0], int(time.time() * 1e3)) if reported else None
         line = orjson.dumps({"hint": hint}) + b"\n" if hint is not None else b""
         self.hint_bytes += len(line)
         return line
@@ -157,7 +158,7 @@
         return await self.add({"hosts": {"revision": 1, "complete": complete, "members": list(members)}})
 
     async def restart(self, events: list[bytes]) -> None:
-        """Another process at the same address, which knows these events and no others."""
+        """Restart as another process would at the same address that holds only these events."""
         self.close()
         self.events[:] = events
         await self.start(self.address[0])
@@ -165,19 +166,19 @@
     def close(self) -> None:
         if self._server is not None:
             self._server.close()
-        for writer in list(self._guests):
+        for writer in list(self._writers):
             writer.transport.abort()
 
 
 @dataclass(slots=True)
 class Proxy:
-    """One proxy's process, by its id."""
+    """The process of one proxy."""
 
     name: str
     config: Path
     process: asyncio.subprocess.Process | None = None
     port: int = 0
-    started_cpu: float = 0.0  # processor seconds that it took until it listened
+    started_cpu: float = 0.0  # CPU seconds used until it listened
 
     @property
     def log(self) -> Path:
@@ -188,26 +189,26 @@
             self.process.send_signal(signum)
 
     def resources(self) -> tuple[float, float]:
-        """Processor seconds so far, and megabytes held."""
+        """Return the CPU seconds used so far and the resident memory in megabytes."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         ticks = os.sysconf("SC_CLK_TCK")
         return (int(fields[11]) + int(fields[12])) / ticks, int(fields[21]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
 class Swarm:
-    """An installation of one location: servers, the journal, and so many proxies of the program at `root`."""
+    """An installation of one location: servers, the journal, and proxies that run the program at `root`."""
 
     def __init__(
         self, folder: Path, host: str, settings: dict[str, Any], root: Path, hints: bool = False, operator: str = ""
     ) -> None:
         self.folder, self.host, self.settings, self.root, self.hints = folder, host, settings, root, hints
-        self.operator = operator or ("[knowledge]\nshare = true\n" if hints else "")  # the proxies' file
+        self.operator = operator or ("[knowledge]\nshare = true\n" if hints else "")  # text of the operator file
         self.fleet, self.journal = Fleet(), JournalService(ReportAggregator() if hints else None)
-        self.links: dict[str, Relay] = {}  # before the server, or "journal", of that name
+        self.links: dict[str, Relay] = {}  # relays by the name of their server, or "journal"
         self.proxies: dict[str, Proxy] = {}
 
     async def serve(self, caches: int, parents: int = 2, linked: bool = False, base: float = 0.025) -> None:
-        """Start the stand-ins and tell the journal of them; `linked` ones are reached through a relay each."""
+        """Start the stand-ins and list them in the journal; if `linked`, caches and journal are behind relays."""
         await self.journal.start(self.host)
         names = [(f"s-{i:08x}", "box") for i in range(1, caches + 1)]
         names += [(f"s-000001{i:02x}", "parent") for i in range(parents)] + [("s-00000200", "library")]
@@ -262,7 +263,7 @@
         return proxy
 
     async def launch(self, names: list[str]) -> None:
-        """Start these, all at once; they listen when this returns."""
+        """Start these proxies concurrently; return when all listen."""
         await asyncio.gather(*(self._start(self.proxies[name]) for name in names))
         await asyncio.gather(*(self.listening(self.proxies[name]) for name in names))
 
@@ -289,12 +290,12 @@
         if not self.operator:
             return []
         path = self.folder / "operator.toml"
-        if not path.exists():  # one that is starting may be reading it
+        if not path.exists():  # not written again: a proxy that is starting may be reading it
             path.write_text(self.operator)
         return ["--operator", str(path)]
 
     async def listening(self, proxy: Proxy) -> None:
-        end = time.monotonic() + PATIENCE
+        end = time.monotonic() + START_TIMEOUT
         while not proxy.port:
             found = re.search(rf"^(?:\[[\d.]+\] )?{proxy.name}: serving on .*:(\d+)$", proxy.log.read_text(), re.M)
             if found:
@@ -306,7 +307,7 @@
             await asyncio.sleep(0.02)
 
     async def close(self) -> None:
-        """End all that was started, stopped ones too."""
+        """Kill all proxies, also those stopped by SIGSTOP, and close relays, journal and servers."""
         for proxy in self.proxies.values():
             proxy.signal(signal.SIGKILL)
         for proxy in self.proxies.values():
@@ -320,24 +321,24 @@
 
 @dataclass(slots=True)
 class Crowd:
-    """Clients of all proxies: Poisson arrivals at `rate` a second, each at a proxy drawn anew."""
+    """Load on all proxies: Poisson arrivals at `rate` requests a second, each to a random proxy."""
 
     swarm: Swarm
     rate: float
     objects: int = 400
-    hot: float = 0.0  # part of the requests that are for one object
+    hot: float = 0.0  # share of the requests that are for one and the same object
     budget: int = 3_000
     seed: int = 1
     answers: Counter[str] = field(default_factory=Counter)
     wrong: int = 0
     twice: int = 0
-    # When asked, the answer, the seconds that it took, and which proxy was asked.
+    # Time of the request, status of the answer, seconds until the answer, name of the proxy.
     log: list[tuple[float, str, float, str]] = field(default_factory=list)
     stopped: bool = False
     _clients: dict[str, Client] = field(default_factory=dict)
 
     async def run(self, seconds: float, names: list[str] | None = None) -> None:
-        """Ask for so long; return when all is answered."""
+        """Send requests for `seconds`; return when all are answered or timed out."""
         draw, loop = random.Random(self.seed), asyncio.get_running_loop()
         due = loop.time()
         end, waiting = due + seconds, set[asyncio.Task[None]]()
