--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -55,7 +55,7 @@
 from threadhill.recovery import adopt  # noqa: E402
 from threadhill.standin.dev import start_control  # noqa: E402
 from threadhill.standin.servers import Server  # noqa: E402
-from threadhill.standin.swarm import Crowd, Swarm, settings_for  # noqa: E402
+from threadhill.standin.swarm import LoadGenerator, Swarm, settings_for  # noqa: E402
 
 PROXIES, KILLED, CACHES, RATE = 100, 0.7, 24, 300.0
 CALM_S, AFTER_S = 4.0, 12.0
@@ -107,7 +107,7 @@
     try:
         await swarm.serve(CACHES)
         await swarm.launch([swarm.configure(f"p{n}").name for n in range(3)])
-        crowd = Crowd(swarm, RATE, seed=seed)
+        crowd = LoadGenerator(swarm, RATE, seed=seed)
         await crowd.run(1.0)
         crowd.answers.clear()
         before = sum(p.resources()[0] for p in swarm.proxies.values())
@@ -222,7 +222,7 @@
             for n in range(PROXIES)
         ]
         await swarm.launch(names)
-        crowd = Crowd(swarm, RATE, seed=seed)
+        crowd = LoadGenerator(swarm, RATE, seed=seed)
         await crowd.run(3.0)
         watching = asyncio.ensure_future(watch_dials(swarm, dials))
         crowd.log.clear()
@@ -262,8 +262,8 @@
             "dials": most_in(dials, kill_at, kill_at + AFTER_S, 1.0) / max(1.0, calm),
             "journal": max(
                 (
-                    sum(at <= other < at + 0.1 for other in swarm.journal.dials)
-                    for at in swarm.journal.dials
+                    sum(at <= other < at + 0.1 for other in swarm.journal.connect_times)
+                    for at in swarm.journal.connect_times
                     if at >= kill_at
                 ),
                 default=0,
@@ -273,7 +273,7 @@
             "cordoned": sum(a.at > back_at and not a.fill for a in swarm.fleet.servers[out].arrivals),
             "first": (fresh["200"] / max(1, fresh.total())) / max(0.01, warm["200"] / max(1, warm.total())),
             "drained": sum(a.at > back_at + 0.5 and not a.fill for a in swarm.fleet.servers[drained].arrivals),
-            "twice": crowd.twice,
+            "twice": crowd.duplicate_answers,
             "answers": dict(crowd.answers),
         }
     finally:
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -43,7 +43,7 @@
     sys.path[0] = str(ROOT)
 
 from threadhill.decision.choice import INITIAL_INFLIGHT_LIMIT  # noqa: E402
-from threadhill.standin.swarm import Crowd, Swarm, settings_for  # noqa: E402
+from threadhill.standin.swarm import LoadGenerator, Swarm, settings_for  # noqa: E402
 
 BEFORE = "0480b4e"  # the last version whose bounds were by chance under one
 CACHES, RATE, CALM_S, RELEASE_S, SETTLE_S = 24, 400.0, 10.0, 6.0, 2.0
@@ -102,7 +102,7 @@
         began = time.monotonic()
         await swarm.launch(names)
         start = time.monotonic() - began
-        crowd = Crowd(swarm, RATE, seed=seed)
+        crowd = LoadGenerator(swarm, RATE, seed=seed)
         await crowd.run(SETTLE_S)
         crowd.answers.clear()
         cpu = sum(p.resources()[0] for p in swarm.proxies.values())
@@ -117,7 +117,7 @@
             "dials": (sum(b.accepted_connections for b in swarm.fleet.servers.values()) - dials)
             / crowd.answers.total(),
             "memory_mb": max(p.resources()[1] for p in swarm.proxies.values()),
-            "wrong": crowd.wrong,
+            "wrong": crowd.wrong_answers,
             "times": arrivals(swarm, since, since + calm),
         }
         told |= spread(told["times"], calm)
@@ -132,7 +132,7 @@
             most > 2 * INITIAL_INFLIGHT_LIMIT for box in swarm.boxes for most in box.peak_open.values()
         )
         crowd.close()
-        told["twice"] = crowd.twice
+        told["twice"] = crowd.duplicate_answers
         return told
     finally:
         await swarm.close()
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -39,7 +39,7 @@
 
 from benchmarks.rig import Rig  # noqa: E402
 from threadhill.standin import faults  # noqa: E402
-from threadhill.standin.players import Players  # noqa: E402
+from threadhill.standin.players import ClientGroup  # noqa: E402
 
 BOXES, WORKERS, BASE = 3, 3, 0.025  # each does 120 requests a second
 ROOM = BOXES * WORKERS / BASE
@@ -79,8 +79,8 @@
     rig = await start(folder, host, overload)
     try:
         port = rig.listen[0]
-        players = Players(host, port, CALM * ROOM, ("at once", "fixed", "told", "silent"), seed=seed)
-        people = Players(host, port, 1, seed=seed + 1)
+        players = ClientGroup(host, port, CALM * ROOM, ("at once", "fixed", "told", "silent"), seed=seed)
+        people = ClientGroup(host, port, 1, seed=seed + 1)
         box = rig.installation.fleet.servers["b-0"]
         warm = asyncio.ensure_future(players.run(2.0))  # copies are made, rates are learnt
         await warm
@@ -97,14 +97,14 @@
         await asyncio.sleep(FAULT_S)
         players.rate = AFTER * ROOM
         await playing
-        return account(players, people, box, began) | {"double": players.twice + people.twice}
+        return account(players, people, box, began) | {"double": players.duplicate_answers + people.duplicate_answers}
     finally:
         for one in (players, people):
             one.close()
         await rig.__aexit__()
 
 
-def account(players: Players, people: Players, box: Any, began: float) -> dict[str, Any]:
+def account(players: ClientGroup, people: ClientGroup, box: Any, began: float) -> dict[str, Any]:
     """A side's figures."""
     seconds = int(BEFORE_S + FAULT_S + AFTER_S)
     offered, good, tries = ([0] * seconds for _ in range(3))
@@ -158,8 +158,8 @@
     """A calm tenant alone, then beside one that asks for twice the room and tries again at once."""
     rig = await start(folder, host, overload)
     try:
-        calm = Players(host, rig.listen[0], 0.2 * ROOM, ("told",), tenant="calm", seed=seed)
-        wild = Players(host, rig.listen[0], 2.0 * ROOM, ("at once", "silent"), tenant="wild", seed=seed + 1)
+        calm = ClientGroup(host, rig.listen[0], 0.2 * ROOM, ("told",), tenant="calm", seed=seed)
+        wild = ClientGroup(host, rig.listen[0], 2.0 * ROOM, ("at once", "silent"), tenant="wild", seed=seed + 1)
         await calm.run(7.0)
         alone = worst(calm)
         calm.outcomes.clear()
@@ -169,7 +169,7 @@
         await rig.__aexit__()
 
 
-def worst(players: Players) -> float:
+def worst(players: ClientGroup) -> float:
     """The worst share in two seconds, the first two left out."""
     by: dict[int, list[bool]] = {}
     first = min(o.began for o in players.outcomes)
@@ -182,7 +182,7 @@
     """Processor time of a request while nothing is wrong."""
     rig = await start(folder, host, overload)
     try:
-        players = Players(host, rig.listen[0], CALM * ROOM, ("told",), seed=seed)
+        players = ClientGroup(host, rig.listen[0], CALM * ROOM, ("told",), seed=seed)
         pid = next(iter(rig.installation.proxies.values()))[0].pid
         await players.run(2.0)
         before, asked = cpu(pid), players.asked
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -23,7 +23,7 @@
 from threadhill.knowledge.report import ReportBuilder
 from threadhill.settings import Malformed
 from threadhill.standin.links import UNIMPAIRED, Impairment
-from threadhill.standin.swarm import Crowd, Swarm, settings_for
+from threadhill.standin.swarm import LoadGenerator, Swarm, settings_for
 
 
 def report_of(number: int, rate: float = 2.0, **more: Any) -> dict[str, Any]:
@@ -257,7 +257,7 @@
         try:
             await swarm.serve(8, linked=True)
             await swarm.launch([swarm.configure(f"p{n}").name for n in range(24)])
-            crowd = Crowd(swarm, 150.0)
+            crowd = LoadGenerator(swarm, 150.0)
 
             async def taken() -> list[int]:
                 for proxy in swarm.proxies.values():
@@ -290,7 +290,7 @@
             swarm.links["journal"].reset()
             await all_hear([max(before)] * 24)
             crowd.close()
-            assert not crowd.wrong and not crowd.twice
+            assert not crowd.wrong_answers and not crowd.duplicate_answers
         finally:
             await swarm.close()
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -13,7 +13,7 @@
 
 from tests.harness import ROOT, until
 from threadhill.standin.links import UNIMPAIRED, Impairment, LinkChange, Relay, run_changes
-from threadhill.standin.swarm import Crowd, JournalService, Swarm, settings_for
+from threadhill.standin.swarm import JournalService, LoadGenerator, Swarm, settings_for
 
 PROXIES, CACHES, RATE = 24, 8, 120.0
 
@@ -99,7 +99,7 @@
     with_relay(scene)
 
 
-def with_swarm(folder: Path, scene: Callable[[Swarm, Crowd], Awaitable[None]], **more: Any) -> None:
+def with_swarm(folder: Path, scene: Callable[[Swarm, LoadGenerator], Awaitable[None]], **more: Any) -> None:
     """Run the scene with 24 proxies, caches behind links, and clients that send requests throughout."""
 
     async def run() -> None:
@@ -107,18 +107,18 @@
         try:
             await one.serve(CACHES, linked=True, **more)
             await one.launch([one.configure(f"p{n}").name for n in range(PROXIES)])
-            crowd = Crowd(one, RATE)
+            crowd = LoadGenerator(one, RATE)
             async with asyncio.timeout(100):
                 await scene(one, crowd)
             crowd.close()
-            assert not crowd.wrong and not crowd.twice and not crowd.answers["lost"]
+            assert not crowd.wrong_answers and not crowd.duplicate_answers and not crowd.answers["lost"]
         finally:
             await one.close()
 
     asyncio.run(run())
 
 
-async def served_again(one: Swarm, crowd: Crowd, names: list[str]) -> None:
+async def served_again(one: Swarm, crowd: LoadGenerator, names: list[str]) -> None:
     """Wait until each of these caches receives requests again, while clients continue."""
     since = time.time()
     load = asyncio.ensure_future(crowd.run(30))
@@ -134,7 +134,7 @@
 
 
 def test_a_fleet_without_failures_refuses_nothing_and_leaves_no_cache_idle(tmp_path: Path) -> None:
-    async def scene(one: Swarm, crowd: Crowd) -> None:
+    async def scene(one: Swarm, crowd: LoadGenerator) -> None:
         await crowd.run(4)
         assert crowd.answers["200"] >= 0.995 * crowd.answers.total()
         await served_again(one, crowd, [box.name for box in one.boxes])
@@ -146,7 +146,7 @@
     """One cache is cut off silently, one stalls, one resets connections: lost requests are bounded, each request gets
     one answer, and once the links are restored all three caches receive requests again."""
 
-    async def scene(one: Swarm, crowd: Crowd) -> None:
+    async def scene(one: Swarm, crowd: LoadGenerator) -> None:
         await crowd.run(2)
         names = [box.name for box in one.boxes]
         resets = [LinkChange(0.25 * n, (names[2],), "reset") for n in range(24)]
@@ -189,7 +189,7 @@
                 more = {"journal": where, "known": {"pos": 0, "entries": []}} if n % 3 == 0 else {}
                 one.configure(f"p{n}", **more)
             await one.launch(list(one.proxies))
-            crowd = Crowd(one, RATE)
+            crowd = LoadGenerator(one, RATE)
             await crowd.run(2)
             await refusing_link.refuse(True)
             refusing_link.reset()
@@ -211,7 +211,7 @@
 
 
 def test_delayed_load_reports_during_a_burst_cause_no_herding_to_one_cache(tmp_path: Path) -> None:
-    async def scene(one: Swarm, crowd: Crowd) -> None:
+    async def scene(one: Swarm, crowd: LoadGenerator) -> None:
         for box in one.boxes:
             box.report_delay = 4.0
         await crowd.run(3)
@@ -228,7 +228,7 @@
 def test_replacing_half_of_the_caches_within_seconds_does_not_overload_the_new_ones(tmp_path: Path) -> None:
     """The new ones start cold: in no second does one get more than the allowed multiple of its capacity."""
 
-    async def scene(one: Swarm, crowd: Crowd) -> None:
+    async def scene(one: Swarm, crowd: LoadGenerator) -> None:
         await crowd.run(3)
         old = [box.name for box in one.boxes[: CACHES // 2]]
         load = asyncio.ensure_future(crowd.run(8))
@@ -259,7 +259,7 @@
 def test_proxies_that_were_stopped_and_continued_answer_each_request_once(tmp_path: Path) -> None:
     """A third of them are stopped for two seconds with requests in progress."""
 
-    async def scene(one: Swarm, crowd: Crowd) -> None:
+    async def scene(one: Swarm, crowd: LoadGenerator) -> None:
         await crowd.run(2)
         stopped_proxies = list(one.proxies.values())[::3]
         load = asyncio.ensure_future(crowd.run(4))
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -11,7 +11,7 @@
 from tests.harness import ROOT, ProxyHarness, open_silent_connections, until
 from tests.test_proxy import run_scenario
 from threadhill.standin.ask import Client
-from threadhill.standin.swarm import Crowd, Swarm, settings_for
+from threadhill.standin.swarm import LoadGenerator, Swarm, settings_for
 
 KILLED = 24
 READY_S = 10.0  # seconds within which nine in ten of the killed proxies must be ready
@@ -37,7 +37,7 @@
             await swarm.serve(6)
             names = [swarm.configure(f"p{n}").name for n in range(KILLED)]
             await swarm.launch(names)
-            load = Crowd(swarm, 60.0)
+            load = LoadGenerator(swarm, 60.0)
             await load.run(1.0)
             for name in names:
                 swarm.proxies[name].signal(signal.SIGKILL)
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -22,7 +22,7 @@
 from threadhill.operators import read_operator
 from threadhill.settings import Malformed
 from threadhill.standin import faults
-from threadhill.standin.players import Players
+from threadhill.standin.players import ClientGroup
 from threadhill.standin.servers import CopyStore, Fleet
 
 OPERATOR = """
@@ -219,9 +219,9 @@
 def test_a_refill_from_a_slow_library_while_an_upper_cache_stops_loses_no_answer_and_ends(tmp_path: Path) -> None:
     """In the same second all copies are dropped, the library becomes five times slower and an upper cache stops."""
 
-    async def scene() -> tuple[Players, list, float]:
+    async def scene() -> tuple[ClientGroup, list, float]:
         rig = await storm.start(tmp_path, "127.0.71.1", True)
-        players = Players("127.0.71.1", rig.listen[0], 60, ("told", "at once"), seed=3)
+        players = ClientGroup("127.0.71.1", rig.listen[0], 60, ("told", "at once"), seed=3)
         try:
             servers = rig.installation.fleet.servers
             library = next(server for server in servers.values() if server.kind == "library")
@@ -242,7 +242,7 @@
             await rig.__aexit__()
 
     players, asked, begun = asyncio.run(scene())
-    assert players.twice == 0 and players.told["silence"] == 0
+    assert players.duplicate_answers == 0 and players.told["silence"] == 0
     late = [outcome.served for outcome in players.outcomes if outcome.began > begun + 6]
     assert len(late) > 50 and sum(late) / len(late) > 0.9  # recovered three seconds after the end of the fault
     worst = max(sum(second <= a.at - begun < second + 1 for a in asked) for second in range(9))
--- a/threadhill/drills/run.py
+++ b/threadhill/drills/run.py
@@ -13,7 +13,7 @@
 from threadhill.drills.scenario import Fault, Installation, Scenario
 from threadhill.drills.verdict import Shown, show
 from threadhill.standin.links import LinkChange, apply_change
-from threadhill.standin.swarm import Crowd, Swarm, settings_for
+from threadhill.standin.swarm import LoadGenerator, Swarm, settings_for
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 GRACE = 0.25  # seconds after the journal told of a drain in which sends still count as before it
@@ -48,10 +48,10 @@
         try:
             await self.swarm.serve(fleet.caches, fleet.parents, linked=True)
             await self.swarm.launch([self.swarm.configure(f"p{n}").name for n in range(fleet.proxies)])
-            crowd = Crowd(self.swarm, fleet.rate, fleet.objects, seed=self.scenario.seed)
+            crowd = LoadGenerator(self.swarm, fleet.rate, fleet.objects, seed=self.scenario.seed)
             await crowd.run(1.5)  # the first requests of all open connections
             crowd.log.clear()
-            crowd.twice = 0
+            crowd.duplicate_answers = 0
             began = time.monotonic()
             faults = [
                 asyncio.ensure_future(self._at(began + when, fault))
@@ -67,7 +67,7 @@
                 raise broken[0]
             crowd.close()
             answers = [(at - began, word) for at, word, _, _ in crowd.log]
-            return show(answers, self.scenario, crowd.twice, self._drained_sends())
+            return show(answers, self.scenario, crowd.duplicate_answers, self._drained_sends())
         finally:
             for task in self._tasks:
                 task.cancel()
--- a/threadhill/standin/ask.py
+++ b/threadhill/standin/ask.py
@@ -26,7 +26,7 @@
         self.buffer = b""
         self.tags = itertools.count(1)
         self.waiting: dict[int, asyncio.Future[Answer]] = {}
-        self.twice = 0  # answers to requests that were answered already or never sent
+        self.duplicate_answers = 0  # answers to requests that were answered already or never sent
         self.lost = False
 
     @classmethod
@@ -62,7 +62,7 @@
             self.buffer = self.buffer[size:]
             future = self.waiting.pop(int(words[0]), None)
             if future is None:
-                self.twice += 1
+                self.duplicate_answers += 1
             elif not future.done():
                 text = words[2].decode() if len(words) > 2 else ""
                 fields = dict(item.split("=", 1) for item in text.split(",") if "=" in item)
--- a/threadhill/standin/players.py
+++ b/threadhill/standin/players.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Players:
+class ClientGroup:
     """A group of clients of one proxy that sends `rate` new requests a second and retries by the given policies."""
 
     host: str
@@ -52,8 +52,8 @@
     _connections: list[Client | None] = field(default_factory=lambda: [None] * CONNECTIONS)
 
     @property
-    def twice(self) -> int:
-        return sum(one.twice for one in self._connections if one is not None)
+    def duplicate_answers(self) -> int:
+        return sum(one.duplicate_answers for one in self._connections if one is not None)
 
     async def _connection(self, place: int) -> Client | None:
         one = self._connections[place % CONNECTIONS]
--- a/threadhill/standin/swarm.py
+++ b/threadhill/standin/swarm.py
@@ -96,7 +96,7 @@
         self.hint_bytes = 0
         self.events: list[bytes] = []
         self.members: dict[str, dict[str, Any]] = {}
-        self.dials: deque[float] = deque(maxlen=100_000)
+        self.connect_times: deque[float] = deque(maxlen=100_000)
         self.address: tuple[str, int] = ("", 0)
         self._writers: set[asyncio.StreamWriter] = set()
         self._more = asyncio.Condition()
@@ -107,7 +107,7 @@
         self.address = self._server.sockets[0].getsockname()[:2]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.dials.append(time.monotonic())
+        self.connect_times.append(time.monotonic())
         self._writers.add(writer)
         # first: the position follows the requested events at once
         names, idle_intervals, reader_task, first = list[str](), 0, None, True
@@ -320,7 +320,7 @@
 
 
 @dataclass(slots=True)
-class Crowd:
+class LoadGenerator:
     """Load on all proxies: Poisson arrivals at `rate` requests a second, each to a random proxy."""
 
     swarm: Swarm
@@ -330,8 +330,8 @@
     budget: int = 3_000
     seed: int = 1
     answers: Counter[str] = field(default_factory=Counter)
-    wrong: int = 0
-    twice: int = 0
+    wrong_answers: int = 0
+    duplicate_answers: int = 0
     # Time of the request, status of the answer, seconds until the answer, name of the proxy.
     log: list[tuple[float, str, float, str]] = field(default_factory=list)
     stopped: bool = False
@@ -363,12 +363,12 @@
                 client = self._clients[name] = await Client.connect(self.swarm.host, self.swarm.proxies[name].port)
             async with asyncio.timeout(self.budget / 1e3 + 1):
                 word, _, body = await client.ask("art-pages", thing, 0, self.budget)
-            self.wrong += word == "200" and body != body_of(thing, "0")
+            self.wrong_answers += word == "200" and body != body_of(thing, "0")
         self.answers[word] += 1
         self.log.append((began, word, time.monotonic() - began, name))
 
     def close(self) -> None:
         for client in self._clients.values():
-            self.twice += client.twice
+            self.duplicate_answers += client.duplicate_answers
             client.close()
         self._clients.clear()
