--- a/threadhill/standin/soak/judge.py
+++ b/threadhill/standin/soak/judge.py
@@ -1,8 +1,8 @@
-"""Holds the record of a run against the rules, with the protocol page's own figures and slack.
+"""Checks the record of a run against the rules, with the figures and slack of the protocol page.
 
-It reads the record and the deployment only: nothing of the program, and nothing that the program says of itself. Where
-the stand-ins themselves stood still, a time is judged later by as much; where a process was stopped by a signal, or was
-ready to run while the machine let others run, it is owed that time.
+Only the record and the deployment are read: nothing of the program, and nothing that the program reports about itself.
+A limit is extended by the time for which the stand-ins themselves were held up, the process was stopped by a signal, or
+it was ready to run but not scheduled by the machine.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from threadhill.standin.soak.deployment import Deployment, Effect
 from threadhill.standin.soak.record import ClientAnswer, ClientRequest, ProcessLife, Record, ServerAttempt, Word
 
-SOCKETS = 0.05  # seconds by which every limit is longer on sockets
-LATE_ANSWER = 0.5  # seconds after a request's time from which on it is lost
-LEFT = 0.1  # seconds after its client left in which an attempt may still begin
-WAITED = 0.15  # seconds by which the time passed to a server may exceed what the client has left
-READY = 10.0  # seconds in which a restarted process serves
-TAKES_OF = 0.02  # seconds of a way between two processes here
+SOCKETS = 0.05  # seconds added to every limit for delays of sockets
+LATE_ANSWER = 0.5  # seconds after a request's budget at which an unanswered request counts as lost
+LEFT = 0.1  # seconds after a client disconnects in which an attempt may still begin
+WAITED = 0.15  # seconds by which the time passed to a server may exceed the remaining budget of the client
+READY = 10.0  # seconds within which a restarted process must serve
+TAKES_OF = 0.02  # seconds allowed for a message between two processes on this machine
 MEMORY_MB = 96.0
 
 
 class Rule(StrEnum):
-    """The rules, by what breaks them."""
+    """The rules; each value describes the violation."""
 
     LOST = "a request got no final answer"
     SECOND_ANSWER = "a request got a second answer"
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """One broken rule: when, by which process, and whose request (empty: none)."""
+    """One violation: rule, time, process and id of the request (each empty if there is none)."""
 
     rule: Rule
     at: float
@@ -59,7 +59,7 @@
 
 
 class Judge:
-    """One record, and what is looked up in it."""
+    """Checks one record; indexes its attempts by request."""
 
     def __init__(self, deployment: Deployment, record: Record) -> None:
         self.deployment, self.record = deployment, record
@@ -69,7 +69,7 @@
             self.attempts[attempt.rid].append(attempt)
 
     def breaches(self) -> list[Breach]:
-        """All that were found, in the order of time."""
+        """Return all violations, ordered by time."""
         found: list[Breach] = []
         for request in self.record.requests.values():
             found += self._answers(request)
@@ -83,7 +83,7 @@
         return sorted(found, key=lambda breach: breach.at)
 
     def slack(self, start: float, end: float, process: str = "") -> float:
-        """Seconds by which a time within that span is judged later."""
+        """Return the seconds by which a limit within that span is extended."""
         life = self.record.processes.get(process)
         lost = 0.0
         if life is not None:
@@ -91,7 +91,7 @@
             lost += sum(waited for since, to, waited in life.starved if since <= end and to >= start)
         return SOCKETS + TAKES_OF + lost + self.record.held_up(start - LEFT, end)
 
-    # --- what clients are owed
+    # --- guarantees to clients
 
     def _answers(self, request: ClientRequest) -> Iterator[Breach]:
         if len(request.answers) > 1:
@@ -108,7 +108,7 @@
             yield self._breach(Rule.LOST, request.answers[0].at, request, f"its answer came {late:.3f} s too late")
 
     def _killed_under(self, request: ClientRequest) -> bool:
-        """Whether a kill that nobody planned took its process along before its answer was due."""
+        """Return whether the process was killed, without being asked to end, before the answer was due."""
         life = self.record.processes[request.process]
         return bool(
             life.killed_at
@@ -141,7 +141,7 @@
         yield from self._purged(request, answer, named)
 
     def _purged(self, request: ClientRequest, answer: ClientAnswer, made: list[ServerAttempt]) -> Iterator[Breach]:
-        """Of several attempts that may have brought this answer, one that may has to be within the rule."""
+        """Report a purged copy, unless one of the attempts that may have given this answer conforms to the rule."""
         found = [
             (attempt, purge)
             for attempt in made
@@ -166,7 +166,7 @@
                 f"{attempt.oldest}",
             )
 
-    # --- what servers are owed
+    # --- guarantees to servers
 
     def _effects(self, request: ClientRequest) -> Iterator[Breach]:
         cls = self.classes[request.cls]
@@ -207,7 +207,7 @@
                 )
 
     def _admits_purged(self, request: ClientRequest, attempt: ServerAttempt) -> Iterator[Breach]:
-        """While servers may keep copies from before a purge, an attempt says that they are too old."""
+        """While servers may keep copies from before a purge, each attempt must set a maximum age that excludes them."""
         now = attempt.at + self.record.unix_at_zero
         for purge in self.record.purges:
             told = purge.told.get(request.process)
@@ -226,11 +226,11 @@
                 )
                 return
 
-    # --- what cold servers are owed
+    # --- guarantees to cold servers
 
     def _cold(self) -> Iterator[Breach]:
-        """What reached a cold server in each window, against what it can take; what its warm peers were seen to take is
-        the guide to that. It counts from when the last process that ran then was told; later ones knew from their
+        """Compare the requests to a cold server in each window with its capacity, estimated from the load of its warm
+        peers. Windows count from the time at which the last process that then ran was told; later ones knew from their
         start."""
         arrivals: dict[str, list[float]] = defaultdict(list)
         for attempt in self.record.attempts:
@@ -256,12 +256,12 @@
                     break
 
     def _allowed(self, capacity: float, age: float) -> float:
-        """Requests that a cold server may get in a window that ends at this age."""
+        """Return how many requests a cold server may get in a window that ends at this age."""
         share = self.deployment.start_share + (1 - self.deployment.start_share) * age / self.deployment.ramp
         n = self.deployment.fall_multiple * capacity * share * self.deployment.fall_window
         return n + (3 if n < 30 else 2) * math.sqrt(n) + (3 if n < 30 else 2)
 
-    # --- what platforms are owed
+    # --- guarantees to the platform
 
     def _process(self, life: ProcessLife) -> Iterator[Breach]:
         def breach(rule: Rule, at: float, why: str) -> Breach:
@@ -288,15 +288,15 @@
 
 
 def body_of(thing: str, part: int, born: int) -> bytes:
-    """The bytes that a server makes of a part, from a copy of that birth."""
+    """Return the content of a part as a server gives it from a copy born at that time."""
     return f"{thing}/{part}@{born};".encode() * 8
 
 
 def most_in_window(times: list[float], window: float) -> int:
-    """The most arrivals in any window of so many seconds."""
+    """Return the greatest number of arrivals in any window of `window` seconds."""
     return max((bisect_right(times, at + window) - bisect_left(times, at) for at in times), default=0)
 
 
 def judge(deployment: Deployment, record: Record) -> list[Breach]:
-    """The breaches of one run."""
+    """Return the violations in the record of one run."""
     return Judge(deployment, record).breaches()
