--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -12,8 +12,8 @@
 import pytest
 
 from tests.harness import ROOT, until
-from threadhill.standin.links import PASS, Change, Relay, Way, play
-from threadhill.standin.swarm import Crowd, JournalService, Swarm, settings_for
+from threadhill.standin.links import UNIMPAIRED, Impairment, LinkChange, Relay, run_changes
+from threadhill.standin.swarm import JournalService, LoadGenerator, Swarm, settings_for
 
 PROXIES, CACHES, RATE = 24, 8, 120.0
 
@@ -55,19 +55,19 @@
         reader, writer = await asyncio.open_connection(*relay.address)
         writer.write(b"one")
         assert await reader.read(100) == b"one"
-        relay.set(down=Way(drop=True))  # one direction only
+        relay.impair(down=Impairment(drop=True))  # one direction only
         writer.write(b"lost")
         assert await read_or_silence(reader) == b"(silence)"
-        relay.both(Way(stall=True))
+        relay.impair_both(Impairment(stall=True))
         writer.write(b"two")
         assert await read_or_silence(reader) == b"(silence)"
-        relay.both(PASS)
+        relay.impair_both(UNIMPAIRED)
         assert await reader.read(100) == b"two"
-        relay.both(Way(delay=0.15))
+        relay.impair_both(Impairment(delay=0.15))
         began = time.monotonic()
         writer.write(b"three")
         assert await reader.read(100) == b"three" and time.monotonic() - began >= 0.3
-        relay.both(Way(rate=2_000))
+        relay.impair_both(Impairment(rate=2_000))
         writer.write(b"x" * 1_000)
         began, received = time.monotonic(), 0
         while received < 1_000:
@@ -82,24 +82,24 @@
 
 def test_a_relay_refuses_connections_or_leaves_them_half_open() -> None:
     async def scene(relay: Relay) -> None:
-        await play({"a": relay}, [Change(0.0, ("a",), "half")])
+        await run_changes({"a": relay}, [LinkChange(0.0, ("a",), "half")])
         reader, writer = await asyncio.open_connection(*relay.address)
         writer.write(b"anyone?")
         assert await read_or_silence(reader) == b"(silence)"
-        await play({"a": relay}, [Change(0.0, ("a",), "refuse")])
+        await run_changes({"a": relay}, [LinkChange(0.0, ("a",), "refuse")])
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(*relay.address)
-        await play({"a": relay}, [Change(0.0, ("a",), "accept")])
+        await run_changes({"a": relay}, [LinkChange(0.0, ("a",), "accept")])
         reader, writer = await asyncio.open_connection(*relay.address)
         writer.write(b"back")
         assert await reader.read(100) == b"back"
-        with pytest.raises(ValueError, match="no such change"):
-            await play({"a": relay}, [Change(0.0, ("a",), "melt")])
+        with pytest.raises(ValueError, match="unknown change"):
+            await run_changes({"a": relay}, [LinkChange(0.0, ("a",), "melt")])
 
     with_relay(scene)
 
 
-def with_swarm(folder: Path, scene: Callable[[Swarm, Crowd], Awaitable[None]], **more: Any) -> None:
+def with_swarm(folder: Path, scene: Callable[[Swarm, LoadGenerator], Awaitable[None]], **more: Any) -> None:
     """Run the scene with 24 proxies, caches behind links, and clients that send requests throughout."""
 
     async def run() -> None:
@@ -107,18 +107,18 @@
         try:
             await one.serve(CACHES, linked=True, **more)
             await one.launch([one.configure(f"p{n}").name for n in range(PROXIES)])
-            crowd = Crowd(one, RATE)
+            crowd = LoadGenerator(one, RATE)
             async with asyncio.timeout(100):
                 await scene(one, crowd)
             crowd.close()
-            assert not crowd.wrong and not crowd.twice and not crowd.answers["lost"]
+            assert not crowd.wrong_answers and not crowd.duplicate_answers and not crowd.answers["lost"]
         finally:
             await one.close()
 
     asyncio.run(run())
 
 
-async def served_again(one: Swarm, crowd: Crowd, names: list[str]) -> None:
+async def served_again(one: Swarm, crowd: LoadGenerator, names: list[str]) -> None:
     """Wait until each of these caches receives requests again, while clients continue."""
     since = time.time()
     load = asyncio.ensure_future(crowd.run(30))
@@ -134,7 +134,7 @@
 
 
 def test_a_fleet_without_failures_refuses_nothing_and_leaves_no_cache_idle(tmp_path: Path) -> None:
-    async def scene(one: Swarm, crowd: Crowd) -> None:
+    async def scene(one: Swarm, crowd: LoadGenerator) -> None:
         await crowd.run(4)
         assert crowd.answers["200"] >= 0.995 * crowd.answers.total()
         await served_again(one, crowd, [box.name for box in one.boxes])
@@ -146,18 +146,20 @@
     """One cache is cut off silently, one stalls, one resets connections: lost requests are bounded, each request gets
     one answer, and once the links are restored all three caches receive requests again."""
 
-    async def scene(one: Swarm, crowd: Crowd) -> None:
+    async def scene(one: Swarm, crowd: LoadGenerator) -> None:
         await crowd.run(2)
         names = [box.name for box in one.boxes]
-        resets = [Change(0.25 * n, (names[2],), "reset") for n in range(24)]
-        faults = [Change(0.0, (names[0],), "drop"), Change(0.0, (names[1],), "stall"), *resets]
-        playing = asyncio.ensure_future(play(one.links, faults))
+        resets = [LinkChange(0.25 * n, (names[2],), "reset") for n in range(24)]
+        faults = [LinkChange(0.0, (names[0],), "drop"), LinkChange(0.0, (names[1],), "stall"), *resets]
+        playing = asyncio.ensure_future(run_changes(one.links, faults))
         await crowd.run(3)
         crowd.answers.clear()
         await crowd.run(3)
         await playing
         assert crowd.answers["200"] >= 0.85 * crowd.answers.total()  # two of eight caches are gone
-        await play(one.links, [Change(0.0, tuple(names[:3]), "pass"), Change(0.0, tuple(names[:2]), "reset")])
+        await run_changes(
+            one.links, [LinkChange(0.0, tuple(names[:3]), "pass"), LinkChange(0.0, tuple(names[:2]), "reset")]
+        )
         await served_again(one, crowd, names[:3])
         crowd.answers.clear()
         await crowd.run(2)
@@ -187,7 +189,7 @@
                 more = {"journal": where, "known": {"pos": 0, "entries": []}} if n % 3 == 0 else {}
                 one.configure(f"p{n}", **more)
             await one.launch(list(one.proxies))
-            crowd = Crowd(one, RATE)
+            crowd = LoadGenerator(one, RATE)
             await crowd.run(2)
             await refusing_link.refuse(True)
             refusing_link.reset()
@@ -209,9 +211,9 @@
 
 
 def test_delayed_load_reports_during_a_burst_cause_no_herding_to_one_cache(tmp_path: Path) -> None:
-    async def scene(one: Swarm, crowd: Crowd) -> None:
+    async def scene(one: Swarm, crowd: LoadGenerator) -> None:
         for box in one.boxes:
-            box.late = 4.0
+            box.report_delay = 4.0
         await crowd.run(3)
         crowd.rate, since = 4 * RATE, time.time()
         crowd.answers.clear()
@@ -226,7 +228,7 @@
 def test_replacing_half_of_the_caches_within_seconds_does_not_overload_the_new_ones(tmp_path: Path) -> None:
     """The new ones start cold: in no second does one get more than the allowed multiple of its capacity."""
 
-    async def scene(one: Swarm, crowd: Crowd) -> None:
+    async def scene(one: Swarm, crowd: LoadGenerator) -> None:
         await crowd.run(3)
         old = [box.name for box in one.boxes[: CACHES // 2]]
         load = asyncio.ensure_future(crowd.run(8))
@@ -235,7 +237,7 @@
             replacement = await one.fleet.add(
                 f"s-0000aa{n:02x}", "box", (one.host, 0), cold=16.0, upstream="s-00000200"
             )
-            replacement.base = 0.025
+            replacement.answer_time = 0.025
             replacements.append(replacement)
             await one.link(replacement.name, replacement)
             await one.journal.hosts(one.member(replacement.name), one.member(name, "DRAINING"))
@@ -247,8 +249,8 @@
             late = [a for a in one.fleet.servers[name].arrivals if a.at > drained + 0.5]
             assert not late, f"{name} got {len(late)} after it drained"
         # The peers' peak shows the capacity when warm; a cold one starts at 0.16 of it, and collapses at 2.5 times it.
-        peak = max(box.most_open[s] for box in one.boxes for s in box.most_open)
-        assert all(max(replacement.most_open.values(), default=0) <= max(6, peak) for replacement in replacements)
+        peak = max(box.peak_open[s] for box in one.boxes for s in box.peak_open)
+        assert all(max(replacement.peak_open.values(), default=0) <= max(6, peak) for replacement in replacements)
         assert sum(len(replacement.arrivals) for replacement in replacements) > 0
 
     with_swarm(tmp_path, scene)
@@ -257,7 +259,7 @@
 def test_proxies_that_were_stopped_and_continued_answer_each_request_once(tmp_path: Path) -> None:
     """A third of them are stopped for two seconds with requests in progress."""
 
-    async def scene(one: Swarm, crowd: Crowd) -> None:
+    async def scene(one: Swarm, crowd: LoadGenerator) -> None:
         await crowd.run(2)
         stopped_proxies = list(one.proxies.values())[::3]
         load = asyncio.ensure_future(crowd.run(4))
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -22,8 +22,8 @@
 from threadhill.operators import read_operator
 from threadhill.settings import Malformed
 from threadhill.standin import faults
-from threadhill.standin.players import Players
-from threadhill.standin.servers import Copies, Fleet
+from threadhill.standin.players import ClientGroup
+from threadhill.standin.servers import CopyStore, Fleet
 
 OPERATOR = """
 [overload]
@@ -161,7 +161,7 @@
     async def scene() -> None:
         fleet = Fleet()
         box = await fleet.add("b", "library", ("127.0.0.1", 0))
-        box.workers, box.queue = 1, 1
+        box.workers, box.queue_limit = 1, 1
 
         async def ask(count: int) -> list[str]:
             reader, writer = await asyncio.open_connection(*box.address)
@@ -175,28 +175,28 @@
             return words
 
         assert sorted(set(await ask(6))) == ["ok", "refused"]  # one is processed, one waits
-        failing = asyncio.ensure_future(faults.play(box, faults.Fault("fail", 0, 0.2, 1.0)))
-        await until(lambda: box.failing)
+        failing = asyncio.ensure_future(faults.inject(box, faults.Fault("fail", 0, 0.2, 1.0)))
+        await until(lambda: box.failure_share)
         assert await ask(1) == ["error"]
         await failing
-        late = asyncio.ensure_future(faults.play(box, faults.Fault("late", 0, 0.2, 60)))
-        await until(lambda: box.late)
+        late = asyncio.ensure_future(faults.inject(box, faults.Fault("late", 0, 0.2, 60)))
+        await until(lambda: box.report_delay)
         assert box.report() == box.report()
         await late
-        stopped = asyncio.ensure_future(faults.play(box, faults.Fault("stop", 0, 0.2, 9.0)))
+        stopped = asyncio.ensure_future(faults.inject(box, faults.Fault("stop", 0, 0.2, 9.0)))
         await asyncio.sleep(0.05)
         with pytest.raises(OSError):
             await asyncio.open_connection(*box.address)
         await stopped
         assert await ask(1) == ["ok"] and box.cold == 9.0
         reader, _ = await asyncio.open_connection(*box.address)
-        await until(lambda: box.links)
-        reset = asyncio.ensure_future(faults.play(box, faults.Fault("reset", 0, 0.1)))
+        await until(lambda: box.connections)
+        reset = asyncio.ensure_future(faults.inject(box, faults.Fault("reset", 0, 0.1)))
         with suppress(ConnectionError):
             assert await asyncio.wait_for(reader.read(), 30) == b""  # the connection was closed
         await reset
-        with pytest.raises(ValueError, match="no such fault"):
-            await faults.play(box, faults.Fault("melt", 0, 0))
+        with pytest.raises(ValueError, match="unknown fault"):
+            await faults.inject(box, faults.Fault("melt", 0, 0))
         fleet.close()
 
     asyncio.run(scene())
@@ -219,9 +219,9 @@
 def test_a_refill_from_a_slow_library_while_an_upper_cache_stops_loses_no_answer_and_ends(tmp_path: Path) -> None:
     """In the same second all copies are dropped, the library becomes five times slower and an upper cache stops."""
 
-    async def scene() -> tuple[Players, list, float]:
+    async def scene() -> tuple[ClientGroup, list, float]:
         rig = await storm.start(tmp_path, "127.0.71.1", True)
-        players = Players("127.0.71.1", rig.listen[0], 60, ("told", "at once"), seed=3)
+        players = ClientGroup("127.0.71.1", rig.listen[0], 60, ("told", "at once"), seed=3)
         try:
             servers = rig.installation.fleet.servers
             library = next(server for server in servers.values() if server.kind == "library")
@@ -230,11 +230,11 @@
             players.outcomes.clear()
             begun = time.time()
             for server in servers.values():
-                server.copies = Copies()
+                server.copies = CopyStore()
             await asyncio.gather(
                 players.run(9),
-                faults.play(library, faults.Fault("slow", 0, 3, 5.0)),
-                faults.play(parents[0], faults.Fault("stop", 0, 3, 2.0)),
+                faults.inject(library, faults.Fault("slow", 0, 3, 5.0)),
+                faults.inject(parents[0], faults.Fault("stop", 0, 3, 2.0)),
             )
             return players, list(library.arrivals), begun
         finally:
@@ -242,7 +242,7 @@
             await rig.__aexit__()
 
     players, asked, begun = asyncio.run(scene())
-    assert players.twice == 0 and players.told["silence"] == 0
+    assert players.duplicate_answers == 0 and players.told["silence"] == 0
     late = [outcome.served for outcome in players.outcomes if outcome.began > begun + 6]
     assert len(late) > 50 and sum(late) / len(late) > 0.9  # recovered three seconds after the end of the fault
     worst = max(sum(second <= a.at - begun < second + 1 for a in asked) for second in range(9))
--- a/threadhill/standin/links.py
+++ b/threadhill/standin/links.py
@@ -1,7 +1,7 @@
-"""Links that fail: relays on loopback that stand between any two processes, and can be switched while traffic runs.
+"""Network faults between processes: TCP relays on loopback whose impairments can be changed while traffic runs.
 
-A relay takes connections at an address of its own and opens one each to its target. What its link does with bytes is
-told for each direction apart, so that one may fail while the other works.
+A relay accepts connections at an address of its own and opens one to its target for each. Impairments are set for each
+direction separately, so that one may fail while the other works.
 """
 
 from __future__ import annotations
@@ -12,125 +12,125 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-HELD = 256 << 10  # bytes of one direction of a connection that wait here at most, then its sender is read no more
-RATE_TURN = 0.02  # seconds of sending that a slow link takes at a time
+MAX_BUFFERED = 256 << 10  # bytes buffered for one direction of a connection; above this, reading from its sender pauses
+RATE_INTERVAL = 0.02  # greatest interval in seconds between writes to a rate-limited link
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """What one direction does: all bytes pass at once unless a field says otherwise."""
+class Impairment:
+    """Impairment of one direction; with the defaults all bytes pass at once."""
 
-    drop: bool = False  # they vanish in silence, and an end of the connection with them
-    stall: bool = False  # they wait, as behind a peer that does not read, and pass when the stall ends
-    delay: float = 0.0  # seconds that each byte takes longer
-    rate: float = 0.0  # bytes a second; 0: no bound
+    drop: bool = False  # bytes and the end of the connection are silently discarded
+    stall: bool = False  # bytes are held back, as by a peer that does not read, and pass when the stall ends
+    delay: float = 0.0  # seconds added to the delivery of each byte
+    rate: float = 0.0  # bytes a second; 0: unlimited
 
     def __post_init__(self) -> None:
         if self.delay < 0 or self.rate < 0:
-            raise ValueError("delay and rate of a link are not negative")
+            raise ValueError("delay and rate of a link must not be negative")
 
 
-PASS = Way()
+UNIMPAIRED = Impairment()
 
 
-def cut(transport: asyncio.BaseTransport | None) -> None:
-    """End a connection with a reset: without the linger of nothing, the peer would read a usual end."""
+def reset_connection(transport: asyncio.BaseTransport | None) -> None:
+    """Close a connection with a TCP reset; without SO_LINGER set to zero the peer would see an orderly close."""
     if transport is not None:
         where = transport.get_extra_info("socket")
-        if where is not None and where.fileno() >= 0:  # it may have ended by itself in this very turn
+        if where is not None and where.fileno() >= 0:  # it may have been closed in this event-loop iteration already
             where.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         transport.abort()
 
 
-class Side(asyncio.Protocol):
-    """One connection of a pair: what it reads goes out on the other."""
+class RelayConnection(asyncio.Protocol):
+    """One connection of a pair: what it receives is written to the other."""
 
     def __init__(self, relay: Relay, name: str) -> None:
-        self.relay, self.name = relay, name  # name: the way that its bytes take, up or down
+        self.relay, self.name = relay, name  # name: the direction of the bytes that it receives, up or down
         self.transport: asyncio.Transport | None = None
-        self.other: Side | None = None
-        self.waiting: list[tuple[float, bytes]] = []  # when each may go, in order
-        self.bytes = 0
-        self.full = False  # the other side's peer does not read
+        self.other: RelayConnection | None = None
+        self.pending: list[tuple[float, bytes]] = []  # loop time from which each chunk may be sent, in order
+        self.pending_bytes = 0
+        self.write_blocked = False  # the other connection's write buffer is full
         self.ended = False
         self._timer: asyncio.TimerHandle | None = None
-        self._next = 0.0  # when a slow link is free again
+        self._free_at = 0.0  # loop time at which a rate-limited link is free again
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
         if self.other is not None and self.other.transport is not None:
-            self.other.pump()
+            self.other.send_due()
 
     def data_received(self, data: bytes) -> None:
-        way = self.relay.ways[self.name]
-        if way.drop:
+        impairment = self.relay.impairments[self.name]
+        if impairment.drop:
             return
         now = asyncio.get_running_loop().time()
-        if way.rate:
-            self._next = max(now, self._next) + len(data) / way.rate
-        self.waiting.append((max(now + way.delay, self._next if way.rate else 0.0), data))
-        self.bytes += len(data)
-        if self.bytes > HELD:
+        if impairment.rate:
+            self._free_at = max(now, self._free_at) + len(data) / impairment.rate
+        self.pending.append((max(now + impairment.delay, self._free_at if impairment.rate else 0.0), data))
+        self.pending_bytes += len(data)
+        if self.pending_bytes > MAX_BUFFERED:
             self.transport.pause_reading()
-        self.pump()
+        self.send_due()
 
-    def pump(self) -> None:
-        """Pass on what is due."""
+    def send_due(self) -> None:
+        """Send the chunks that are due to the other connection."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         peer = self.other.transport if self.other is not None else None
-        if peer is None or self.full or self.relay.ways[self.name].stall:
+        if peer is None or self.write_blocked or self.relay.impairments[self.name].stall:
             return
         now = asyncio.get_running_loop().time()
-        while self.waiting and self.waiting[0][0] <= now:
-            data = self.waiting.pop(0)[1]
-            self.bytes -= len(data)
+        while self.pending and self.pending[0][0] <= now:
+            data = self.pending.pop(0)[1]
+            self.pending_bytes -= len(data)
             peer.write(data)
-        if self.waiting:
+        if self.pending:
             wait = (
-                min(self.waiting[0][0] - now, RATE_TURN)
-                if self.relay.ways[self.name].rate
-                else self.waiting[0][0] - now
+                min(self.pending[0][0] - now, RATE_INTERVAL)
+                if self.relay.impairments[self.name].rate
+                else self.pending[0][0] - now
             )
-            self._timer = asyncio.get_running_loop().call_later(wait, self.pump)
+            self._timer = asyncio.get_running_loop().call_later(wait, self.send_due)
         elif self.ended:
             peer.close()
-        if self.bytes <= HELD and self.transport is not None and not self.ended:
+        if self.pending_bytes <= MAX_BUFFERED and self.transport is not None and not self.ended:
             self.transport.resume_reading()
 
     def pause_writing(self) -> None:
         if self.other is not None:
-            self.other.full = True
+            self.other.write_blocked = True
 
     def resume_writing(self) -> None:
         if self.other is not None:
-            self.other.full = False
-            self.other.pump()
+            self.other.write_blocked = False
+            self.other.send_due()
 
     def connection_lost(self, error: Exception | None) -> None:
         self.ended = True
-        self.relay.sides.discard(self)
-        if self.relay.ways[self.name].drop or self.other is None or self.other.transport is None:
+        self.relay.connections.discard(self)
+        if self.relay.impairments[self.name].drop or self.other is None or self.other.transport is None:
             return
         if error is not None:
-            cut(self.other.transport)
+            reset_connection(self.other.transport)
         else:
-            self.pump()
+            self.send_due()
 
 
 @dataclass(slots=True)
 class Relay:
-    """A link to `target`, looked up anew for each connection. `accepts` is all (usual), none (connections are refused)
-    or half (they come up, and nobody is behind them)."""
+    """A link to `target`, which is called for each connection. `accepts` is all (the default) or half (connections are
+    accepted, but none to the target is opened)."""
 
     target: Callable[[], tuple[str, int] | None]
     host: str = "127.0.0.1"
     address: tuple[str, int] = ("", 0)
     accepts: str = "all"
-    ways: dict[str, Way] = field(default_factory=lambda: {"up": PASS, "down": PASS})
-    sides: set[Side] = field(default_factory=set)
-    taken: int = 0  # connections so far
+    impairments: dict[str, Impairment] = field(default_factory=lambda: {"up": UNIMPAIRED, "down": UNIMPAIRED})
+    connections: set[RelayConnection] = field(default_factory=set)
+    accepted_connections: int = 0
     _server: asyncio.Server | None = None
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
@@ -141,46 +141,46 @@
         self.address = self._server.sockets[0].getsockname()[:2]
         return self.address
 
-    def _accept(self) -> Side:
-        self.taken += 1
-        side = Side(self, "up")
-        self.sides.add(side)
+    def _accept(self) -> RelayConnection:
+        self.accepted_connections += 1
+        connection = RelayConnection(self, "up")
+        self.connections.add(connection)
         if self.accepts == "all":
-            task = asyncio.get_running_loop().create_task(self._connect(side))
+            task = asyncio.get_running_loop().create_task(self._connect(connection))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-        return side
+        return connection
 
-    async def _connect(self, side: Side) -> None:
-        other = Side(self, "down")
-        side.other, other.other = other, side
+    async def _connect(self, connection: RelayConnection) -> None:
+        other = RelayConnection(self, "down")
+        connection.other, other.other = other, connection
         where = self.target()
         try:
             if where is None:
                 raise ConnectionRefusedError
             await asyncio.get_running_loop().create_connection(lambda: other, *where)
         except OSError:
-            cut(side.transport)
+            reset_connection(connection.transport)
             return
-        self.sides.add(other)
-        side.pump()
+        self.connections.add(other)
+        connection.send_due()
 
-    def set(self, up: Way | None = None, down: Way | None = None) -> None:
-        """What the link does from now on; what waited behind a stall goes when that ends."""
-        self.ways = {"up": up or self.ways["up"], "down": down or self.ways["down"]}
-        for side in list(self.sides):
-            side.pump()
+    def impair(self, up: Impairment | None = None, down: Impairment | None = None) -> None:
+        """Set the impairment of one or both directions; bytes held by a stall that ends are sent."""
+        self.impairments = {"up": up or self.impairments["up"], "down": down or self.impairments["down"]}
+        for connection in list(self.connections):
+            connection.send_due()
 
-    def both(self, way: Way) -> None:
-        self.set(way, way)
+    def impair_both(self, impairment: Impairment) -> None:
+        self.impair(impairment, impairment)
 
     def reset(self) -> None:
-        """Cut every connection, with a reset to both ends."""
-        for side in list(self.sides):
-            cut(side.transport)
+        """Reset every connection at both ends."""
+        for connection in list(self.connections):
+            reset_connection(connection.transport)
 
     async def refuse(self, refuses: bool) -> None:
-        """Refuse connections, or take them again at the same address."""
+        """Refuse connections, or accept them again at the same address."""
         if refuses and self._server is not None:
             self._server.close()
             self._server = None
@@ -197,8 +197,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """One step of a script of links: at so many seconds, these links get these ways, or are reset, refuse or accept."""
+class LinkChange:
+    """One step of a script: `at` seconds after its start, the named links change as `kind` says (one of KINDS)."""
 
     at: float
     links: tuple[str, ...]
@@ -210,12 +210,12 @@
 KINDS = ("pass", "drop", "stall", "delay", "slow", "reset", "refuse", "accept", "half")
 
 
-async def switch(relay: Relay, change: Change) -> None:
-    """Bring one change about."""
+async def apply_change(relay: Relay, change: LinkChange) -> None:
+    """Apply one change to a relay."""
     if change.kind not in KINDS or change.direction not in ("both", "up", "down"):
         raise ValueError(
-            f"{change.kind} {change.direction}: no such change of a link; there are {', '.join(KINDS)}, "
-            "each for both, up or down"
+            f"unknown change of a link: {change.kind} {change.direction}; known: {', '.join(KINDS)}, "
+            "each with direction both, up or down"
         )
     if change.kind == "reset":
         relay.reset()
@@ -227,23 +227,23 @@
     if change.kind == "half":
         relay.accepts = "half"
         return
-    way = {
-        "pass": PASS,
-        "drop": Way(drop=True),
-        "stall": Way(stall=True),
-        "delay": replace(PASS, delay=change.amount),
-        "slow": replace(PASS, rate=change.amount),
+    impairment = {
+        "pass": UNIMPAIRED,
+        "drop": Impairment(drop=True),
+        "stall": Impairment(stall=True),
+        "delay": replace(UNIMPAIRED, delay=change.amount),
+        "slow": replace(UNIMPAIRED, rate=change.amount),
     }[change.kind]
     if change.kind == "pass":
         relay.accepts = "all"
-    relay.set(way if change.direction != "down" else None, way if change.direction != "up" else None)
+    relay.impair(impairment if change.direction != "down" else None, impairment if change.direction != "up" else None)
 
 
-async def play(links: dict[str, Relay], script: list[Change]) -> None:
-    """All changes, each at its time from now on."""
+async def run_changes(links: dict[str, Relay], script: list[LinkChange]) -> None:
+    """Apply all changes, each at its time after this call."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     for change in sorted(script, key=lambda one: one.at):
         await asyncio.sleep(max(0.0, began + change.at - loop.time()))
         for name in change.links:
-            await switch(links[name], change)
+            await apply_change(links[name], change)
