--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -55,7 +55,7 @@
 from threadhill.recovery import adopt  # noqa: E402
 from threadhill.standin.dev import start_control  # noqa: E402
 from threadhill.standin.servers import Server  # noqa: E402
-from threadhill.standin.swarm import LoadGenerator, Swarm, settings_for  # noqa: E402
+from threadhill.standin.swarm import LoadGenerator, Swarm, location_settings  # noqa: E402
 
 PROXIES, KILLED, CACHES, RATE = 100, 0.7, 24, 300.0
 CALM_S, AFTER_S = 4.0, 12.0
@@ -103,7 +103,7 @@
     """Processor seconds of a request with three proxies."""
     folder.mkdir(parents=True)
     (folder / "state").mkdir()
-    swarm = Swarm(folder, host, settings_for(3), root, operator=operator)
+    swarm = Swarm(folder, host, location_settings(3), root, operator=operator)
     try:
         await swarm.serve(CACHES)
         await swarm.launch([swarm.configure(f"p{n}").name for n in range(3)])
@@ -210,7 +210,7 @@
 async def side(root: Path, folder: Path, host: str, seed: int, operator: str) -> dict[str, Any]:
     folder.mkdir(parents=True)
     (folder / "state").mkdir()
-    swarm = Swarm(folder, host, settings_for(PROXIES), root, operator=operator)
+    swarm = Swarm(folder, host, location_settings(PROXIES), root, operator=operator)
     dials: list[tuple[float, int]] = []
     try:
         await swarm.serve(CACHES)
@@ -239,7 +239,7 @@
             await swarm.proxies[name].process.wait()
         swarm.fleet.servers[cold].stop()
         await swarm.fleet.servers[cold].restart(cold=COLD_S)
-        await swarm.journal.hosts(swarm.member(drained, "DRAINING"), swarm.member(cold))
+        await swarm.journal.add_members(swarm.member(drained, "DRAINING"), swarm.member(cold))
         for box in swarm.boxes:
             box.purged[PURGED] = time.time()
         await swarm.journal.add({"expire": {"name": PURGED, "stamp": int(time.time() * 1e3)}})
--- a/benchmarks/owner.py
+++ b/benchmarks/owner.py
@@ -151,7 +151,7 @@
             if plan["steps"]:
                 ask = client.ApiClient(trio.api, TOKEN)
                 opened = await asyncio.to_thread(client.begin_apply, ask, plan, "bench", "bench", "")
-                await trio.installation.look()
+                await trio.installation.poll()
                 versions.append((opened["version"], boxes))
                 end = time.monotonic() + 20
                 while time.monotonic() < end and not faults.ended:
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -273,7 +273,7 @@
     async def begin(self, plan: dict[str, Any], holder: str = "rig") -> dict[str, Any]:
         """Open the apply; what it is going to list runs when this returns."""
         lease = await asyncio.to_thread(client.begin_apply, self.ask, plan, holder, "rig", "")
-        await self.installation.look()
+        await self.installation.poll()
         return lease
 
     async def carry_on(
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -39,7 +39,7 @@
     sys.path[0] = str(ROOT)
 
 from threadhill.standin.ask import Answer, Client  # noqa: E402
-from threadhill.standin.swarm import settings_for  # noqa: E402
+from threadhill.standin.swarm import location_settings  # noqa: E402
 
 LISTENERS = 8
 OBJECTS = 400
@@ -175,7 +175,7 @@
     members += [member(0xB1, servers.ports[0], "parent", "sierra"), member(0xC1, servers.ports[1], "origin", "sierra")]
     journal = Journal(members)
     port = await journal.start()
-    settings = settings_for(1)
+    settings = location_settings(1)
     config = {
         "name": "n0",
         "listen": "127.0.0.1:0",
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -43,7 +43,7 @@
     sys.path[0] = str(ROOT)
 
 from threadhill.decision.choice import INITIAL_INFLIGHT_LIMIT  # noqa: E402
-from threadhill.standin.swarm import LoadGenerator, Swarm, settings_for  # noqa: E402
+from threadhill.standin.swarm import LoadGenerator, Swarm, location_settings  # noqa: E402
 
 BEFORE = "0480b4e"  # the last version whose bounds were by chance under one
 CACHES, RATE, CALM_S, RELEASE_S, SETTLE_S = 24, 400.0, 10.0, 6.0, 2.0
@@ -95,7 +95,7 @@
 ) -> dict[str, Any]:
     """One version with so many proxies."""
     folder.mkdir(parents=True)
-    swarm = Swarm(folder, host, settings_for(crew), root, hints)
+    swarm = Swarm(folder, host, location_settings(crew), root, hints)
     try:
         await swarm.serve(CACHES)
         names = [swarm.configure(f"p{n}").name for n in range(crew)]
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -113,7 +113,7 @@
         if 0 <= second < seconds:
             offered[second] += 1
             good[second] += one.served
-            tries[second] += one.tries
+            tries[second] += one.attempts
     share = [g / max(1, o) for g, o in zip(good, offered, strict=True)]
     first, back = int(BEFORE_S), int(BEFORE_S + FAULT_S)
     usual = sum(good[1:first]) / max(1, sum(offered[1:first]))
@@ -122,7 +122,7 @@
     lost = [o for o in players.outcomes if o.began - began >= BEFORE_S]
     gaps = sum(not o.served for o in missed) / max(1, len(missed))
     newcomers = sum(not o.served for o in lost) / max(1, len(lost))
-    returned = sum(players.told.values())
+    returned = sum(players.statuses_after_backoff.values())
     two = (BOXES - 1) / BOXES * ROOM
     goodput = sum(good[first + 1 : back]) / (back - first - 1) / two
     return {
@@ -132,8 +132,8 @@
         "newcomers": newcomers,
         "pushed": pushed(box),
         "returned": returned,
-        "told": dict(players.told),
-        "comeback": 1 - players.told["200"] / returned if returned else 0.0,
+        "told": dict(players.statuses_after_backoff),
+        "comeback": 1 - players.statuses_after_backoff["200"] / returned if returned else 0.0,
         "served": sum(good[first:]) / max(1, sum(offered[first:])),
         "usual": usual,
         "share": [round(s, 3) for s in share],
@@ -185,9 +185,9 @@
         players = ClientGroup(host, rig.listen[0], CALM * ROOM, ("told",), seed=seed)
         pid = next(iter(rig.installation.proxies.values()))[0].pid
         await players.run(2.0)
-        before, asked = cpu(pid), players.asked
+        before, asked = cpu(pid), players.attempts_sent
         await players.run(14.0)
-        return {"us": (cpu(pid) - before) / max(1, players.asked - asked) * 1e6}
+        return {"us": (cpu(pid) - before) / max(1, players.attempts_sent - asked) * 1e6}
     finally:
         await rig.__aexit__()
 
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -23,7 +23,7 @@
 from threadhill.knowledge.report import ReportBuilder
 from threadhill.settings import Malformed
 from threadhill.standin.links import UNIMPAIRED, Impairment
-from threadhill.standin.swarm import LoadGenerator, Swarm, settings_for
+from threadhill.standin.swarm import LoadGenerator, Swarm, location_settings
 
 
 def report_of(number: int, rate: float = 2.0, **more: Any) -> dict[str, Any]:
@@ -253,7 +253,7 @@
     """24 processes; for ten seconds the link to the service that sends hints silently drops everything."""
 
     async def scene() -> None:
-        swarm = Swarm(tmp_path, "127.0.0.1", settings_for(24), ROOT, hints=True)
+        swarm = Swarm(tmp_path, "127.0.0.1", location_settings(24), ROOT, hints=True)
         try:
             await swarm.serve(8, linked=True)
             await swarm.launch([swarm.configure(f"p{n}").name for n in range(24)])
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -13,7 +13,7 @@
 
 from tests.harness import ROOT, until
 from threadhill.standin.links import UNIMPAIRED, Impairment, LinkChange, Relay, run_changes
-from threadhill.standin.swarm import JournalService, LoadGenerator, Swarm, settings_for
+from threadhill.standin.swarm import JournalService, LoadGenerator, Swarm, location_settings
 
 PROXIES, CACHES, RATE = 24, 8, 120.0
 
@@ -103,7 +103,7 @@
     """Run the scene with 24 proxies, caches behind links, and clients that send requests throughout."""
 
     async def run() -> None:
-        one = Swarm(folder, "127.0.0.1", settings_for(PROXIES), ROOT)
+        one = Swarm(folder, "127.0.0.1", location_settings(PROXIES), ROOT)
         try:
             await one.serve(CACHES, linked=True, **more)
             await one.launch([one.configure(f"p{n}").name for n in range(PROXIES)])
@@ -172,7 +172,7 @@
     """A third of the proxies have an address for one cache behind a separate relay, which refuses connections."""
 
     async def run() -> None:
-        one = Swarm(tmp_path, "127.0.0.1", settings_for(PROXIES), ROOT)
+        one = Swarm(tmp_path, "127.0.0.1", location_settings(PROXIES), ROOT)
         other = JournalService()
         try:
             await one.serve(CACHES, linked=True)
@@ -181,7 +181,7 @@
             await refusing_link.start()
             await other.start("127.0.0.1")
             member = one.member(unreachable.name) | {"host_port": f"127.0.0.1:{refusing_link.address[1]}"}
-            await other.hosts(
+            await other.add_members(
                 *(m for name, m in one.journal.members.items() if name != unreachable.name), member, complete=True
             )
             where = f"127.0.0.1:{other.address[1]}"
@@ -240,7 +240,7 @@
             replacement.answer_time = 0.025
             replacements.append(replacement)
             await one.link(replacement.name, replacement)
-            await one.journal.hosts(one.member(replacement.name), one.member(name, "DRAINING"))
+            await one.journal.add_members(one.member(replacement.name), one.member(name, "DRAINING"))
             await asyncio.sleep(1.0)
         drained = time.time()
         await load
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -31,7 +31,7 @@
 from threadhill.settings import Malformed
 from threadhill.standin.links import LinkChange, Relay, run_changes
 from threadhill.standin.servers import Server
-from threadhill.standin.swarm import LoadGenerator, Swarm, settings_for
+from threadhill.standin.swarm import LoadGenerator, Swarm, location_settings
 
 PHASE_ORDER = [Phase.BLANK, Phase.CATCHING_UP, Phase.WARMING, Phase.FULL]
 
@@ -441,7 +441,7 @@
 
     async def run() -> None:
         (folder / "state").mkdir()
-        swarm = Swarm(folder, "127.0.0.1", settings_for(proxies), ROOT, operator=operator)
+        swarm = Swarm(folder, "127.0.0.1", location_settings(proxies), ROOT, operator=operator)
         try:
             await swarm.serve(8, linked=True)
             await swarm.launch([swarm.configure(f"p{n}").name for n in range(proxies)])
@@ -504,7 +504,7 @@
         for box in swarm.boxes[1:3]:
             box.stop()
             await box.restart(cold=8.0)
-        await swarm.journal.hosts(
+        await swarm.journal.add_members(
             swarm.member(drained, "DRAINING"), *(swarm.member(box.name) for box in swarm.boxes[1:3])
         )
         for box in swarm.boxes:
@@ -536,7 +536,7 @@
             swarm.proxies[name].signal(signal.SIGKILL)
             await swarm.proxies[name].process.wait()
         drained = swarm.boxes[0].name
-        await swarm.journal.hosts(swarm.member(drained, "DRAINING"))
+        await swarm.journal.add_members(swarm.member(drained, "DRAINING"))
         for name in names:  # their configuration is an hour old
             os.utime(swarm.proxies[name].config, (time.time() - 3_600,) * 2)
         await swarm.links["journal"].refuse(True)
@@ -558,7 +558,7 @@
     async def scene(swarm: Swarm, crowd: LoadGenerator) -> None:
         await wait_until_served(crowd, 0.99)
         older, drained = list(swarm.journal.events), swarm.boxes[0].name
-        await swarm.journal.hosts(swarm.member(drained, "DRAINING"))
+        await swarm.journal.add_members(swarm.member(drained, "DRAINING"))
         await asyncio.sleep(0.6)
         since = time.time()
         await swarm.journal.restart(older)
@@ -569,7 +569,7 @@
         born = swarm.fleet.servers[drained]
         born.stop()
         await born.restart(cold=1.0)
-        await swarm.journal.hosts(swarm.member(drained))  # restarted: it counts as another server now
+        await swarm.journal.add_members(swarm.member(drained))  # restarted: it counts as another server now
         await wait_until_served(crowd, 0.99)
         await wait_until_served(crowd, 0.99)
         assert requests_to(swarm, drained, since)
@@ -593,7 +593,7 @@
         await wait_until_served(crowd, 0.99)
         await run_changes(swarm.links, [LinkChange(0.0, ("second",), "drop")])
         drained, purged, told = swarm.boxes[0].name, "0000000000000002", time.time()
-        await swarm.journal.hosts(swarm.member(drained, "DRAINING"))
+        await swarm.journal.add_members(swarm.member(drained, "DRAINING"))
         await swarm.journal.add({"expire": {"name": purged, "stamp": int(told * 1e3)}})
         crowd.answers.clear()
         await crowd.run(1.7)
@@ -620,13 +620,13 @@
         await asyncio.sleep(0.3)
         for proxy in stopped:
             swarm.proxies[proxy].signal(signal.SIGSTOP)
-        await swarm.journal.hosts(swarm.member(name, "DRAINING"))
+        await swarm.journal.add_members(swarm.member(name, "DRAINING"))
         await asyncio.sleep(0.6)
         old.stop()
         stranger = Server("s-0000bbbb", "parent", old.address, lambda source: None)  # it belongs to someone else now
         await stranger.start()
         swarm.fleet.servers["s-0000bbbb"] = stranger
-        await swarm.journal.hosts({"id": name, "phase": "DELETED"})
+        await swarm.journal.add_members({"id": name, "phase": "DELETED"})
         await asyncio.sleep(3)
         since = time.time()
         for proxy in stopped:
@@ -647,7 +647,7 @@
         name, box = "p0", swarm.boxes[1].name
         raw = orjson.loads(swarm.proxies[name].config.read_bytes())
         drained, purged = swarm.boxes[0].name, "0000000000000003"
-        await swarm.journal.hosts(swarm.member(drained, "DRAINING"))
+        await swarm.journal.add_members(swarm.member(drained, "DRAINING"))
         told = time.time()
         await swarm.journal.add({"expire": {"name": purged, "stamp": int(told * 1e3)}})
         state = tmp_path / "state" / f"{name}.state"
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -11,7 +11,7 @@
 from tests.harness import ROOT, ProxyHarness, open_silent_connections, until
 from tests.test_proxy import run_scenario
 from threadhill.standin.ask import Client
-from threadhill.standin.swarm import LoadGenerator, Swarm, settings_for
+from threadhill.standin.swarm import LoadGenerator, Swarm, location_settings
 
 KILLED = 24
 READY_S = 10.0  # seconds within which nine in ten of the killed proxies must be ready
@@ -32,7 +32,7 @@
 
 def test_nine_in_ten_of_24_proxies_killed_under_load_are_soon_ready(tmp_path: Path) -> None:
     async def scene() -> None:
-        swarm = Swarm(tmp_path, "127.0.0.1", settings_for(KILLED), ROOT)
+        swarm = Swarm(tmp_path, "127.0.0.1", location_settings(KILLED), ROOT)
         try:
             await swarm.serve(6)
             names = [swarm.configure(f"p{n}").name for n in range(KILLED)]
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -242,7 +242,7 @@
             await rig.__aexit__()
 
     players, asked, begun = asyncio.run(scene())
-    assert players.duplicate_answers == 0 and players.told["silence"] == 0
+    assert players.duplicate_answers == 0 and players.statuses_after_backoff["silence"] == 0
     late = [outcome.served for outcome in players.outcomes if outcome.began > begun + 6]
     assert len(late) > 50 and sum(late) / len(late) > 0.9  # recovered three seconds after the end of the fault
     worst = max(sum(second <= a.at - begun < second + 1 for a in asked) for second in range(9))
--- a/threadhill/drills/run.py
+++ b/threadhill/drills/run.py
@@ -13,7 +13,7 @@
 from threadhill.drills.scenario import Fault, Installation, Scenario
 from threadhill.drills.verdict import Shown, show
 from threadhill.standin.links import LinkChange, apply_change
-from threadhill.standin.swarm import LoadGenerator, Swarm, settings_for
+from threadhill.standin.swarm import LoadGenerator, Swarm, location_settings
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 GRACE = 0.25  # seconds after the journal told of a drain in which sends still count as before it
@@ -34,7 +34,7 @@
         self.swarm = Swarm(
             folder,
             host,
-            settings_for(scenario.fleet.proxies),
+            location_settings(scenario.fleet.proxies),
             ROOT,
             scenario.fleet.hints,
             operator=operator_text(scenario.fleet),
@@ -95,9 +95,9 @@
         elif fault.do == "back":
             server = self.swarm.fleet.servers[name]
             await server.restart(cold=fault.amount or COLD_S)
-            await self.swarm.journal.hosts(self.swarm.member(name))
+            await self.swarm.journal.add_members(self.swarm.member(name))
         elif fault.do == "drain":
-            await self.swarm.journal.hosts(self.swarm.member(name, "DRAINING"))
+            await self.swarm.journal.add_members(self.swarm.member(name, "DRAINING"))
             self.drained[name] = time.time()
         else:
             await self.swarm.journal.add({"expire": {"set": int(name), "stamp": int(time.time() * 1e3)}})
--- a/threadhill/standin/dev.py
+++ b/threadhill/standin/dev.py
@@ -54,19 +54,19 @@
         """Poll the state and apply it to servers and proxies until cancelled."""
         while True:
             with suppress(client.ApiError):  # the control plane may be restarting
-                await self.look()
+                await self.poll()
             await asyncio.sleep(POLL_INTERVAL)
 
-    async def look(self) -> None:
+    async def poll(self) -> None:
         """Read the state once; on return, the servers of its newest version and the recorded proxies are running."""
         async with self._poll_lock:
             state = await asyncio.to_thread(self._client, "GET", "/v1/state")
             if state["version"] != self._wanted[0]:
                 version = await asyncio.to_thread(self._client, "GET", f"/v1/versions/{state['version']}")
                 self._wanted = state["version"], version["wanted"]
-            await self.make({f"{r['kind']}.{r['name']}": r["attrs"] for r in state["records"]})
+            await self.reconcile({f"{r['kind']}.{r['name']}": r["attrs"] for r in state["records"]})
 
-    async def make(self, recorded: Mapping[str, Mapping[str, Any]]) -> None:
+    async def reconcile(self, recorded: Mapping[str, Mapping[str, Any]]) -> None:
         """Run the wanted and the recorded servers, as a server must run before it is listed, and stop all others."""
         wanted = {**self._wanted[1], **recorded}
         settings = wanted.get("settings.settings", {})
--- a/threadhill/standin/players.py
+++ b/threadhill/standin/players.py
@@ -25,8 +25,8 @@
     began: float
     cls: str
     served: bool  # within the budget, by any of the attempts
-    tries: int
-    took: float
+    attempts: int
+    seconds: float
     next_part: bool = False  # it asked for a further part of an object that is being played
 
 
@@ -46,8 +46,8 @@
     listeners: int = 0
     outcomes: list[Outcome] = field(default_factory=list)
     # Status of the answers to retries that waited for the back-off that the proxy asked for.
-    told: Counter[str] = field(default_factory=Counter)
-    asked: int = 0
+    statuses_after_backoff: Counter[str] = field(default_factory=Counter)
+    attempts_sent: int = 0
     stopped: bool = False
     _connections: list[Client | None] = field(default_factory=lambda: [None] * CONNECTIONS)
 
@@ -68,7 +68,7 @@
         if one is None:
             await asyncio.sleep(0.01)
             return "no connection", 0.0
-        self.asked += 1
+        self.attempts_sent += 1
         more: dict[str, object] = {"mem": 80}
         if again:
             more["again"] = 1
@@ -94,7 +94,7 @@
             mark = tries > 1 and policy != "silent"
             word, away = await self._attempt(place + (tries if policy == "silent" else 0), obj, part, mark, left)
             if told:
-                self.told[word] += 1
+                self.statuses_after_backoff[word] += 1
             if word == "200":
                 break
             told = policy == "told" and away > 0
--- a/threadhill/standin/swarm.py
+++ b/threadhill/standin/swarm.py
@@ -29,14 +29,14 @@
 POSITION_INTERVAL = 0.5  # seconds between the journal's lines that hold only the last position
 
 
-def settings_for(crew: int, **limits: Any) -> dict[str, Any]:
-    """Return the settings of one location with `crew` proxies, load reports in answers and one class of requests."""
+def location_settings(proxy_count: int, **limits: Any) -> dict[str, Any]:
+    """Return the settings of one location with `proxy_count` proxies, load reports in answers and one class of requests."""
     return {
         "extra": {
             "bypass-allowed": True,
             "class-write": [False],
             "client-kb-per-s": 4000.0,
-            "crew-by-zone": [0, crew],
+            "crew-by-zone": [0, proxy_count],
             "fresh-for": [0],
             "in-parts": [False],
             "master-kind": 2,
@@ -63,7 +63,7 @@
         },
         "machine-types": ["standard", "parent", "origin"],
         "membership-mode": "pushed",
-        "n-instances": crew,
+        "n-instances": proxy_count,
         "obligations": {
             "drain-grace": 250_000,
             "fall": 3_000_000,
@@ -152,7 +152,7 @@
             self._more.notify_all()
         return len(self.events)
 
-    async def hosts(self, *members: dict[str, Any], complete: bool = False) -> int:
+    async def add_members(self, *members: dict[str, Any], complete: bool = False) -> int:
         for member in members:
             self.members[member["id"]] = member
         return await self.add({"hosts": {"revision": 1, "complete": complete, "members": list(members)}})
@@ -220,7 +220,7 @@
         if linked:
             relay = self.links["journal"] = Relay(lambda: self.journal.address, self.host)
             await relay.start()
-        await self.journal.hosts(*(self.member(name) for name, _ in names), complete=True)
+        await self.journal.add_members(*(self.member(name) for name, _ in names), complete=True)
 
     async def link(self, name: str, server: Server) -> None:
         self.links[name] = Relay(lambda: server.address, self.host)
