--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -676,7 +676,7 @@
         while crowd.answers["200"] < 50 and time.monotonic() < end:
             await crowd.run(1, [name])
         assert crowd.answers["200"] >= 50
-        await asyncio.gather(*(crowd._one(name, purged) for _ in range(5)))
+        await asyncio.gather(*(crowd._request(name, purged) for _ in range(5)))
         for other in swarm.proxies.values():  # so that all requests are from this one
             if other.name != name:
                 other.signal(signal.SIGSTOP)
--- a/threadhill/standin/ask.py
+++ b/threadhill/standin/ask.py
@@ -43,9 +43,9 @@
             if not future.done():
                 future.set_exception(ConnectionResetError("the proxy ended the connection"))
 
-    def send(self, *words: bytes) -> asyncio.Future[Answer]:
+    def send(self, *items: bytes) -> asyncio.Future[Answer]:
         tag = next(self.tags)
-        self.transport.write(message(words[0], b"%d" % tag, *words[1:]))
+        self.transport.write(message(items[0], b"%d" % tag, *items[1:]))
         future = self.waiting[tag] = asyncio.get_running_loop().create_future()
         return future
 
@@ -58,15 +58,15 @@
     def data_received(self, data: bytes) -> None:
         self.buffer += data
         while (found := read_array(self.buffer)) is not None:
-            words, size = found
+            items, size = found
             self.buffer = self.buffer[size:]
-            future = self.waiting.pop(int(words[0]), None)
+            future = self.waiting.pop(int(items[0]), None)
             if future is None:
                 self.duplicate_answers += 1
             elif not future.done():
-                text = words[2].decode() if len(words) > 2 else ""
-                fields = dict(item.split("=", 1) for item in text.split(",") if "=" in item)
-                future.set_result((words[1].decode(), fields, words[3] if len(words) > 3 else b""))
+                text = items[2].decode() if len(items) > 2 else ""
+                fields = dict(pair.split("=", 1) for pair in text.split(",") if "=" in pair)
+                future.set_result((items[1].decode(), fields, items[3] if len(items) > 3 else b""))
 
     def close(self) -> None:
         if self.transport is not None:
@@ -83,9 +83,9 @@
     except (Malformed, OSError, TimeoutError) as error:
         typer.echo(f"threadhill: {proxy}: {error}", err=True)
         return 1
-    words = Counter(answer["answer"] for answer in results)
+    counts = Counter(answer["answer"] for answer in results)
     if json:
-        typer.echo(orjson.dumps({"answers": results, "words": words}).decode())
+        typer.echo(orjson.dumps({"answers": results, "words": counts}).decode())
     else:
         for answer in results[:20]:
             typer.echo(
@@ -93,27 +93,27 @@
                 + (f"  come back in {answer['backoff']} ms" if answer["backoff"] else "")
                 + ("" if answer["right"] else "  (not what the stand-ins hold for it)")
             )
-        typer.echo(", ".join(f"{count} x {word}" for word, count in sorted(words.items())))
-    return 0 if set(words) == {"served"} else 1
+        typer.echo(", ".join(f"{number} x {result}" for result, number in sorted(counts.items())))
+    return 0 if set(counts) == {"served"} else 1
 
 
 async def _ask(
     host: str, port: int, cls: str, obj: str, part: int, count: int, budget: int, tenant: str
 ) -> list[dict[str, Any]]:
-    names = {"200": "served", "503": "refused"}
+    result_names = {"200": "served", "503": "refused"}
     loop = asyncio.get_running_loop()
     client = await Client.connect(host, port)
     results = []
-    more = {"acct": tenant} if tenant else {}
-    keyed = {"token": os.urandom(16).hex()}
+    tenant_field = {"acct": tenant} if tenant else {}
+    token_field = {"token": os.urandom(16).hex()}
     for _ in range(count):
         began = loop.time()
         async with asyncio.timeout(budget / 1e3 + 5):
-            word, fields, body = await client.ask(cls, obj, part, budget, **more, **keyed)
-        right = word != "200" or body == body_of(obj, str(part))
+            status, fields, body = await client.ask(cls, obj, part, budget, **tenant_field, **token_field)
+        right = status != "200" or body == body_of(obj, str(part))
         results.append(
             {
-                "answer": names.get(word, "failed"),
+                "answer": result_names.get(status, "failed"),
                 "ms": (loop.time() - began) * 1e3,
                 "bytes": len(body),
                 "backoff": fields.get("backoff", ""),
--- a/threadhill/standin/dev.py
+++ b/threadhill/standin/dev.py
@@ -74,16 +74,16 @@
             kind, name = id.split(".", 1)
             if kind not in SERVER_KINDS:
                 continue
-            where = address(attrs["address"], id)
+            server_address = address(attrs["address"], id)
             running = self.fleet.servers.get(name)
-            if running is not None and running.address != where:
+            if running is not None and running.address != server_address:
                 self.fleet.remove(name)
                 running = None
             if running is None:
                 cold = 0.0 if attrs["warm"] else settings.get("upper_cold_s" if kind == "parent" else "cold_s", 0.0)
                 sources = [s.split(".", 1)[1] for s in attrs.get("fills_from", ())]
                 library = next((i.split(".", 1)[1] for i in wanted if i.startswith("library.")), "")
-                await self.fleet.add(name, kind, where, cold, upstream=sources[0] if sources else library)
+                await self.fleet.add(name, kind, server_address, cold, upstream=sources[0] if sources else library)
         for name in set(self.fleet.servers) - {
             i.split(".", 1)[1] for i in wanted if i.split(".", 1)[0] in SERVER_KINDS
         }:
@@ -94,26 +94,26 @@
         for name in sorted(set(self.proxies) - names):
             await self._end(name)
         for name in sorted(names):
-            file = self.data / "proxies" / f"{name}.json"
-            if not file.exists():
+            config_file = self.data / "proxies" / f"{name}.json"
+            if not config_file.exists():
                 continue
-            report = orjson.loads(file.read_bytes())["report"]
-            process, has = self.proxies.get(name, (None, ""))
-            if process is not None and process.returncode is None and has == report:
+            report = orjson.loads(config_file.read_bytes())["report"]
+            process, running_report = self.proxies.get(name, (None, ""))
+            if process is not None and process.returncode is None and running_report == report:
                 continue
             if process is not None and process.returncode is None:
                 await self._end(name)
-            started = await asyncio.create_subprocess_exec(
+            new_process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "threadhill",
                 "serve",
                 *(["--operator", self.operator] if self.operator else []),
-                env=environment(LB_CONFIG=str(file)),
+                env=environment(LB_CONFIG=str(config_file)),
                 stderr=asyncio.subprocess.DEVNULL,
                 start_new_session=True,
             )
-            self.proxies[name] = started, report
+            self.proxies[name] = new_process, report
 
     async def _end(self, name: str) -> None:
         process, _ = self.proxies.pop(name)
@@ -131,7 +131,7 @@
 
 
 async def start_control(
-    data: Path, api: str, feed: str, token: str, quiet: bool = False, *words: str
+    data: Path, api: str, feed: str, token: str, quiet: bool = False, *arguments: str
 ) -> asyncio.subprocess.Process:
     """Start a control plane as a process; return once it answers."""
     process = await asyncio.create_subprocess_exec(
@@ -145,19 +145,19 @@
         api,
         "--feed",
         feed,
-        *words,
+        *arguments,
         env=environment(THREADHILL_TOKEN=token),
         start_new_session=True,
         stderr=asyncio.subprocess.DEVNULL if quiet else None,
     )
-    ask = client.ApiClient(api, token)
-    end = asyncio.get_running_loop().time() + START_TIMEOUT
+    api_client = client.ApiClient(api, token)
+    deadline = asyncio.get_running_loop().time() + START_TIMEOUT
     while True:
         try:
-            await asyncio.to_thread(ask, "GET", "/v1/state")
+            await asyncio.to_thread(api_client, "GET", "/v1/state")
             return process
         except client.ApiError as error:
-            if process.returncode is not None or asyncio.get_running_loop().time() > end:
+            if process.returncode is not None or asyncio.get_running_loop().time() > deadline:
                 raise client.ApiError("no-control", f"the control plane did not start: {error}") from None
             await asyncio.sleep(0.05)
 
@@ -187,11 +187,11 @@
     installation = Installation(data, api, token)
     following = asyncio.ensure_future(installation.follow())
     try:
-        ask = client.ApiClient(api, token)
-        plan = await asyncio.to_thread(client.make_plan, ask, wanted, "threadhill dev", False)
+        api_client = client.ApiClient(api, token)
+        plan = await asyncio.to_thread(client.make_plan, api_client, wanted, "threadhill dev", False)
         if plan["steps"] and "unfinished" not in plan:
-            lease = await asyncio.to_thread(client.begin_apply, ask, plan, "dev", "dev", "threadhill dev")
-            await asyncio.to_thread(client.run_apply, ask, lease, lambda told: None)
+            lease = await asyncio.to_thread(client.begin_apply, api_client, plan, "dev", "dev", "threadhill dev")
+            await asyncio.to_thread(client.run_apply, api_client, lease, lambda progress: None)
         proxies = [r.attrs["listen"] for _, r in sorted(wanted.items()) if r.kind == "proxy"]
         typer.echo(
             f"Running. Control plane {api}; proxies {', '.join(proxies)}. In another terminal:\n"
--- a/threadhill/standin/players.py
+++ b/threadhill/standin/players.py
@@ -11,7 +11,7 @@
 
 from threadhill.standin.ask import Client
 
-# told: after the back-off in the answer; silent: at once, on another connection, without the retry mark
+# told: after the back-off that the answer asks for; silent: at once, on another connection, without the retry mark
 RETRY_POLICIES = ("at once", "fixed", "told", "silent")
 FIXED_DELAY = 0.2  # delay in seconds before a retry by the policy "fixed"
 MAX_ATTEMPTS = 3
@@ -53,72 +53,72 @@
 
     @property
     def duplicate_answers(self) -> int:
-        return sum(one.duplicate_answers for one in self._connections if one is not None)
+        return sum(client.duplicate_answers for client in self._connections if client is not None)
 
-    async def _connection(self, place: int) -> Client | None:
-        one = self._connections[place % CONNECTIONS]
-        if one is None or one.lost:
+    async def _connection(self, index: int) -> Client | None:
+        client = self._connections[index % CONNECTIONS]
+        if client is None or client.lost:
             with suppress(OSError):
-                one = self._connections[place % CONNECTIONS] = await Client.connect(self.host, self.port)
-        return one if one is not None and not one.lost and len(one.waiting) < 31 else None
+                client = self._connections[index % CONNECTIONS] = await Client.connect(self.host, self.port)
+        return client if client is not None and not client.lost and len(client.waiting) < 31 else None
 
-    async def _attempt(self, place: int, obj: str, part: int, again: bool, left: float) -> tuple[str, float]:
+    async def _attempt(self, index: int, obj: str, part: int, retry: bool, remaining: float) -> tuple[str, float]:
         """Send one attempt; return the status of the answer and the back-off that it asks for in seconds."""
-        one = await self._connection(place)
-        if one is None:
+        client = await self._connection(index)
+        if client is None:
             await asyncio.sleep(0.01)
             return "no connection", 0.0
         self.attempts_sent += 1
-        more: dict[str, object] = {"mem": 80}
-        if again:
-            more["again"] = 1
+        fields: dict[str, object] = {"mem": 80}
+        if retry:
+            fields["again"] = 1
         if self.tenant:
-            more["acct"] = self.tenant
+            fields["acct"] = self.tenant
         try:
-            word, fields, _ = await asyncio.wait_for(
-                one.ask("clip-parts", obj, part, max(1, int(left * 1e3)), **more), left + 0.05
+            status, answer_fields, _ = await asyncio.wait_for(
+                client.ask("clip-parts", obj, part, max(1, int(remaining * 1e3)), **fields), remaining + 0.05
             )
         except (OSError, TimeoutError):
             return "silence", 0.0
-        return word, int(fields.get("backoff", 0)) / 1e3
+        return status, int(answer_fields.get("backoff", 0)) / 1e3
 
-    async def ask(self, policy: str, place: int, obj: str, part: int, next_part: bool = False) -> bool:
+    async def ask(self, policy: str, index: int, obj: str, part: int, next_part: bool = False) -> bool:
         """Send one request with its retries; return whether it was served in time."""
-        began, tries, word = time.time(), 0, ""
-        told = False
-        while tries < MAX_ATTEMPTS:
-            left = self.budget - (time.time() - began)
-            if left <= 0.02:
+        began, attempts, status = time.time(), 0, ""
+        after_backoff = False
+        while attempts < MAX_ATTEMPTS:
+            remaining = self.budget - (time.time() - began)
+            if remaining <= 0.02:
                 break
-            tries += 1
-            mark = tries > 1 and policy != "silent"
-            word, away = await self._attempt(place + (tries if policy == "silent" else 0), obj, part, mark, left)
-            if told:
-                self.statuses_after_backoff[word] += 1
-            if word == "200":
+            attempts += 1
+            marked = attempts > 1 and policy != "silent"
+            status, backoff_delay = await self._attempt(
+                index + (attempts if policy == "silent" else 0), obj, part, marked, remaining
+            )
+            if after_backoff:
+                self.statuses_after_backoff[status] += 1
+            if status == "200":
                 break
-            told = policy == "told" and away > 0
+            after_backoff = policy == "told" and backoff_delay > 0
             if policy == "fixed":
                 await asyncio.sleep(FIXED_DELAY)
-            elif told:
-                await asyncio.sleep(away)
-        took = time.time() - began
-        served = word == "200" and took <= self.budget
-        self.outcomes.append(Outcome(began, "clip-parts", served, tries, took, next_part))
+            elif after_backoff:
+                await asyncio.sleep(backoff_delay)
+        seconds = time.time() - began
+        served = status == "200" and seconds <= self.budget
+        self.outcomes.append(Outcome(began, "clip-parts", served, attempts, seconds, next_part))
         return served
 
     async def run(self, seconds: float) -> None:
         """Send new requests at `rate`, which may be changed meanwhile."""
-        draw, waiting = random.Random(self.seed), set()
+        rng, waiting = random.Random(self.seed), set()
         weights = [1 / (i + 1) for i in range(self.objects)]
         end, due = time.monotonic() + seconds, time.monotonic()
         while time.monotonic() < end and not self.stopped:
             due += 1 / self.rate
-            obj = draw.choices(range(self.objects), weights)[0]
-            policy = self.policies[draw.randrange(len(self.policies))]
-            task = asyncio.ensure_future(
-                self.ask(policy, draw.randrange(CONNECTIONS), f"{obj:016x}", draw.randrange(6))
-            )
+            obj = rng.choices(range(self.objects), weights)[0]
+            policy = self.policies[rng.randrange(len(self.policies))]
+            task = asyncio.ensure_future(self.ask(policy, rng.randrange(CONNECTIONS), f"{obj:016x}", rng.randrange(6)))
             waiting.add(task)
             task.add_done_callback(waiting.discard)
             await asyncio.sleep(max(0.0, due - time.monotonic()))
@@ -135,6 +135,6 @@
             await asyncio.sleep(max(0.0, pause - (time.monotonic() - began)))
 
     def close(self) -> None:
-        for one in self._connections:
-            if one is not None:
-                one.close()
+        for client in self._connections:
+            if client is not None:
+                client.close()
--- a/threadhill/standin/swarm.py
+++ b/threadhill/standin/swarm.py
@@ -30,7 +30,7 @@
 
 
 def location_settings(proxy_count: int, **limits: Any) -> dict[str, Any]:
-    """Return the settings of one location with `proxy_count` proxies, load reports in answers and one class of requests."""
+    """Return the settings of one location: `proxy_count` proxies, load reports in answers, one class of requests."""
     return {
         "extra": {
             "bypass-allowed": True,
@@ -99,7 +99,7 @@
         self.connect_times: deque[float] = deque(maxlen=100_000)
         self.address: tuple[str, int] = ("", 0)
         self._writers: set[asyncio.StreamWriter] = set()
-        self._more = asyncio.Condition()
+        self._events_added = asyncio.Condition()
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str) -> None:
@@ -114,24 +114,24 @@
         with suppress(ConnectionError, asyncio.IncompleteReadError, ValueError, IndexError, asyncio.CancelledError):
             last = int((await reader.readline()).split()[1])
             if self.aggregator is not None:
-                reader_task = asyncio.ensure_future(self._reports(reader, names))
+                reader_task = asyncio.ensure_future(self._read_reports(reader, names))
             while not writer.is_closing() and not (reader_task is not None and reader_task.done()):
-                fresh = self.events[last:]
-                idle_intervals += not fresh
+                new_events = self.events[last:]
+                idle_intervals += not new_events
                 hint = self._hint(names) if idle_intervals % 2 else b""  # one a second
-                position = b"" if fresh and not first else b"%d\n" % len(self.events)
-                writer.write(b"".join(fresh) + position + hint)
+                position = b"" if new_events and not first else b"%d\n" % len(self.events)
+                writer.write(b"".join(new_events) + position + hint)
                 last, first = max(last, len(self.events)), False
                 await writer.drain()
                 with suppress(TimeoutError):
-                    async with asyncio.timeout(POSITION_INTERVAL), self._more:
-                        await self._more.wait()
+                    async with asyncio.timeout(POSITION_INTERVAL), self._events_added:
+                        await self._events_added.wait()
         if reader_task is not None:
             reader_task.cancel()
         self._writers.discard(writer)
         writer.close()
 
-    async def _reports(self, reader: asyncio.StreamReader, names: list[str]) -> None:
+    async def _read_reports(self, reader: asyncio.StreamReader, names: list[str]) -> None:
         """Read a proxy's reports until its connection ends; `names` receives its name."""
         with suppress(ConnectionError, ValueError):
             while line := await reader.readline():
@@ -148,8 +148,8 @@
 
     async def add(self, event: dict[str, Any]) -> int:
         self.events.append(orjson.dumps({"pos": len(self.events) + 1, **event}) + b"\n")
-        async with self._more:
-            self._more.notify_all()
+        async with self._events_added:
+            self._events_added.notify_all()
         return len(self.events)
 
     async def add_members(self, *members: dict[str, Any], complete: bool = False) -> int:
@@ -245,18 +245,18 @@
     def boxes(self) -> list[Server]:
         return [server for server in self.fleet.servers.values() if server.kind == "box"]
 
-    def configure(self, name: str, **more: Any) -> Proxy:
-        where = self.links["journal"].address if "journal" in self.links else self.journal.address
+    def configure(self, name: str, **overrides: Any) -> Proxy:
+        journal_address = self.links["journal"].address if "journal" in self.links else self.journal.address
         config = {
             "name": name,
             "listen": f"{self.host}:0",
             "seed": f"{random.Random(name).getrandbits(63):x}",
             "settings": self.settings,
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-            "journal": f"{where[0]}:{where[1]}",
+            "journal": f"{journal_address[0]}:{journal_address[1]}",
             "known": {"pos": len(self.journal.events), "entries": [orjson.loads(e) for e in self.journal.events]},
             **({"report": "1"} if self.hints else {}),
-            **more,
+            **overrides,
         }
         proxy = self.proxies.setdefault(name, Proxy(name, self.folder / f"{name}.json"))
         proxy.config.write_bytes(orjson.dumps(config))
@@ -265,7 +265,7 @@
     async def launch(self, names: list[str]) -> None:
         """Start these proxies concurrently; return when all listen."""
         await asyncio.gather(*(self._start(self.proxies[name]) for name in names))
-        await asyncio.gather(*(self.listening(self.proxies[name]) for name in names))
+        await asyncio.gather(*(self.wait_until_listening(self.proxies[name]) for name in names))
 
     async def _start(self, proxy: Proxy) -> None:
         with proxy.log.open("wb") as log:
@@ -274,7 +274,7 @@
                 "-m",
                 "threadhill",
                 "serve",
-                *self._operator(),
+                *self._operator_arguments(),
                 cwd=self.root,
                 stderr=log,
                 env={
@@ -286,7 +286,7 @@
             )
         proxy.port = 0
 
-    def _operator(self) -> list[str]:
+    def _operator_arguments(self) -> list[str]:
         if not self.operator:
             return []
         path = self.folder / "operator.toml"
@@ -294,15 +294,15 @@
             path.write_text(self.operator)
         return ["--operator", str(path)]
 
-    async def listening(self, proxy: Proxy) -> None:
-        end = time.monotonic() + START_TIMEOUT
+    async def wait_until_listening(self, proxy: Proxy) -> None:
+        deadline = time.monotonic() + START_TIMEOUT
         while not proxy.port:
             found = re.search(rf"^(?:\[[\d.]+\] )?{proxy.name}: serving on .*:(\d+)$", proxy.log.read_text(), re.M)
             if found:
                 proxy.port = int(found[1])
                 proxy.started_cpu = proxy.resources()[0]
                 return
-            if proxy.process.returncode is not None or time.monotonic() > end:
+            if proxy.process.returncode is not None or time.monotonic() > deadline:
                 raise RuntimeError(f"{proxy.name} did not start: {proxy.log.read_text()[-2000:]}")
             await asyncio.sleep(0.02)
 
@@ -339,33 +339,33 @@
 
     async def run(self, seconds: float, names: list[str] | None = None) -> None:
         """Send requests for `seconds`; return when all are answered or timed out."""
-        draw, loop = random.Random(self.seed), asyncio.get_running_loop()
+        rng, loop = random.Random(self.seed), asyncio.get_running_loop()
         due = loop.time()
         end, waiting = due + seconds, set[asyncio.Task[None]]()
         while due < end and not self.stopped:
-            due += draw.expovariate(self.rate)
+            due += rng.expovariate(self.rate)
             await asyncio.sleep(max(0.0, due - loop.time()))
-            name = draw.choice(names or list(self.swarm.proxies))
-            hot, rank = draw.random() < self.hot, int(self.objects * draw.random() ** 2)
-            thing = "00000000000000ff" if hot else f"{rank:016x}"
-            task = asyncio.ensure_future(self._one(name, thing))
+            name = rng.choice(names or list(self.swarm.proxies))
+            hot, obj_number = rng.random() < self.hot, int(self.objects * rng.random() ** 2)
+            obj = "00000000000000ff" if hot else f"{obj_number:016x}"
+            task = asyncio.ensure_future(self._request(name, obj))
             waiting.add(task)
             task.add_done_callback(waiting.discard)
         if waiting:
             await asyncio.wait(waiting, timeout=self.budget / 1e3 + 2)
 
-    async def _one(self, name: str, thing: str) -> None:
+    async def _request(self, name: str, obj: str) -> None:
         began = time.monotonic()
-        word = "lost"
+        status = "lost"
         with suppress(OSError, TimeoutError):
             client = self._clients.get(name)
             if client is None or client.lost:
                 client = self._clients[name] = await Client.connect(self.swarm.host, self.swarm.proxies[name].port)
             async with asyncio.timeout(self.budget / 1e3 + 1):
-                word, _, body = await client.ask("art-pages", thing, 0, self.budget)
-            self.wrong_answers += word == "200" and body != body_of(thing, "0")
-        self.answers[word] += 1
-        self.log.append((began, word, time.monotonic() - began, name))
+                status, _, body = await client.ask("art-pages", obj, 0, self.budget)
+            self.wrong_answers += status == "200" and body != body_of(obj, "0")
+        self.answers[status] += 1
+        self.log.append((began, status, time.monotonic() - began, name))
 
     def close(self) -> None:
         for client in self._clients.values():
