--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -246,7 +246,7 @@
         await swarm.launch(killed)
         listening = time.monotonic()
         back_at = time.time()
-        cpu = median(swarm.proxies[name].started_cpu for name in killed)
+        cpu = median(swarm.proxies[name].startup_cpu for name in killed)
         await going
         watching.cancel()
         crowd.close()
--- a/threadhill/standin/swarm.py
+++ b/threadhill/standin/swarm.py
@@ -178,7 +178,7 @@
     config: Path
     process: asyncio.subprocess.Process | None = None
     port: int = 0
-    started_cpu: float = 0.0  # CPU seconds used until it listened
+    startup_cpu: float = 0.0  # CPU seconds used until it listened
 
     @property
     def log(self) -> Path:
@@ -300,7 +300,7 @@
             found = re.search(rf"^(?:\[[\d.]+\] )?{proxy.name}: serving on .*:(\d+)$", proxy.log.read_text(), re.M)
             if found:
                 proxy.port = int(found[1])
-                proxy.started_cpu = proxy.resources()[0]
+                proxy.startup_cpu = proxy.resources()[0]
                 return
             if proxy.process.returncode is not None or time.monotonic() > deadline:
                 raise RuntimeError(f"{proxy.name} did not start: {proxy.log.read_text()[-2000:]}")
