--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -105,7 +105,7 @@
     (folder / "state").mkdir()
     swarm = Swarm(folder, host, location_settings(3), root, operator=operator)
     try:
-        await swarm.serve(CACHES)
+        await swarm.start_servers(CACHES)
         await swarm.launch([swarm.configure(f"p{n}").name for n in range(3)])
         crowd = LoadGenerator(swarm, RATE, seed=seed)
         await crowd.run(1.0)
@@ -213,7 +213,7 @@
     swarm = Swarm(folder, host, location_settings(PROXIES), root, operator=operator)
     dials: list[tuple[float, int]] = []
     try:
-        await swarm.serve(CACHES)
+        await swarm.start_servers(CACHES)
         for box in swarm.boxes:
             box.workers, box.answer_time, box.queue_limit = WORKERS, BASE_S, 64
         (operators,) = free_ports(host, 1)
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -97,7 +97,7 @@
     folder.mkdir(parents=True)
     swarm = Swarm(folder, host, location_settings(crew), root, hints)
     try:
-        await swarm.serve(CACHES)
+        await swarm.start_servers(CACHES)
         names = [swarm.configure(f"p{n}").name for n in range(crew)]
         began = time.monotonic()
         await swarm.launch(names)
@@ -122,7 +122,7 @@
         }
         told |= spread(told["times"], calm)
         if release:
-            crowd.hot, since = 0.3, time.time()
+            crowd.hot_share, since = 0.3, time.time()
             crowd.seed += 1
             await crowd.run(RELEASE_S)
             told["release"] = spread(arrivals(swarm, since + 2, since + RELEASE_S), RELEASE_S - 2)["busiest"]
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -89,7 +89,7 @@
         began = time.time()
         playing = asyncio.gather(
             players.run(whole),
-            *(people.listen(n, whole) for n in range(LISTENERS)),
+            *(people.play(n, whole) for n in range(LISTENERS)),
             faults.inject(box, faults.Fault("stop", BEFORE_S, FAULT_S, COLD_S)),
         )
         await asyncio.sleep(BEFORE_S)
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -255,7 +255,7 @@
     async def scene() -> None:
         swarm = Swarm(tmp_path, "127.0.0.1", location_settings(24), ROOT, hints=True)
         try:
-            await swarm.serve(8, linked=True)
+            await swarm.start_servers(8, behind_relays=True)
             await swarm.launch([swarm.configure(f"p{n}").name for n in range(24)])
             crowd = LoadGenerator(swarm, 150.0)
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -105,7 +105,7 @@
     async def run() -> None:
         one = Swarm(folder, "127.0.0.1", location_settings(PROXIES), ROOT)
         try:
-            await one.serve(CACHES, linked=True, **more)
+            await one.start_servers(CACHES, behind_relays=True, **more)
             await one.launch([one.configure(f"p{n}").name for n in range(PROXIES)])
             crowd = LoadGenerator(one, RATE)
             async with asyncio.timeout(100):
@@ -175,7 +175,7 @@
         one = Swarm(tmp_path, "127.0.0.1", location_settings(PROXIES), ROOT)
         other = JournalService()
         try:
-            await one.serve(CACHES, linked=True)
+            await one.start_servers(CACHES, behind_relays=True)
             unreachable = one.boxes[0]
             refusing_link = one.links["bad"] = Relay(lambda: unreachable.address)
             await refusing_link.start()
@@ -239,7 +239,7 @@
             )
             replacement.answer_time = 0.025
             replacements.append(replacement)
-            await one.link(replacement.name, replacement)
+            await one.add_relay(replacement.name, replacement)
             await one.journal.add_members(one.member(replacement.name), one.member(name, "DRAINING"))
             await asyncio.sleep(1.0)
         drained = time.time()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -443,7 +443,7 @@
         (folder / "state").mkdir()
         swarm = Swarm(folder, "127.0.0.1", location_settings(proxies), ROOT, operator=operator)
         try:
-            await swarm.serve(8, linked=True)
+            await swarm.start_servers(8, behind_relays=True)
             await swarm.launch([swarm.configure(f"p{n}").name for n in range(proxies)])
             crowd = LoadGenerator(swarm, RATE)
             async with asyncio.timeout(100):
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -34,7 +34,7 @@
     async def scene() -> None:
         swarm = Swarm(tmp_path, "127.0.0.1", location_settings(KILLED), ROOT)
         try:
-            await swarm.serve(6)
+            await swarm.start_servers(6)
             names = [swarm.configure(f"p{n}").name for n in range(KILLED)]
             await swarm.launch(names)
             load = LoadGenerator(swarm, 60.0)
--- a/threadhill/drills/run.py
+++ b/threadhill/drills/run.py
@@ -46,7 +46,7 @@
         """Start everything, play the faults while clients ask, and tell what it showed; all has ended then."""
         fleet = self.scenario.fleet
         try:
-            await self.swarm.serve(fleet.caches, fleet.parents, linked=True)
+            await self.swarm.start_servers(fleet.caches, fleet.parents, behind_relays=True)
             await self.swarm.launch([self.swarm.configure(f"p{n}").name for n in range(fleet.proxies)])
             crowd = LoadGenerator(self.swarm, fleet.rate, fleet.objects, seed=self.scenario.seed)
             await crowd.run(1.5)  # the first requests of all open connections
--- a/threadhill/standin/players.py
+++ b/threadhill/standin/players.py
@@ -125,7 +125,7 @@
         if waiting:
             await asyncio.wait(waiting, timeout=self.budget + 1)
 
-    async def listen(self, number: int, seconds: float, pause: float = 0.4) -> None:
+    async def play(self, number: int, seconds: float, pause: float = 0.4) -> None:
         """Play one object: request its parts one after another, one every `pause` seconds."""
         end, part, obj = time.monotonic() + seconds, 0, f"{0xABC000 + number:016x}"
         while time.monotonic() < end and not self.stopped:
--- a/threadhill/standin/swarm.py
+++ b/threadhill/standin/swarm.py
@@ -207,22 +207,24 @@
         self.links: dict[str, Relay] = {}  # relays by the name of their server, or "journal"
         self.proxies: dict[str, Proxy] = {}
 
-    async def serve(self, caches: int, parents: int = 2, linked: bool = False, base: float = 0.025) -> None:
-        """Start the stand-ins and list them in the journal; if `linked`, caches and journal are behind relays."""
+    async def start_servers(
+        self, caches: int, parents: int = 2, behind_relays: bool = False, cache_answer_time: float = 0.025
+    ) -> None:
+        """Start the stand-ins and list them in the journal; `behind_relays` puts relays before caches and journal."""
         await self.journal.start(self.host)
         names = [(f"s-{i:08x}", "box") for i in range(1, caches + 1)]
         names += [(f"s-000001{i:02x}", "parent") for i in range(parents)] + [("s-00000200", "library")]
         for name, kind in names:
             server = await self.fleet.add(name, kind, (self.host, 0), upstream="s-00000200")
-            server.answer_time = base if kind == "box" else base / 5
-            if linked and kind == "box":
-                await self.link(name, server)
-        if linked:
+            server.answer_time = cache_answer_time if kind == "box" else cache_answer_time / 5
+            if behind_relays and kind == "box":
+                await self.add_relay(name, server)
+        if behind_relays:
             relay = self.links["journal"] = Relay(lambda: self.journal.address, self.host)
             await relay.start()
         await self.journal.add_members(*(self.member(name) for name, _ in names), complete=True)
 
-    async def link(self, name: str, server: Server) -> None:
+    async def add_relay(self, name: str, server: Server) -> None:
         self.links[name] = Relay(lambda: server.address, self.host)
         await self.links[name].start()
 
@@ -326,7 +328,7 @@
     swarm: Swarm
     rate: float
     objects: int = 400
-    hot: float = 0.0  # share of the requests that are for one and the same object
+    hot_share: float = 0.0  # share of the requests that are for one and the same object
     budget: int = 3_000
     seed: int = 1
     answers: Counter[str] = field(default_factory=Counter)
@@ -346,7 +348,7 @@
             due += rng.expovariate(self.rate)
             await asyncio.sleep(max(0.0, due - loop.time()))
             name = rng.choice(names or list(self.swarm.proxies))
-            hot, obj_number = rng.random() < self.hot, int(self.objects * rng.random() ** 2)
+            hot, obj_number = rng.random() < self.hot_share, int(self.objects * rng.random() ** 2)
             obj = "00000000000000ff" if hot else f"{obj_number:016x}"
             task = asyncio.ensure_future(self._request(name, obj))
             waiting.add(task)
