--- a/threadhill/admin/cordon_file.py
+++ b/threadhill/admin/cordon_file.py
@@ -101,7 +101,7 @@
             if not self._failure_logged:
                 self.log(
                     f"cordons: {self.path}: not written: {error}; the cordons are in force in this process, but "
-                    "one that starts now will not load them; the write is repeated until it succeeds"
+                    "one that starts now will not load them; it is tried again until it succeeds"
                 )
             self._failure_logged = True
             return
